--- a/crates/lab/src/explore_watch.rs
+++ b/crates/lab/src/explore_watch.rs
@@ -11,8 +11,8 @@
 use nodes::{hold, scope_of, Control, ControlNode, Log, Planner, PlannerHome, PlannerNode, KEPT};
 use pewtergap_time::{Moment, Span};
 use pewtergap_virtual::{Nature, Place, World};
-use pewtergap_watch::words::{RosterTold, MOST_PIECES};
-use pewtergap_watch::{Scope, Terms, View};
+use pewtergap_watch::messages::{RosterUpdate, MAX_CHUNKS_IN_FLIGHT};
+use pewtergap_watch::{Scope, WatchConfig, WatchServerStats};
 use rules::Truth;
 use serde::Serialize;
 use std::collections::{BTreeMap, VecDeque};
@@ -67,8 +67,8 @@
 
 impl Explored {
     /// What a machine did until it ended.
-    fn tally(&mut self, view: &View) {
-        self.pieces += view.pieces;
+    fn tally(&mut self, view: &WatchServerStats) {
+        self.pieces += view.chunks_sent;
         for (reason, count) in &view.refused {
             *self.refused.entry(format!("{reason:?}")).or_default() += count;
         }
@@ -78,7 +78,7 @@
 /// Words of one machine to another; a cut holds them.
 #[derive(Default)]
 struct Road {
-    words: VecDeque<(Moment, RosterTold)>,
+    words: VecDeque<(Moment, RosterUpdate)>,
     held_since: Option<Moment>,
 }
 
@@ -93,7 +93,7 @@
     paused: Vec<Place>,
     /// Machines that apply nothing until then.
     lagging: Vec<Moment>,
-    terms: Terms,
+    terms: WatchConfig,
     values: u64,
     starts: u64,
     planted: Option<Planted>,
@@ -120,14 +120,15 @@
     fn new(seed: u64, planted: Option<Planted>) -> Search {
         // What may wait on a link is little more than its pieces: more would be a queue that nobody bounds.
         let most_waiting = 96 << 10;
-        let nature = Nature { drift: Terms::default().drift, most_waiting, ..Nature::default() };
+        let nature =
+            Nature { drift: WatchConfig::default().max_clock_drift, most_waiting, ..Nature::default() };
         let mut world = World::new(seed, BEGIN, nature);
         let (machines, planners) = (world.rng.usize(3..=5), world.rng.usize(16..=32));
-        let terms = Terms {
-            most_watches: planners / (machines - 1) + 6,
-            most_snapshots: world.rng.usize(2..=4),
-            most_tombstones: world.rng.usize(3..=12),
-            ..Terms::default()
+        let terms = WatchConfig {
+            max_watches: planners / (machines - 1) + 6,
+            max_snapshots: world.rng.usize(2..=4),
+            max_tombstones: world.rng.usize(3..=12),
+            ..WatchConfig::default()
         };
         let came = Explored {
             seed,
@@ -195,7 +196,7 @@
         }
         let fresh = self.control(at);
         let ended = std::mem::replace(&mut self.machines[at].1, fresh);
-        self.came.tally(&hold(&ended).serving.view());
+        self.came.tally(&hold(&ended).serving.stats());
         let place = self.machines[at].0;
         self.world.start(place, Box::new(ControlNode(self.machines[at].1.clone())));
         let head = hold(&self.log).head();
@@ -305,11 +306,11 @@
                     continue;
                 }
                 let own = self.world.clock(one);
-                let mut words = hold(&control).serving.roster.words(own, &format!("m{to}"));
+                let mut words = hold(&control).serving.roster.updates_for(own, &format!("m{to}"));
                 if self.planted == Some(Planted::CountedUnheard) {
                     for word in &mut words {
-                        word.rows.retain(|row| row.here || row.left);
-                        word.heard_ms = 0;
+                        word.rows.retain(|row| row.connected || row.left);
+                        word.max_contact_age_ms = 0;
                     }
                 }
                 let due = now + Span::millis(self.world.rng.u64(1..30));
@@ -330,7 +331,7 @@
                 let held = road.held_since.is_some() || !self.world.runs(place);
                 let Some((_, word)) = road.words.pop_front_if(|word| !held && word.0 <= now) else { break };
                 let own = self.world.clock(place);
-                let told = hold(&control).serving.roster.told(own, &format!("m{from}"), word);
+                let told = hold(&control).serving.roster.receive(own, &format!("m{from}"), word);
                 hold(&control).touched = true;
                 // After each: what a late word says is corrected by the next one at once.
                 self.check();
@@ -372,13 +373,13 @@
             if !std::mem::take(&mut control.touched) || !self.world.runs(*place) {
                 continue;
             }
-            let view = control.serving.view();
+            let view = control.serving.stats();
             let terms = &self.terms;
-            let flight = control.serving.server().most_flight();
-            let within = flight <= MOST_PIECES
-                && view.snapshots <= terms.most_snapshots
-                && view.waiting <= view.watches
-                && view.watches <= terms.most_watches
+            let flight = control.serving.server().max_in_flight();
+            let within = flight <= MAX_CHUNKS_IN_FLIGHT
+                && view.snapshots_active <= terms.max_snapshots
+                && view.snapshots_queued <= view.watches
+                && view.watches <= terms.max_watches
                 && control.overflown == 0;
             if !within {
                 broken.push(("bounds", format!("m{at}: {flight} pieces on their way, {view:?}")));
@@ -666,7 +667,7 @@
     search.settle();
     let Search { mut came, world, log, machines, planners, .. } = search;
     for (_, control) in &machines {
-        came.tally(&hold(control).serving.view());
+        came.tally(&hold(control).serving.stats());
     }
     came.watches += planners.iter().map(|planner| hold(&planner.1).watches).sum::<u64>();
     came.kept = hold(&log).head();
--- a/crates/lab/src/explore_watch/nodes.rs
+++ b/crates/lab/src/explore_watch/nodes.rs
@@ -4,7 +4,7 @@
 use super::Planted;
 use pewtergap_node::{Effect, Ended, Input, Node, Outbox};
 use pewtergap_time::{Moment, Span};
-use pewtergap_watch::{Home, Kept, Scope, Serving, Terms, Told, Watching};
+use pewtergap_watch::{ClientConfig, SavedState, Scope, WatchClient, WatchConfig, WatchEvent, WatchServer};
 use std::any::Any;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -61,7 +61,7 @@
 // ---- a control machine
 
 pub struct Control {
-    pub serving: Serving,
+    pub serving: WatchServer,
     pub head: u64,
     /// Reads that wait for their place: when they were asked.
     asked: Vec<(Moment, u64)>,
@@ -77,12 +77,12 @@
 impl Control {
     pub fn new(
         (name, at): (String, SocketAddr),
-        terms: Terms,
+        terms: WatchConfig,
         seed: u64,
         log: Arc<Mutex<Log>>,
         planted: Option<Planted>,
     ) -> Control {
-        let serving = Serving::new(terms, name, seed);
+        let serving = WatchServer::new(terms, name, seed);
         Control { serving, head: 0, asked: Vec::new(), log, at, planted, touched: false, overflown: 0 }
     }
 
@@ -92,7 +92,7 @@
         let place = parts.get(1).and_then(|place| place.parse().ok()).unwrap_or(0_u64);
         let log = self.log.clone();
         match parts[0] {
-            "record" => self.serving.stands(now, place, out),
+            "record" => self.serving.set_record_id(now, place, out),
             "restore" if place >= self.head => {
                 let all = hold(&log).at(place).as_ref().clone();
                 self.head = place;
@@ -108,10 +108,10 @@
         }
         let head = self.head;
         for (asked, _) in self.asked.extract_if(.., |(_, kept)| *kept <= head) {
-            self.serving.fresh(asked);
+            self.serving.confirm_fresh(asked);
         }
         if self.planted == Some(Planted::YoungAge) {
-            self.serving.fresh(now);
+            self.serving.confirm_fresh(now);
         }
     }
 
@@ -180,7 +180,7 @@
 
 pub struct Planner {
     pub home: PlannerHome,
-    pub watching: Option<Watching>,
+    pub watching: Option<WatchClient>,
     pub in_force: InForce,
     /// On its way to the disk, under which ticket.
     writing: Option<(u64, InForce)>,
@@ -203,17 +203,17 @@
 }
 
 impl PlannerHome {
-    fn watching(&self, kept: Option<Kept>) -> Watching {
-        let home = Home {
+    fn watching(&self, kept: Option<SavedState>) -> WatchClient {
+        let client_config = ClientConfig {
             planner: self.name.clone(),
             start: self.start,
             machines: self.machines.clone(),
             scope: self.scope.clone(),
-            from: None,
+            source_ip: None,
             seed: self.seed,
-            terms: Terms::default(),
+            watch_config: WatchConfig::default(),
         };
-        Watching::new(home, kept)
+        WatchClient::new(client_config, kept)
     }
 }
 
@@ -236,28 +236,28 @@
 
     /// What its disk had is in force before anybody was dialled.
     fn begins(&mut self, now: Moment, bytes: Result<&[u8], String>, out: &mut Outbox) {
-        let kept = bytes.ok().and_then(|bytes| Kept::read(bytes).ok());
-        if let Some(Kept { place, scope, entries, .. }) = &kept {
-            self.in_force = InForce { place: *place, scope: scope.clone(), state: entries.clone() };
+        let kept = bytes.ok().and_then(|bytes| SavedState::decode(bytes).ok());
+        if let Some(SavedState { index, scope, entries, .. }) = &kept {
+            self.in_force = InForce { place: *index, scope: scope.clone(), state: entries.clone() };
         }
         let mut watching = self.home.watching(kept);
         watching.handle(now, Input::Start, out);
         self.watching = Some(watching);
     }
 
-    fn told(&mut self, now: Moment, told: Vec<Told>, out: &mut Outbox) {
+    fn told(&mut self, now: Moment, told: Vec<WatchEvent>, out: &mut Outbox) {
         for told in told {
             match told {
-                Told::Changed { .. } => self.dirty = true,
-                Told::Watching(_) => self.watches += 1,
+                WatchEvent::Changed { .. } => self.dirty = true,
+                WatchEvent::Watching(_) => self.watches += 1,
                 // One that begins from nothing elsewhere is taken back where the other is behind.
-                Told::Lost(_) if self.home.planted == Some(Planted::TakenBack) => {
+                WatchEvent::Lost(_) if self.home.planted == Some(Planted::TakenBack) => {
                     self.home.start += 1;
                     let mut watching = self.home.watching(None);
                     watching.handle(now, Input::Start, out);
                     self.watching = Some(watching);
                 }
-                Told::Lost(_) => {}
+                WatchEvent::Lost(_) => {}
             }
         }
         self.write(out);
@@ -268,10 +268,10 @@
         let Some(watching) = self.watching.as_ref().filter(|_| self.dirty && self.writing.is_none()) else {
             return;
         };
-        let kept = watching.client().kept();
-        let next = InForce { place: kept.place, scope: kept.scope.clone(), state: kept.entries.clone() };
+        let kept = watching.client().saved_state();
+        let next = InForce { place: kept.index, scope: kept.scope.clone(), state: kept.entries.clone() };
         self.ticket += 1;
-        let (name, bytes, ticket) = (KEPT.to_string(), watching.kept(), self.ticket);
+        let (name, bytes, ticket) = (KEPT.to_string(), watching.encode_state(), self.ticket);
         out.push(Effect::Replace { name, bytes, ticket });
         (self.writing, self.dirty) = (Some((self.ticket, next)), false);
     }
--- a/crates/lab/src/explore_watch/rules.rs
+++ b/crates/lab/src/explore_watch/rules.rs
@@ -58,7 +58,7 @@
             life.place = life.place.max(found.place);
         }
         let all = log.at(found.place);
-        let fits = |key: &str| found.scope.as_ref().is_none_or(|scope| scope.holds(key));
+        let fits = |key: &str| found.scope.as_ref().is_none_or(|scope| scope.contains(key));
         let expected = all.iter().filter(|entry| fits(entry.0));
         if found.place > 0 && !expected.clone().eq(found.state.iter()) {
             let missing: Vec<&String> =
@@ -103,7 +103,7 @@
 
 /// Of a planner, what it holds beside its state.
 pub fn held(planner: &Planner, most_keys: usize) -> Option<(&'static str, String)> {
-    let held = planner.watching.as_ref().map_or(0, |watching| watching.client().held());
+    let held = planner.watching.as_ref().map_or(0, |watching| watching.client().pending_len());
     if planner.overflown > 0 {
         return Some(("bounds", "a planner's link had too much waiting".into()));
     }
--- a/crates/member/src/member.rs
+++ b/crates/member/src/member.rs
@@ -18,7 +18,7 @@
 use pewtergap_record::{Answer, Clean, Command, Record, Subject, What};
 use pewtergap_store::Fault;
 use pewtergap_time::{Moment, Span};
-use pewtergap_watch::words::RosterTold;
+use pewtergap_watch::messages::RosterUpdate;
 use prost::Message;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::{IpAddr, SocketAddr};
@@ -122,7 +122,7 @@
     /// Of what members share.
     Shared(Id, word::Kind),
     /// Whom another control machine serves.
-    Roster(String, RosterTold),
+    Roster(String, RosterUpdate),
     /// A way to a member broke.
     Lost(Id),
 }
@@ -764,7 +764,7 @@
     }
 
     /// Tells another control machine whom this one serves.
-    pub fn tell_roster(&self, to: Id, told: RosterTold, out: &mut Outbox) -> bool {
+    pub fn tell_roster(&self, to: Id, told: RosterUpdate, out: &mut Outbox) -> bool {
         self.peers.send(to, Lane::Bulk, word::Kind::Roster(told), out)
     }
 
--- a/crates/member/src/words.rs
+++ b/crates/member/src/words.rs
@@ -65,7 +65,7 @@
         Evidence(crate::shared::EvidenceTold),
         /// Whom a control machine serves, and what is in force there. To those only whose hello says that they serve watches.
         #[prost(message, tag = "18")]
-        Roster(pewtergap_watch::words::RosterTold),
+        Roster(pewtergap_watch::messages::RosterUpdate),
     }
 }
 
--- a/crates/pewtergap/src/fronts.rs
+++ b/crates/pewtergap/src/fronts.rs
@@ -211,7 +211,7 @@
     let what = match script.kind() {
         "service" => service_file(&script).map(|file| format!("a planner, {}", file.charge.name)),
         "control_machine" => {
-            control_file(&script).map(|file| format!("a control machine, {}", file.home.post.name))
+            control_file(&script).map(|file| format!("a control machine, {}", file.home.member.name))
         }
         "proxy" => proxy_file(&script).map(|file| format!("a proxy, {}", file.home.name)),
         _ => {
--- a/crates/pewtergap/tests/tier.rs
+++ b/crates/pewtergap/tests/tier.rs
@@ -6,7 +6,7 @@
 use fleet::*;
 use pewtergap_member::words as members;
 use pewtergap_protocol::{encode, Checked, Frames};
-use pewtergap_watch::words::{Hello, Kind, Reason, ScopeTold, Welcome, Word};
+use pewtergap_watch::messages::{Hello, Kind, Reason, ScopeMessage, WatchMessage, Welcome};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
@@ -159,7 +159,7 @@
 }
 
 fn say(stream: &mut TcpStream, kind: Kind) {
-    stream.write_all(&encode(&Word::of(kind))).expect("written");
+    stream.write_all(&encode(&WatchMessage::new(kind))).expect("written");
 }
 
 /// The next word that comes.
@@ -177,13 +177,13 @@
 }
 
 fn hello(planner: &str, versions: (u32, u32)) -> Kind {
-    let scope = ScopeTold { all_servers: true, all_routes: true, ..ScopeTold::default() };
+    let scope = ScopeMessage { all_servers: true, all_routes: true, ..ScopeMessage::default() };
     Kind::Hello(Hello {
-        lowest: versions.0,
-        highest: versions.1,
+        min_version: versions.0,
+        max_version: versions.1,
         planner: planner.into(),
         start: 1,
-        turn: 1,
+        watch_number: 1,
         scope,
         ..Hello::default()
     })
@@ -227,10 +227,10 @@
     for versions in [(0, 0), (7, 9)] {
         let mut planner = TcpStream::connect(machine.watches.at).expect("a link");
         say(&mut planner, hello("older", versions));
-        match hear::<Word>(&mut planner).kind {
+        match hear::<WatchMessage>(&mut planner).kind {
             Some(Kind::Refuse(refuse)) => {
                 assert_eq!(refuse.reason, Reason::Version as i32, "{refuse:?}");
-                assert!(refuse.why.contains("versions 1 to 1"), "{refuse:?}");
+                assert!(refuse.detail.contains("versions 1 to 1"), "{refuse:?}");
             }
             other => panic!("{other:?} to {versions:?}"),
         }
@@ -241,10 +241,15 @@
     strange.leads_to(other.local_addr().expect("its address"));
     std::thread::spawn(move || {
         for mut stream in other.incoming().map_while(Result::ok) {
-            let word = hear::<Word>(&mut stream);
+            let word = hear::<WatchMessage>(&mut stream);
             assert!(matches!(word.kind, Some(Kind::Hello(_))), "{word:?}");
-            let welcome =
-                Welcome { version: 9, record: 5, head: 1 << 40, machine: "c0".into(), goes_on: false };
+            let welcome = Welcome {
+                version: 9,
+                record_id: 5,
+                head: 1 << 40,
+                machine: "c0".into(),
+                resumes_snapshot: false,
+            };
             say(&mut stream, Kind::Welcome(welcome));
             let _ = stream.read_to_end(&mut Vec::new());
         }
--- a/crates/scale/src/deaf.rs
+++ b/crates/scale/src/deaf.rs
@@ -3,7 +3,7 @@
 use pewtergap_node::{Effect, Input, Link, Node, Outbox};
 use pewtergap_protocol::encode;
 use pewtergap_time::{Moment, Span};
-use pewtergap_watch::words::{Hello, Kind, Leave, Ping, Word, VERSIONS};
+use pewtergap_watch::messages::{Hello, Kind, Leave, Ping, WatchMessage, SUPPORTED_VERSIONS};
 use pewtergap_watch::Scope;
 use std::any::Any;
 use std::net::SocketAddr;
@@ -22,7 +22,7 @@
 impl Deaf {
     fn say(&self, kind: Kind, out: &mut Outbox) {
         if let Some(link) = self.link {
-            out.send(link, encode(&Word::of(kind)));
+            out.send(link, encode(&WatchMessage::new(kind)));
         }
     }
 }
@@ -39,14 +39,14 @@
                 }
             }
             Input::Opened { link } if self.link == Some(link) => {
-                let (lowest, highest) = VERSIONS;
-                let scope = Scope::ALL.told(0);
+                let (min_version, max_version) = SUPPORTED_VERSIONS;
+                let scope = Scope::ALL.to_message(0);
                 let hello = Hello {
-                    lowest,
-                    highest,
+                    min_version,
+                    max_version,
                     planner: NAME.into(),
                     start: now.0,
-                    turn: 1,
+                    watch_number: 1,
                     scope,
                     ..Hello::default()
                 };
--- a/crates/scale/src/hollow.rs
+++ b/crates/scale/src/hollow.rs
@@ -10,7 +10,7 @@
 use pewtergap_reactor::{Clock, Handle, Place, Reactor};
 use pewtergap_record::{Standing, Wish};
 use pewtergap_time::{Moment, Span};
-use pewtergap_watch::{Home, Kept, Scope, Terms, Told as Heard, Watching};
+use pewtergap_watch::{ClientConfig, SavedState, Scope, WatchClient, WatchConfig, WatchEvent};
 use prost::Message;
 use serde::{Deserialize, Serialize};
 use std::any::Any;
@@ -56,38 +56,38 @@
     spec: Spec,
     machines: Vec<(String, SocketAddr)>,
     seed: u64,
-    watching: Watching,
+    watching: WatchClient,
     at: usize,
     tracks: Tracks,
 }
 
 impl Hollow {
-    fn home(spec: &Spec, machines: &[(String, SocketAddr)], start: u64, seed: u64) -> Home {
-        Home {
+    fn home(spec: &Spec, machines: &[(String, SocketAddr)], start: u64, seed: u64) -> ClientConfig {
+        ClientConfig {
             planner: spec.name.clone(),
             start,
             machines: machines.to_vec(),
             scope: Scope { servers: Some(spec.servers.clone()), routes: None },
-            from: None,
+            source_ip: None,
             seed,
-            terms: Terms::default(),
+            watch_config: WatchConfig::default(),
         }
     }
 
     /// What was kept is in force from the first moment, before any machine is heard.
     fn restart(&mut self, now: Moment) {
-        let kept = Kept::read(&self.watching.kept()).ok();
+        let kept = SavedState::decode(&self.watching.encode_state()).ok();
         self.seed = self.seed.wrapping_add(1);
         let home = Self::home(&self.spec, &self.machines, now.0, self.seed);
-        self.watching = Watching::new(home, kept);
-        let (place, mut tracks) = (self.watching.place(), lock(&self.tracks));
+        self.watching = WatchClient::new(home, kept);
+        let (place, mut tracks) = (self.watching.index(), lock(&self.tracks));
         tracks[self.at].lost(now, "restart");
         tracks[self.at].stands(now, place);
     }
 
     /// Servers whose last weight this planner should hold and does not, and how many it looked at.
     fn holds(&self, weights: &[(String, f64)]) -> (u64, Vec<String>) {
-        let held = &self.watching.client().kept().entries;
+        let held = &self.watching.client().saved_state().entries;
         let mine = weights.iter().filter(|weight| self.spec.servers.contains(&weight.0));
         let (mut checked, mut wrong) = (0, Vec::new());
         for (server, weight) in mine {
@@ -115,7 +115,7 @@
     fn handle(&mut self, now: Moment, input: Input<'_>, out: &mut Outbox) {
         let mine = match &input {
             Input::Opened { link } | Input::Bytes { link, .. } | Input::Closed { link, .. } => {
-                self.watching.has(*link)
+                self.watching.owns_link(*link)
             }
             _ => true,
         };
@@ -124,13 +124,13 @@
         }
         for heard in self.watching.handle(now, input, out) {
             match heard {
-                Heard::Changed { place, .. } => {
+                WatchEvent::Changed { index: place, .. } => {
                     // In force at once: there is nobody to be told. Said upward after it is so.
                     lock(&self.tracks)[self.at].stands(now, place);
                     self.watching.applied(now, place, out);
                 }
-                Heard::Watching(machine) => lock(&self.tracks)[self.at].watches(now, Some(machine)),
-                Heard::Lost(why) => lock(&self.tracks)[self.at].lost(now, &why),
+                WatchEvent::Watching(machine) => lock(&self.tracks)[self.at].watches(now, Some(machine)),
+                WatchEvent::Lost(why) => lock(&self.tracks)[self.at].lost(now, &why),
             }
         }
     }
@@ -264,7 +264,7 @@
         let seed = rng.u64(..);
         let home = Hollow::home(&spec, &crowd.machines, clock.now().0, seed);
         let machines = crowd.machines.clone();
-        let watching = Watching::new(home, None);
+        let watching = WatchClient::new(home, None);
         let hollow = Hollow { spec, machines, seed, watching, at, tracks: tracks.clone() };
         let rng = fastrand::Rng::with_seed(rng.u64(..));
         places.push(reactor.add(Box::new(Placed { wire: Wire::new(hollow), rng, holds: sender.clone() })));
--- a/crates/settings/src/files.rs
+++ b/crates/settings/src/files.rs
@@ -15,9 +15,9 @@
 use pewtergap_proxy::{Front, Home, Proxy, Shunning};
 use pewtergap_record::{BOOKS, CLEANING, OBSERVERS, RELEASE};
 use pewtergap_shares::Terms;
-use pewtergap_tier::{ControlMachine, Watches, WatchingPlanner};
+use pewtergap_tier::{ControlMachine, ControlMachineConfig, WatchTargetConfig, WatchingPlanner};
 use pewtergap_time::{Moment, Span};
-use pewtergap_watch::Terms as WatchTerms;
+use pewtergap_watch::WatchConfig;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
@@ -40,14 +40,14 @@
     /// Who agrees with this planner on what it holds for others; alone unless others are named.
     pub post: Post,
     /// Whom it watches instead of being a member.
-    pub watch: Option<Watches>,
+    pub watch: Option<WatchTargetConfig>,
     pub seed: Option<u64>,
     pub dir: PathBuf,
 }
 
 /// What `pewtergap control` starts from.
 pub struct ControlFile {
-    pub home: pewtergap_tier::Home,
+    pub home: ControlMachineConfig,
     pub seed: Option<u64>,
     pub dir: PathBuf,
 }
@@ -276,35 +276,38 @@
 }
 
 /// Whom a planner watches that is no member.
-fn watch(part: &Section) -> Watches {
+fn watch(part: &Section) -> WatchTargetConfig {
     let machines = found_at(part, "machines", "machine");
     if machines.is_empty() || machines.len() > MOST_MACHINES {
         part.fault("machines", format!("{} machines: 1 to {MOST_MACHINES} were expected", machines.len()));
     }
-    let usual = WatchTerms::default();
-    let terms = WatchTerms { dial: part.or("dial", usual.dial), ..usual };
-    Watches { planner: String::new(), machines, from: None, terms, seed: 0 }
+    let usual = WatchConfig::default();
+    let watch_config = WatchConfig { connect_timeout: part.or("dial", usual.connect_timeout), ..usual };
+    WatchTargetConfig { planner: String::new(), machines, source_ip: None, watch_config, seed: 0 }
 }
 
 /// The watches that a control machine serves.
-fn watches(part: &Section) -> (SocketAddr, WatchTerms) {
-    let usual = WatchTerms::default();
-    let terms = WatchTerms {
-        most_watches: part.or("most", usual.most_watches),
-        most_snapshots: part.or("snapshots", usual.most_snapshots),
-        pace: part.or("pace", usual.pace),
+fn watches(part: &Section) -> (SocketAddr, WatchConfig) {
+    let usual = WatchConfig::default();
+    let watch_config = WatchConfig {
+        max_watches: part.or("most", usual.max_watches),
+        max_snapshots: part.or("snapshots", usual.max_snapshots),
+        batch_interval: part.or("pace", usual.batch_interval),
         ..usual
     };
-    if terms.most_watches > 16_384 {
-        part.fault("most", format!("{}: 16384 watches at most were expected", terms.most_watches));
+    if watch_config.max_watches > 16_384 {
+        part.fault("most", format!("{}: 16384 watches at most were expected", watch_config.max_watches));
     }
-    if terms.most_snapshots > terms.most_watches {
-        part.clash("snapshots", format!("{} of {} watches", terms.most_snapshots, terms.most_watches));
+    if watch_config.max_snapshots > watch_config.max_watches {
+        part.clash(
+            "snapshots",
+            format!("{} of {} watches", watch_config.max_snapshots, watch_config.max_watches),
+        );
     }
-    if terms.pace < Span::millis(10) || terms.pace > Span::millis(2_000) {
-        part.fault("pace", format!("{}: 10ms to 2s were expected", terms.pace));
+    if watch_config.batch_interval < Span::millis(10) || watch_config.batch_interval > Span::millis(2_000) {
+        part.fault("pace", format!("{}: 10ms to 2s were expected", watch_config.batch_interval));
     }
-    (part.need("listen"), terms)
+    (part.need("listen"), watch_config)
 }
 
 /// Names that name files.
@@ -330,12 +333,12 @@
         }
         let (listen, terms) = part
             .need_part("watches", &["watches"], watches)
-            .unwrap_or((SocketAddr::from(([127, 0, 0, 1], 0)), WatchTerms::default()));
-        let home = pewtergap_tier::Home {
-            post: Post { name, from, ..post },
+            .unwrap_or((SocketAddr::from(([127, 0, 0, 1], 0)), WatchConfig::default()));
+        let home = ControlMachineConfig {
+            member: Post { name, from, ..post },
             watches: listen,
             admin: part.maybe("admin"),
-            terms,
+            watch_config: terms,
             seed: 0,
         };
         ControlFile { home, seed: part.maybe("seed"), dir: part.or("state_dir", ".".to_string()).into() }
@@ -441,7 +444,7 @@
             let what = "a planner that watches is no member: cluster(), duties(), sharing() and books() are for those that are";
             part.fault("watch", what);
         }
-        let watch = watch.map(|watch| Watches { planner: name.clone(), from: doors.from, ..watch });
+        let watch = watch.map(|watch| WatchTargetConfig { planner: name.clone(), source_ip: doors.from, ..watch });
         let deaf_after = Span(pledge.drain_grace.0.saturating_mul(4).max(Span::millis(5_000).0));
         ServiceFile {
             charge: Charge {
@@ -513,7 +516,7 @@
     pub fn node(self, now: Moment, seed: u64) -> Box<dyn Node> {
         match self.watch.clone() {
             Some(watch) => {
-                let watches = Watches { seed, ..watch };
+                let watches = WatchTargetConfig { seed, ..watch };
                 Box::new(WatchingPlanner::new(self.service(now, seed), watches))
             }
             None => Box::new(self.planner(now, seed)),
@@ -534,7 +537,7 @@
     /// The control machine that this file describes.
     pub fn machine(self, seed: u64) -> ControlMachine {
         let seed = self.seed.unwrap_or(seed);
-        ControlMachine::new(pewtergap_tier::Home { seed, ..self.home })
+        ControlMachine::new(ControlMachineConfig { seed, ..self.home })
     }
 }
 
--- a/crates/settings/tests/faults.rs
+++ b/crates/settings/tests/faults.rs
@@ -80,15 +80,15 @@
 fn machine(text: &str) -> String {
     match run("machine.star", text).and_then(|script| control_file(&script)) {
         Ok(file) => {
-            let (post, terms) = (&file.home.post, &file.home.terms);
+            let (post, terms) = (&file.home.member, &file.home.watch_config);
             format!(
                 "fine: {}, {} vote, {} observe; {} watches, {} snapshots, each {}",
                 post.name,
                 post.members.len(),
                 post.observers.len(),
-                terms.most_watches,
-                terms.most_snapshots,
-                terms.pace
+                terms.max_watches,
+                terms.max_snapshots,
+                terms.batch_interval
             )
         }
         Err(faults) => faults.to_string(),
--- a/crates/tier/src/machine.rs
+++ b/crates/tier/src/control_machine.rs
@@ -12,7 +12,7 @@
 use pewtergap_node::{Effect, Input, Level, Link, Node, Outbox};
 use pewtergap_record::RELEASE;
 use pewtergap_time::{Moment, Span};
-use pewtergap_watch::{Serving, Terms};
+use pewtergap_watch::{WatchConfig, WatchServer};
 use serde_json::json;
 use std::any::Any;
 use std::collections::BTreeMap;
@@ -39,13 +39,13 @@
 
 /// What a control machine starts from.
 #[derive(Clone, Debug)]
-pub struct Home {
+pub struct ControlMachineConfig {
     /// Its place among the members.
-    pub post: Post,
+    pub member: Post,
     /// Where planners come in.
     pub watches: SocketAddr,
     pub admin: Option<SocketAddr>,
-    pub terms: Terms,
+    pub watch_config: WatchConfig,
     pub seed: u64,
 }
 
@@ -56,9 +56,9 @@
 }
 
 pub struct ControlMachine {
-    home: Home,
+    config: ControlMachineConfig,
     member: Member,
-    serving: Serving,
+    serving: WatchServer,
     admin: Admin,
     tokens: u64,
     purposes: BTreeMap<u64, Purpose>,
@@ -72,11 +72,11 @@
 }
 
 impl ControlMachine {
-    pub fn new(home: Home) -> ControlMachine {
-        let post = Post { watches: true, seed: home.seed, ..home.post.clone() };
-        let terms = Terms { timer: timer::SERVING, ..home.terms };
+    pub fn new(config: ControlMachineConfig) -> ControlMachine {
+        let post = Post { watches: true, seed: config.seed, ..config.member.clone() };
+        let watch_config = WatchConfig { timer: timer::SERVING, ..config.watch_config };
         ControlMachine {
-            serving: Serving::new(terms, post.name.clone(), home.seed),
+            serving: WatchServer::new(watch_config, post.name.clone(), config.seed),
             member: Member::new(post),
             admin: Admin::default(),
             tokens: 0,
@@ -85,7 +85,7 @@
             restored: true,
             record: 0,
             stopping: false,
-            home,
+            config,
         }
     }
 
@@ -97,10 +97,10 @@
 
     fn start(&mut self, now: Moment, out: &mut Outbox) {
         self.member.handle(now, Input::Start, out);
-        if let Some(at) = self.home.admin {
+        if let Some(at) = self.config.admin {
             out.push(Effect::Listen { door: ADMIN, at });
         }
-        out.push(Effect::Listen { door: WATCHES, at: self.home.watches });
+        out.push(Effect::Listen { door: WATCHES, at: self.config.watches });
         out.wake(timer::FRESH, now + FRESH);
         out.wake(timer::ROSTER, now + ROSTER);
     }
@@ -128,7 +128,7 @@
         self.place = place;
         if self.record == 0 {
             self.record = record;
-            self.serving.stands(now, record, out);
+            self.serving.set_record_id(now, record, out);
             let fields = vec![("record", format!("{record:016x}")), ("place", place.to_string())];
             out.log(Level::Info, "serves", fields);
         }
@@ -146,7 +146,7 @@
     fn tell_roster(&mut self, now: Moment, out: &mut Outbox) {
         out.wake(timer::ROSTER, now + ROSTER);
         for (id, name) in self.member.machines() {
-            for told in self.serving.roster.words(now, &name) {
+            for told in self.serving.roster.updates_for(now, &name) {
                 self.member.tell_roster(id, told, out);
             }
         }
@@ -167,7 +167,7 @@
                 Err(why) => (400, why),
             },
             ("GET", "/members") => {
-                let view = admin::members_view(&self.home.post.name, &self.member, now);
+                let view = admin::members_view(&self.config.member.name, &self.member, now);
                 return self.answer(link, 200, &view, out);
             }
             ("GET", "/record") => {
@@ -213,7 +213,9 @@
 
     fn replied(&mut self, now: Moment, token: u64, reply: Reply, out: &mut Outbox) {
         match (self.purposes.remove(&token), reply) {
-            (Some(Purpose::Fresh(asked)), Reply::Look { fresh: true, .. }) => self.serving.fresh(asked),
+            (Some(Purpose::Fresh(asked)), Reply::Look { fresh: true, .. }) => {
+                self.serving.confirm_fresh(asked)
+            }
             (Some(Purpose::Look(link)), Reply::Look { fresh, age }) => {
                 let view = admin::record_view(&self.member, fresh, age, |_| 0.0);
                 self.answer(link, 200, &view.to_string(), out);
@@ -240,7 +242,7 @@
             None => return Err(format!("'{query}': place=N is known")),
         };
         let force = self.serving.roster.in_force(now, place);
-        let view = self.serving.view();
+        let view = self.serving.stats();
         let refused: BTreeMap<String, u64> = view
             .refused
             .iter()
@@ -250,12 +252,12 @@
         let slowest = force.slowest.iter().map(|(planner, at)| json!({ "planner": planner, "place": at }));
         let unheard =
             force.unheard.iter().map(|(planner, of)| json!({ "planner": planner, "for_ms": ms(*of) }));
-        Ok(json!({ "name": self.home.post.name, "head": self.place, "place": place,
+        Ok(json!({ "name": self.config.member.name, "head": self.place, "place": place,
             "expected": force.expected, "heard": force.heard, "at_or_past": force.at_or_past, "lowest": force.lowest,
             "slowest": slowest.collect::<Vec<_>>(), "unheard": unheard.collect::<Vec<_>>(),
             "unheard_count": force.unheard_count, "uncounted": force.uncounted, "age_ms": force.age.map(ms),
-            "here": { "watches": view.watches, "snapshots": view.snapshots, "snapshots_waiting": view.waiting,
-                "bytes_out": view.out, "bytes_in": view.heard, "pieces": view.pieces, "made": view.made,
+            "here": { "watches": view.watches, "snapshots": view.snapshots_active, "snapshots_waiting": view.snapshots_queued,
+                "bytes_out": view.bytes_sent, "bytes_in": view.bytes_received, "pieces": view.chunks_sent, "made": view.chunks_built,
                 "refused": refused, "age_ms": self.serving.age(now).map(ms) } })
         .to_string())
     }
@@ -276,7 +278,7 @@
                 match told {
                     Told::Reply { token, reply } => self.replied(now, token, reply, out),
                     Told::Roster(from, told) => {
-                        if let Err(why) = self.serving.roster.told(now, &from, told) {
+                        if let Err(why) = self.serving.roster.receive(now, &from, told) {
                             out.log(Level::Warn, "roster_refused", vec![("from", from), ("why", why)]);
                         }
                     }
@@ -342,7 +344,7 @@
             }
             Input::Closed { link, .. } if self.admin.has(link) => drop(self.admin.closed(link)),
             Input::Opened { link } | Input::Bytes { link, .. } | Input::Closed { link, .. } => {
-                if self.serving.has(link) {
+                if self.serving.owns_link(link) {
                     self.serving.handle(now, input, out);
                 } else if self.member.has(link) {
                     self.member.handle(now, input, out);
--- a/crates/tier/src/lib.rs
+++ b/crates/tier/src/lib.rs
@@ -4,11 +4,11 @@
 //! Not in here: agreement, words and machines of a watch, what an order means at a planner, decisions.
 #![forbid(unsafe_code)]
 
-mod kept;
+mod control_machine;
 pub mod keys;
-mod machine;
-mod planner;
+mod planner_file;
+mod watching_planner;
 
-pub use kept::{write as write_kept, Kept};
-pub use machine::{ControlMachine, Home};
-pub use planner::{Watches, WatchingPlanner};
+pub use control_machine::{ControlMachine, ControlMachineConfig};
+pub use planner_file::{encode as encode_planner_file, PlannerFile};
+pub use watching_planner::{WatchTargetConfig, WatchingPlanner};
--- a/crates/tier/src/kept.rs
+++ b/crates/tier/src/planner_file.rs
@@ -4,25 +4,25 @@
 //! damaged, it is set aside and the tier tells all again.
 
 use pewtergap_store::Pen;
-use pewtergap_watch::Kept as Watched;
+use pewtergap_watch::SavedState;
 
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Kept {
+pub struct PlannerFile {
     /// Of the last start.
     pub start: u64,
     /// None: nothing was ever told.
-    pub watched: Option<Watched>,
+    pub watched: Option<SavedState>,
 }
 
 /// As it goes to the disk; `watched`: as the watch wrote it, or nothing.
-pub fn write(start: u64, watched: &[u8]) -> Vec<u8> {
+pub fn encode(start: u64, watched: &[u8]) -> Vec<u8> {
     Pen::default().anew(&[start.to_be_bytes().to_vec(), watched.to_vec()])
 }
 
-impl Kept {
+impl PlannerFile {
     /// # Errors
     /// What is wrong with the file; nothing of it is to be used then.
-    pub fn read(bytes: &[u8]) -> Result<Kept, String> {
+    pub fn decode(bytes: &[u8]) -> Result<PlannerFile, String> {
         let found = pewtergap_store::read(bytes);
         if let Some(fault) = found.fault {
             return Err(fault.to_string());
@@ -33,8 +33,8 @@
         let start = u64::from_be_bytes(start.try_into().map_err(|_| "the start has no 8 bytes")?);
         let watched = match watched {
             [] => None,
-            watched => Some(Watched::read(watched)?),
+            watched => Some(SavedState::decode(watched)?),
         };
-        Ok(Kept { start, watched })
+        Ok(PlannerFile { start, watched })
     }
 }
--- a/crates/tier/src/planner.rs
+++ b/crates/tier/src/watching_planner.rs
@@ -10,15 +10,15 @@
 //!
 //! Tables never wait: without the tier, or before it answers, the service goes by what was kept.
 
-use crate::kept::{self, Kept};
 use crate::keys;
+use crate::planner_file::{self, PlannerFile};
 use pewtergap_control::{Asked, Service};
 use pewtergap_member::{admin, orders};
 use pewtergap_node::{Effect, Input, Level, Link, Node, Outbox, NO_FILE};
 use pewtergap_record::{Record, Subject};
 use pewtergap_time::{Moment, Span};
-use pewtergap_watch::words::MOST_SCOPE;
-use pewtergap_watch::{Scope, Terms, Told, Watching};
+use pewtergap_watch::messages::MAX_SCOPE_NAMES;
+use pewtergap_watch::{Scope, WatchClient, WatchConfig, WatchEvent};
 use serde_json::json;
 use std::any::Any;
 use std::collections::BTreeSet;
@@ -35,19 +35,19 @@
 
 /// Whom it watches.
 #[derive(Clone, Debug)]
-pub struct Watches {
+pub struct WatchTargetConfig {
     pub planner: String,
     pub machines: Vec<(String, SocketAddr)>,
-    pub from: Option<IpAddr>,
-    pub terms: Terms,
+    pub source_ip: Option<IpAddr>,
+    pub watch_config: WatchConfig,
     pub seed: u64,
 }
 
 enum Stage {
     Opening,
     /// The number of this start goes to the disk.
-    Numbering(Kept),
-    Up(Box<Watching>),
+    Numbering(PlannerFile),
+    Up(Box<WatchClient>),
 }
 
 /// A write under way, and up to which place it holds.
@@ -58,7 +58,7 @@
 
 pub struct WatchingPlanner {
     service: Service,
-    watches: Watches,
+    watches: WatchTargetConfig,
     stage: Stage,
     start: u64,
     scope: Scope,
@@ -73,7 +73,7 @@
 }
 
 impl WatchingPlanner {
-    pub fn new(mut service: Service, watches: Watches) -> WatchingPlanner {
+    pub fn new(mut service: Service, watches: WatchTargetConfig) -> WatchingPlanner {
         service.elsewhere = ELSEWHERE;
         let routes = service.routes().iter().cloned().collect();
         WatchingPlanner {
@@ -95,7 +95,7 @@
         format!("{}.watched", self.watches.planner)
     }
 
-    fn watching(&self) -> Option<&Watching> {
+    fn watching(&self) -> Option<&WatchClient> {
         match &self.stage {
             Stage::Up(watching) => Some(watching),
             _ => None,
@@ -106,18 +106,18 @@
 
     fn opened(&mut self, now: Moment, bytes: Result<&[u8], String>, out: &mut Outbox) {
         let kept = match bytes {
-            Ok(bytes) => Kept::read(bytes).unwrap_or_else(|why| {
+            Ok(bytes) => PlannerFile::decode(bytes).unwrap_or_else(|why| {
                 let aside = format!("{}.damaged-{:08x}", self.file(), now.0 as u32);
                 let fields = vec![("why", why), ("kept_as", aside.clone())];
                 out.log(Level::Error, "watched_damaged", fields);
                 out.push(Effect::Keep { name: aside, bytes: bytes.to_vec() });
-                Kept::default()
+                PlannerFile::default()
             }),
             Err(why) => {
                 if why != NO_FILE {
                     out.log(Level::Error, "watched_unread", vec![("why", why)]);
                 }
-                Kept::default()
+                PlannerFile::default()
             }
         };
         // Above all its own starts, and above those of a disk that was lost.
@@ -127,8 +127,8 @@
         if let Some(scope) = scope.filter(|scope| scope.routes == self.scope.routes) {
             self.scope = scope;
         }
-        let watched = kept.watched.as_ref().map(pewtergap_watch::Kept::write).unwrap_or_default();
-        self.replace(kept::write(self.start, &watched), 0, out);
+        let watched = kept.watched.as_ref().map(pewtergap_watch::SavedState::encode).unwrap_or_default();
+        self.replace(planner_file::encode(self.start, &watched), 0, out);
         self.stage = Stage::Numbering(kept);
     }
 
@@ -145,7 +145,7 @@
         if self.writing.is_some() || !self.unwritten || now < self.again_at {
             return;
         }
-        let (bytes, place) = (kept::write(self.start, &watching.kept()), watching.place());
+        let (bytes, place) = (planner_file::encode(self.start, &watching.encode_state()), watching.index());
         self.unwritten = false;
         self.replace(bytes, place, out);
     }
@@ -162,7 +162,7 @@
             }
             (Stage::Up(watching), Ok(())) => {
                 // Places that changed nothing here hold what was written.
-                let place = if self.unwritten { writing.place } else { watching.place() };
+                let place = if self.unwritten { writing.place } else { watching.index() };
                 watching.applied(now, place, out);
             }
             // In force, and not said to be: the whole is written again.
@@ -174,24 +174,24 @@
 
     // ---- what is told
 
-    fn begin(&mut self, now: Moment, watched: Option<pewtergap_watch::Kept>, out: &mut Outbox) {
+    fn begin(&mut self, now: Moment, watched: Option<pewtergap_watch::SavedState>, out: &mut Outbox) {
         let fields = vec![
             ("start", self.start.to_string()),
-            ("place", watched.as_ref().map_or(0, |kept| kept.place).to_string()),
+            ("place", watched.as_ref().map_or(0, |kept| kept.index).to_string()),
         ];
         out.log(Level::Info, "watch_begins", fields);
         let entries = watched.iter().flat_map(|kept| &kept.entries);
         self.put(entries.map(|(key, value)| (key.clone(), Some(value.clone()))).collect(), out);
-        let home = pewtergap_watch::Home {
+        let home = pewtergap_watch::ClientConfig {
             planner: self.watches.planner.clone(),
             start: self.start,
             machines: self.watches.machines.clone(),
             scope: self.scope.clone(),
-            from: self.watches.from,
+            source_ip: self.watches.source_ip,
             seed: self.watches.seed,
-            terms: Terms { timer: WATCHING, ..self.watches.terms },
+            watch_config: WatchConfig { timer: WATCHING, ..self.watches.watch_config },
         };
-        self.stage = Stage::Up(Box::new(Watching::new(home, watched)));
+        self.stage = Stage::Up(Box::new(WatchClient::new(home, watched)));
         self.service.count_as(self.start);
         self.service.handle(now, Input::Start, out);
         self.stand_by(now, None, out);
@@ -224,9 +224,11 @@
         let Stage::Up(watching) = &mut self.stage else { return };
         for told in watching.handle(now, input, out) {
             match told {
-                Told::Changed { place, anew, entries } => self.changed(now, place, anew, entries, out),
-                Told::Watching(machine) => out.log(Level::Info, "watches", vec![("machine", machine)]),
-                Told::Lost(why) => out.log(Level::Warn, "watch_lost", vec![("why", why)]),
+                WatchEvent::Changed { index, reset, entries } => {
+                    self.changed(now, index, reset, entries, out)
+                }
+                WatchEvent::Watching(machine) => out.log(Level::Info, "watches", vec![("machine", machine)]),
+                WatchEvent::Lost(why) => out.log(Level::Warn, "watch_lost", vec![("why", why)]),
             }
         }
     }
@@ -257,7 +259,7 @@
     fn rescope(&mut self, now: Moment, out: &mut Outbox) {
         let Some(listed) = self.service.names().map(|names| names.collect::<BTreeSet<_>>()) else { return };
         let fits = match &self.scope.servers {
-            _ if listed.len() > MOST_SCOPE => self.scope.servers.is_none(),
+            _ if listed.len() > MAX_SCOPE_NAMES => self.scope.servers.is_none(),
             Some(known) => {
                 known.len() <= 2 * listed.len() + 16 && listed.iter().all(|name| known.contains(*name))
             }
@@ -266,7 +268,7 @@
         if fits {
             return;
         }
-        let names = (listed.len() <= MOST_SCOPE).then(|| listed.into_iter().cloned().collect());
+        let names = (listed.len() <= MAX_SCOPE_NAMES).then(|| listed.into_iter().cloned().collect());
         self.scope.servers = names;
         if let Stage::Up(watching) = &mut self.stage {
             watching.rescope(now, self.scope.clone(), out);
@@ -301,13 +303,13 @@
         let age = watching.and_then(|watching| watching.age(now));
         let here = |kept: &pewtergap_record::Standing| orders::part_here(kept, now, &self.among);
         json!({ "fresh": false, "age_ms": age.map(|age| age.0.div_ceil(1_000_000)),
-            "index": watching.map_or(0, Watching::place), "watching": watching.and_then(Watching::watching),
+            "index": watching.map_or(0, WatchClient::index), "watching": watching.and_then(WatchClient::watching),
             "orders": admin::orders_view(&self.record, here), "drains": admin::drains_view(&self.record),
             "start": self.start })
     }
 
     fn has(&self, link: Link) -> bool {
-        self.watching().is_some_and(|watching| watching.has(link))
+        self.watching().is_some_and(|watching| watching.owns_link(link))
     }
 }
 
--- a/crates/tier/tests/keys.rs
+++ b/crates/tier/tests/keys.rs
@@ -1,8 +1,8 @@
 //! The record as keys and back, and what a planner keeps of it on its disk.
 
 use pewtergap_record::{Cap, Clean, Command, Drain, Order, Record, Step, Subject, Weight, What, Wish};
-use pewtergap_tier::{keys, write_kept, Kept};
-use pewtergap_watch::{Kept as Watched, Scope};
+use pewtergap_tier::{encode_planner_file, keys, PlannerFile};
+use pewtergap_watch::{SavedState, Scope};
 use std::collections::{BTreeMap, BTreeSet};
 
 fn order(id: u64, until: u64, wish: Wish) -> Command {
@@ -90,14 +90,17 @@
 fn what_a_planner_kept_is_read_back_and_damage_to_any_byte_is_named() {
     let scope = Some(Scope { servers: Some(["s1".to_string()].into()), routes: None });
     let entries = BTreeMap::from([("server/s1".to_string(), vec![1, 2, 3])]);
-    let watched = Watched { record: 5, place: 77, scope, entries };
-    let bytes = write_kept(12, &watched.write());
-    assert_eq!(Kept::read(&bytes), Ok(Kept { start: 12, watched: Some(watched) }));
-    assert_eq!(Kept::read(&write_kept(12, b"")), Ok(Kept { start: 12, watched: None }));
+    let watched = SavedState { record_id: 5, index: 77, scope, entries };
+    let bytes = encode_planner_file(12, &watched.encode());
+    assert_eq!(PlannerFile::decode(&bytes), Ok(PlannerFile { start: 12, watched: Some(watched) }));
+    assert_eq!(
+        PlannerFile::decode(&encode_planner_file(12, b"")),
+        Ok(PlannerFile { start: 12, watched: None })
+    );
     for at in 0..bytes.len() {
         let mut damaged = bytes.clone();
         damaged[at] ^= 0x40;
-        assert!(Kept::read(&damaged).is_err(), "byte {at}");
-        assert!(Kept::read(&bytes[..at]).is_err(), "cut off at {at}");
+        assert!(PlannerFile::decode(&damaged).is_err(), "byte {at}");
+        assert!(PlannerFile::decode(&bytes[..at]).is_err(), "cut off at {at}");
     }
 }
--- a/crates/tier/tests/planner.rs
+++ b/crates/tier/tests/planner.rs
@@ -4,7 +4,7 @@
 use pewtergap_protocol::{encode, Frames};
 use pewtergap_record::{Order, Standing, Wish};
 use pewtergap_time::{Moment, Span};
-use pewtergap_watch::words::{Changes, EntryTold, Kind, Welcome, Word};
+use pewtergap_watch::messages::{Changes, EntryMessage, Kind, WatchMessage, Welcome};
 use prost::Message;
 
 const SETTINGS: &str = r#"
@@ -51,11 +51,11 @@
                 Effect::Replace { bytes, ticket, .. } => self.writes.push((ticket, bytes)),
                 Effect::Log(line) => self.logged.push(line.event),
                 Effect::Send { bytes, .. } => {
-                    let mut frames = Frames::<Word>::default();
+                    let mut frames = Frames::<WatchMessage>::default();
                     frames.push(&bytes);
                     match frames.take().expect("a word").and_then(|word| word.kind) {
                         Some(Kind::Hello(hello)) => self.scope = hello.scope.number,
-                        Some(Kind::Took(took)) => self.said = self.said.max(took.applied),
+                        Some(Kind::Ack(took)) => self.said = self.said.max(took.applied),
                         Some(Kind::Ping(ping)) => self.said = self.said.max(ping.applied),
                         _ => {}
                     }
@@ -87,7 +87,7 @@
 
     fn hears(&mut self, kind: Kind) {
         let link = self.link.expect("it dials");
-        self.give(Input::Bytes { link, bytes: &encode(&Word::of(kind)) });
+        self.give(Input::Bytes { link, bytes: &encode(&WatchMessage::new(kind)) });
     }
 
     fn told(&mut self, number: u64, place: u64, keys: &[&str]) {
@@ -95,13 +95,13 @@
             let wish = Some(Wish::Drain(key.trim_start_matches("server/").into()));
             let order = Some(Order { who: "a".into(), why: "test".into(), wish, ..Order::default() });
             let value = Some(Standing { number: place, order, ..Standing::default() }.encode_to_vec());
-            EntryTold { key: key.to_string(), place, value }
+            EntryMessage { key: key.to_string(), index: place, value }
         };
         let entries = keys.iter().map(entry).collect();
-        let (anew, done, scope) = (number == 1, true, self.scope);
+        let (reset, done, scope) = (number == 1, true, self.scope);
         self.hears(Kind::Changes(Changes {
             number,
-            anew,
+            reset,
             through: place,
             done,
             entries,
@@ -120,8 +120,8 @@
         }
         let link = self.link.expect("it dials");
         self.give(Input::Opened { link });
-        let (record, head, machine) = (5, 10, "c1".to_string());
-        self.hears(Kind::Welcome(Welcome { version: 1, record, head, machine, goes_on: false }));
+        let (record_id, head, machine) = (5, 10, "c1".to_string());
+        self.hears(Kind::Welcome(Welcome { version: 1, record_id, head, machine, resumes_snapshot: false }));
     }
 }
 
@@ -154,18 +154,18 @@
     hand.pass(200);
     assert_eq!((hand.said, hand.writes.len()), (15, 0));
     // Another start, from what was written: under a higher number, and by all that it held.
-    let first = pewtergap_tier::Kept::read(&file).expect("its file");
+    let first = pewtergap_tier::PlannerFile::decode(&file).expect("its file");
     let mut hand = Hand::new(Ok(&file));
-    let kept = pewtergap_tier::Kept::read(&hand.synced(Ok(()))).expect("its file");
+    let kept = pewtergap_tier::PlannerFile::decode(&hand.synced(Ok(()))).expect("its file");
     assert!(kept.start > first.start, "{} after {}", kept.start, first.start);
     assert_eq!(kept.watched, first.watched);
-    assert_eq!(kept.watched.map(|watched| (watched.place, watched.entries.len())), Some((11, 2)));
+    assert_eq!(kept.watched.map(|watched| (watched.index, watched.entries.len())), Some((11, 2)));
     // Damaged, it is set aside; the tier tells all again.
     let mut damaged = file.clone();
     let middle = damaged.len() / 2;
     damaged[middle] ^= 1;
     let mut hand = Hand::new(Ok(&damaged));
     assert!(hand.logged.contains(&"watched_damaged"));
-    let kept = pewtergap_tier::Kept::read(&hand.synced(Ok(()))).expect("its file");
+    let kept = pewtergap_tier::PlannerFile::decode(&hand.synced(Ok(()))).expect("its file");
     assert_eq!(kept.watched, None);
 }
--- a/crates/watch/src/client.rs
+++ b/crates/watch/src/client.rs
@@ -16,10 +16,12 @@
 //! [`MOST_PINGS`] words of life on their way and as many answers that wait for their place.
 
 use crate::choice::Choice;
+use crate::config::WatchConfig;
+use crate::messages::{
+    Ack, Changes, Hello, Kind, Leave, Ping, Pong, Reason, Refuse, Welcome, SUPPORTED_VERSIONS,
+};
 use crate::scope::Scope;
-use crate::state::{Held, Kept};
-use crate::terms::Terms;
-use crate::words::{Alive, Changes, Hello, Kind, Leave, Ping, Reason, Refuse, Took, Welcome, VERSIONS};
+use crate::state::{Held, SavedState};
 use pewtergap_time::{Moment, Span};
 use std::collections::VecDeque;
 use std::net::{IpAddr, SocketAddr};
@@ -34,22 +36,22 @@
 /// What a machine that is wrong is left alone for.
 const WRONG: Span = Span::millis(10_000);
 
-pub struct Home {
+pub struct ClientConfig {
     pub planner: String,
     /// Higher with each start of the planner, also when its disk was lost.
     pub start: u64,
     pub machines: Vec<(String, SocketAddr)>,
     pub scope: Scope,
     /// The near end of its links.
-    pub from: Option<IpAddr>,
+    pub source_ip: Option<IpAddr>,
     pub seed: u64,
-    pub terms: Terms,
+    pub watch_config: WatchConfig,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum WatchEvent {
     /// The state at a place. `anew`: the entries are all that stands, not what changed.
-    Changed { place: u64, anew: bool, entries: Vec<(String, Option<Vec<u8>>)> },
+    Changed { index: u64, reset: bool, entries: Vec<(String, Option<Vec<u8>>)> },
     /// A watch stands at this machine.
     Watching(String),
     /// It stands no more, or could not be had, and why.
@@ -62,7 +64,7 @@
     Say(Kind),
     Finish,
     Cut,
-    Tell(Told),
+    Tell(WatchEvent),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -85,8 +87,8 @@
 pub struct Client {
     planner: String,
     start: u64,
-    turn: u64,
-    terms: Terms,
+    watch_number: u64,
+    config: WatchConfig,
     choice: Choice,
     /// Whom it dials or watches.
     at: usize,
@@ -99,7 +101,7 @@
     said_scope: u64,
     /// What is told anew is not there yet: what is held is of another scope.
     other_scope: bool,
-    kept: Kept,
+    kept: SavedState,
     held: Held,
     applied: u64,
     /// The last piece on this link.
@@ -118,15 +120,15 @@
 }
 
 impl Client {
-    pub fn new(home: Home, kept: Option<Kept>) -> Client {
+    pub fn new(client_config: ClientConfig, kept: Option<SavedState>) -> Client {
         let kept = kept.unwrap_or_default();
-        let scope = home.scope.sayable();
+        let scope = client_config.scope.or_all_if_too_large();
         Client {
-            choice: Choice::new(&home.planner, home.machines, home.seed),
-            planner: home.planner,
-            start: home.start,
-            turn: 0,
-            terms: home.terms,
+            choice: Choice::new(&client_config.planner, client_config.machines, client_config.seed),
+            planner: client_config.planner,
+            start: client_config.start,
+            watch_number: 0,
+            config: client_config.watch_config,
             at: 0,
             state: State::Resting,
             since: Moment(0),
@@ -135,7 +137,7 @@
             scope,
             scope_number: 1,
             said_scope: 0,
-            applied: kept.place,
+            applied: kept.index,
             kept,
             held: Held::default(),
             number: 0,
@@ -152,15 +154,15 @@
     }
 
     /// The place up to which all within the scope was told.
-    pub fn place(&self) -> u64 {
-        self.kept.place
+    pub fn index(&self) -> u64 {
+        self.kept.index
     }
 
     pub fn in_force(&self) -> u64 {
         self.applied
     }
 
-    pub fn kept(&self) -> &Kept {
+    pub fn saved_state(&self) -> &SavedState {
         &self.kept
     }
 
@@ -175,11 +177,11 @@
 
     /// All that had been kept so long ago is in force here. None: not known since this start.
     pub fn age(&self, now: Moment) -> Option<Span> {
-        self.fresh.map(|fresh| fresh.age + self.terms.at_most(now.since(fresh.sent)))
+        self.fresh.map(|fresh| fresh.age + self.config.at_most(now.since(fresh.sent)))
     }
 
     /// Entries held of pieces that are not done.
-    pub fn held(&self) -> usize {
+    pub fn pending_len(&self) -> usize {
         self.held.entries.len()
     }
 
@@ -195,19 +197,19 @@
             return;
         }
         (self.state, self.number, self.said_scope) = (State::Asking, 0, self.scope_number);
-        self.turn += 1;
-        let broken_off = self.held.snapshot.clone();
+        self.watch_number += 1;
+        let partial_snapshot = self.held.snapshot.clone();
         let hello = Hello {
-            lowest: VERSIONS.0,
-            highest: VERSIONS.1,
-            record: self.kept.record,
-            place: self.kept.place,
-            broken_off,
+            min_version: SUPPORTED_VERSIONS.0,
+            max_version: SUPPORTED_VERSIONS.1,
+            record_id: self.kept.record_id,
+            index: self.kept.index,
+            partial_snapshot,
             planner: self.planner.clone(),
             start: self.start,
-            turn: self.turn,
-            scope: self.scope.told(self.scope_number),
-            anew: self.other_scope,
+            watch_number: self.watch_number,
+            scope: self.scope.to_message(self.scope_number),
+            reset: self.other_scope,
         };
         self.heard = now;
         acts.push(Act::Say(Kind::Hello(hello)));
@@ -234,8 +236,8 @@
             (State::Asking, Kind::Welcome(welcome)) => self.welcome(now, welcome, acts),
             (State::Asking | State::Watching, Kind::Refuse(refuse)) => self.refused(now, refuse, acts),
             (State::Watching, Kind::Changes(changes)) => self.changes(now, changes, acts),
-            (State::Watching, Kind::Alive(alive)) => self.alive(alive),
-            (State::Watching, Kind::Later(_)) => {}
+            (State::Watching, Kind::Pong(alive)) => self.alive(alive),
+            (State::Watching, Kind::SnapshotDelayed(_)) => {}
             (State::Asking | State::Watching, _) => {
                 self.wrong(now, "a word that no machine may say here", acts);
             }
@@ -244,11 +246,11 @@
     }
 
     fn welcome(&mut self, now: Moment, welcome: Welcome, acts: &mut Vec<Act>) {
-        if !(VERSIONS.0..=VERSIONS.1).contains(&welcome.version) {
+        if !(SUPPORTED_VERSIONS.0..=SUPPORTED_VERSIONS.1).contains(&welcome.version) {
             return self.wrong(now, &format!("version {} was not offered", welcome.version), acts);
         }
-        let own = self.kept.place;
-        if self.kept.record != 0 && welcome.record != self.kept.record {
+        let own = self.kept.index;
+        if self.kept.record_id != 0 && welcome.record_id != self.kept.record_id {
             return self.wrong(now, "another record stands there", acts);
         }
         if welcome.head < own {
@@ -257,14 +259,14 @@
             return self.over(now, None, &why, acts);
         }
         // A state of no place is nobody's yet.
-        self.kept.record = welcome.record;
-        if !welcome.goes_on || self.held.snapshot.is_none() {
+        self.kept.record_id = welcome.record_id;
+        if !welcome.resumes_snapshot || self.held.snapshot.is_none() {
             self.held = Held::default();
         }
         (self.state, self.since) = (State::Watching, now);
         self.pings.clear();
         self.echo = 0;
-        acts.push(Act::Tell(Told::Watching(self.choice.name(self.at).into())));
+        acts.push(Act::Tell(WatchEvent::Watching(self.choice.name(self.at).into())));
         self.ping(now, acts);
         // Its hello named the scope of then.
         if self.said_scope != self.scope_number {
@@ -276,8 +278,8 @@
     fn refused(&mut self, now: Moment, refuse: Refuse, acts: &mut Vec<Act>) {
         acts.push(Act::Finish);
         let reason = Reason::try_from(refuse.reason).unwrap_or(Reason::Bad);
-        let again = Span::millis(refuse.again_ms.min(3_600_000));
-        self.over(now, Some(again), &format!("{reason:?}: {}", refuse.why), acts);
+        let again = Span::millis(refuse.retry_after_ms.min(3_600_000));
+        self.over(now, Some(again), &format!("{reason:?}: {}", refuse.detail), acts);
     }
 
     fn changes(&mut self, now: Moment, changes: Changes, acts: &mut Vec<Act>) {
@@ -287,30 +289,30 @@
         }
         self.number = number;
         if changes.scope != self.scope_number {
-            return self.say(now, Kind::Took(Took { number, applied: self.applied }), acts);
+            return self.say(now, Kind::Ack(Ack { number, applied: self.applied }), acts);
         }
-        if done && through < self.kept.place {
+        if done && through < self.kept.index {
             return self.wrong(now, "a place below the own", acts);
         }
         // Another scope's state does not go on, and a snapshot has a beginning.
-        let begun = changes.anew || self.held.snapshot.is_some();
+        let begun = changes.reset || self.held.snapshot.is_some();
         if (self.other_scope || changes.after.is_some()) && !begun {
             return self.wrong(now, "a snapshot without its beginning", acts);
         }
         if let Err(why) = self.held.take(changes) {
             return self.wrong(now, &why, acts);
         }
-        self.say(now, Kind::Took(Took { number, applied: self.applied }), acts);
+        self.say(now, Kind::Ack(Ack { number, applied: self.applied }), acts);
         if done {
             self.done(through, acts);
         }
     }
 
     /// All that is held is applied as one.
-    fn done(&mut self, place: u64, acts: &mut Vec<Act>) {
+    fn done(&mut self, index: u64, acts: &mut Vec<Act>) {
         let held = std::mem::take(&mut self.held);
-        let anew = held.snapshot.is_some();
-        if anew {
+        let reset = held.snapshot.is_some();
+        if reset {
             self.kept.entries.clear();
             self.other_scope = false;
             self.kept.scope = Some(self.scope.clone());
@@ -321,15 +323,15 @@
                 Some(value) => drop(self.kept.entries.insert(key.clone(), value.clone())),
                 None => drop(self.kept.entries.remove(&key)),
             }
-            if value.is_some() || !anew {
+            if value.is_some() || !reset {
                 entries.push((key, value));
             }
         }
-        self.kept.place = place;
-        acts.push(Act::Tell(Told::Changed { place, anew, entries }));
+        self.kept.index = index;
+        acts.push(Act::Tell(WatchEvent::Changed { index, reset, entries }));
     }
 
-    fn alive(&mut self, alive: Alive) {
+    fn alive(&mut self, alive: Pong) {
         let Some(at) = self.pings.iter().position(|(token, _)| *token == alive.token) else { return };
         let sent = self.pings[at].1;
         self.pings.drain(..=at);
@@ -348,8 +350,8 @@
         // What each of two would say at one moment.
         let newer = |one: &Fresh, than: &Fresh| {
             let later = one.sent.max(than.sent);
-            one.age + self.terms.at_most(later.since(one.sent))
-                <= than.age + self.terms.at_most(later.since(than.sent))
+            one.age + self.config.at_most(later.since(one.sent))
+                <= than.age + self.config.at_most(later.since(than.sent))
         };
         let mut best = self.fresh;
         for fresh in self.waiting.iter().filter(|fresh| fresh.head <= applied) {
@@ -362,8 +364,8 @@
     }
 
     /// The caller has the state of this place in force, and on its disk.
-    pub fn applied(&mut self, now: Moment, place: u64, acts: &mut Vec<Act>) {
-        self.applied = self.applied.max(place.min(self.kept.place));
+    pub fn applied(&mut self, now: Moment, index: u64, acts: &mut Vec<Act>) {
+        self.applied = self.applied.max(index.min(self.kept.index));
         self.freshen();
         if self.state == State::Watching && self.said < self.applied && now >= self.said_at + SAID {
             self.ping(now, acts);
@@ -372,7 +374,7 @@
 
     /// Another scope from here on; all within it is told anew.
     pub fn rescope(&mut self, now: Moment, scope: Scope, acts: &mut Vec<Act>) {
-        let scope = scope.sayable();
+        let scope = scope.or_all_if_too_large();
         if scope == self.scope {
             return;
         }
@@ -387,7 +389,7 @@
 
     fn say_scope(&mut self, now: Moment, acts: &mut Vec<Act>) {
         self.said_scope = self.scope_number;
-        self.say(now, Kind::Rescope(self.scope.told(self.scope_number)), acts);
+        self.say(now, Kind::Rescope(self.scope.to_message(self.scope_number)), acts);
     }
 
     /// It ends in order and is expected no more.
@@ -413,10 +415,10 @@
                 Ok(_) => Some(now),
                 Err(when) => Some(when),
             },
-            State::Dialling | State::Asking => Some(self.since.max(self.grace) + self.terms.dial),
+            State::Dialling | State::Asking => Some(self.since.max(self.grace) + self.config.connect_timeout),
             State::Watching => {
-                let ping = self.pinged + self.terms.ping;
-                let silent = self.heard.max(self.grace) + self.terms.machine_silent;
+                let ping = self.pinged + self.config.ping_interval;
+                let silent = self.heard.max(self.grace) + self.config.machine_timeout;
                 let say = (self.said < self.applied).then_some(self.said_at + SAID);
                 Some(say.into_iter().chain([ping, silent]).fold(silent, Moment::min))
             }
@@ -437,12 +439,14 @@
                     }
                 }
             }
-            State::Dialling | State::Asking if now >= self.since.max(self.grace) + self.terms.dial => {
+            State::Dialling | State::Asking
+                if now >= self.since.max(self.grace) + self.config.connect_timeout =>
+            {
                 acts.push(Act::Cut);
                 self.over(now, None, "no answer in time", acts);
             }
             State::Watching => {
-                if now >= self.heard.max(self.grace) + self.terms.machine_silent {
+                if now >= self.heard.max(self.grace) + self.config.machine_timeout {
                     acts.push(Act::Cut);
                     return self.over(now, None, "it was not heard", acts);
                 }
@@ -450,7 +454,7 @@
                     self.choice.stands(self.at);
                 }
                 let news = self.said < self.applied && now >= self.said_at + SAID;
-                if news || now >= self.pinged + self.terms.ping {
+                if news || now >= self.pinged + self.config.ping_interval {
                     self.ping(now, acts);
                 }
             }
@@ -472,7 +476,7 @@
 
     /// Each word upward that says what is in force says the newest.
     fn say(&mut self, now: Moment, word: Kind, acts: &mut Vec<Act>) {
-        if matches!(word, Kind::Took(_) | Kind::Ping(_)) {
+        if matches!(word, Kind::Ack(_) | Kind::Ping(_)) {
             self.said = self.applied;
         }
         // What was just taken is in force a moment later, and that is not to wait.
@@ -493,6 +497,6 @@
         self.state = State::Resting;
         self.said = 0;
         self.choice.over(now, self.at, again);
-        acts.push(Act::Tell(Told::Lost(format!("{}: {why}", self.choice.name(self.at)))));
+        acts.push(Act::Tell(WatchEvent::Lost(format!("{}: {why}", self.choice.name(self.at)))));
     }
 }
--- a/crates/watch/src/terms.rs
+++ b/crates/watch/src/config.rs
@@ -4,56 +4,56 @@
 use pewtergap_time::Span;
 
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
+pub struct WatchConfig {
     /// The timer that this end sets for itself; nothing else of its node may use the number.
     pub timer: u64,
     /// Watches that a machine serves; further ones are refused `Full`.
-    pub most_watches: usize,
+    pub max_watches: usize,
     /// Snapshots at once; further ones wait.
-    pub most_snapshots: usize,
+    pub max_snapshots: usize,
     /// Between the beginnings of two batches for one watcher, at least.
-    pub pace: Span,
+    pub batch_interval: Span,
     /// Between two words of life.
-    pub ping: Span,
+    pub ping_interval: Span,
     /// A machine not heard for so long is left.
-    pub machine_silent: Span,
+    pub machine_timeout: Span,
     /// A planner not heard for so long is closed, and unheard.
-    pub planner_silent: Span,
+    pub planner_timeout: Span,
     /// A watcher that takes nothing of what was sent for so long is closed.
-    pub deaf: Span,
+    pub ack_timeout: Span,
     /// From dialling to `Welcome`, and from a link to its `Hello`, at most.
-    pub dial: Span,
+    pub connect_timeout: Span,
     /// A snapshot gives way to those that wait after so long, and goes on later.
-    pub slot: Span,
+    pub snapshot_slot: Span,
     /// Keys that are gone and remembered as such; whoever is behind them begins anew.
-    pub most_tombstones: usize,
+    pub max_tombstones: usize,
     /// No clock is faster or slower than true time by more than this part.
-    pub drift: f64,
+    pub max_clock_drift: f64,
 }
 
-impl Default for Terms {
-    fn default() -> Terms {
-        Terms {
+impl Default for WatchConfig {
+    fn default() -> WatchConfig {
+        WatchConfig {
             timer: 0,
-            most_watches: 1_024,
-            most_snapshots: 64,
-            pace: Span::millis(100),
-            ping: Span::millis(1_000),
-            machine_silent: Span::millis(3_000),
-            planner_silent: Span::millis(4_000),
-            deaf: Span::millis(5_000),
-            dial: Span::millis(2_000),
-            slot: Span::millis(2_000),
-            most_tombstones: MOST_TOMBSTONES,
-            drift: 0.02,
+            max_watches: 1_024,
+            max_snapshots: 64,
+            batch_interval: Span::millis(100),
+            ping_interval: Span::millis(1_000),
+            machine_timeout: Span::millis(3_000),
+            planner_timeout: Span::millis(4_000),
+            ack_timeout: Span::millis(5_000),
+            connect_timeout: Span::millis(2_000),
+            snapshot_slot: Span::millis(2_000),
+            max_tombstones: MOST_TOMBSTONES,
+            max_clock_drift: 0.02,
         }
     }
 }
 
-impl Terms {
+impl WatchConfig {
     /// The longest that may truly have gone by when an own clock says this much.
     pub fn at_most(&self, measured: Span) -> Span {
-        measured.times(1.0 / (1.0 - self.drift)) + Span(1)
+        measured.times(1.0 / (1.0 - self.max_clock_drift)) + Span(1)
     }
 }
 
--- a/crates/watch/src/words.rs
+++ b/crates/watch/src/messages.rs
@@ -2,32 +2,32 @@
 //! members' framing.
 //!
 //! A planner dials and says `Hello`; `Welcome` or `Refuse` answers. From then on the machine says `Changes` in pieces, at
-//! most [`MOST_PIECES`] of them not yet answered by `Took`, so that a word of life never waits behind more than those.
+//! most [`MAX_CHUNKS_IN_FLIGHT`] of them not yet answered by `Ack`, so that a word of life never waits behind more than those.
 
 use pewtergap_protocol::Checked;
 use prost::{Message, Oneof};
 
 /// Versions of these words that this build speaks, lowest and highest.
-pub const VERSIONS: (u32, u32) = (1, 1);
+pub const SUPPORTED_VERSIONS: (u32, u32) = (1, 1);
 pub const MOST_NAME: usize = 256;
 /// Of a key: what it is about, and a name.
 pub const MOST_KEY: usize = MOST_NAME + 16;
 /// Of a value: an order with its reason.
 pub const MOST_VALUE: usize = 4 * 1024;
 /// Names of servers, and of routes, that one scope may have.
-pub const MOST_SCOPE: usize = 4_096;
+pub const MAX_SCOPE_NAMES: usize = 4_096;
 /// Entries of a piece, and their bytes; a single entry always fits.
 pub const MOST_ENTRIES: usize = 512;
 pub const MOST_PIECE: usize = 16 * 1024;
 /// Pieces on their way to one watcher.
-pub const MOST_PIECES: usize = 2;
+pub const MAX_CHUNKS_IN_FLIGHT: usize = 2;
 /// Rows of one word about watchers.
 pub const MOST_ROWS: usize = 512;
 /// Bytes of a word: what a machine holds of each watcher that has said half of one. A scope that needs more is said as all.
 pub const MOST_WORD: usize = 256 * 1024;
 
 #[derive(Clone, PartialEq, Message)]
-pub struct Word {
+pub struct WatchMessage {
     #[prost(oneof = "Kind", tags = "1, 2, 3, 4, 5, 6, 7, 8, 9, 10")]
     pub kind: Option<Kind>,
 }
@@ -46,18 +46,18 @@
     Changes(Changes),
     /// The planner has this piece.
     #[prost(message, tag = "5")]
-    Took(Took),
-    /// A word of life from the planner, one a second and when something new is in force; answered by `Alive`.
+    Ack(Ack),
+    /// A word of life from the planner, one a second and when something new is in force; answered by `Pong`.
     #[prost(message, tag = "6")]
     Ping(Ping),
     #[prost(message, tag = "7")]
-    Alive(Alive),
+    Pong(Pong),
     /// Another scope from here on: all within it is told anew.
     #[prost(message, tag = "8")]
-    Rescope(ScopeTold),
+    Rescope(ScopeMessage),
     /// A snapshot has to wait, so long; the watch stands meanwhile.
     #[prost(message, tag = "9")]
-    Later(Later),
+    SnapshotDelayed(SnapshotDelayed),
     /// The planner ends in order and is expected no more.
     #[prost(message, tag = "10")]
     Leave(Leave),
@@ -66,35 +66,35 @@
 #[derive(Clone, PartialEq, Message)]
 pub struct Hello {
     #[prost(uint32, tag = "1")]
-    pub lowest: u32,
+    pub min_version: u32,
     #[prost(uint32, tag = "2")]
-    pub highest: u32,
+    pub max_version: u32,
     /// Whose state it holds; 0: nobody's yet.
     #[prost(fixed64, tag = "3")]
-    pub record: u64,
+    pub record_id: u64,
     /// All within its scope up to this place is applied; 0: nothing.
     #[prost(uint64, tag = "4")]
-    pub place: u64,
+    pub index: u64,
     /// How far a snapshot that was broken off has come. It goes on there, at any machine that has its base and is not
     /// behind `seen`.
     #[prost(message, optional, tag = "5")]
-    pub broken_off: Option<BrokenOff>,
+    pub partial_snapshot: Option<PartialSnapshot>,
     #[prost(string, tag = "6")]
     pub planner: String,
     /// Which start of the planner, and which of its watches in that start: the highest of both is where it is.
     #[prost(uint64, tag = "7")]
     pub start: u64,
     #[prost(uint64, tag = "8")]
-    pub turn: u64,
+    pub watch_number: u64,
     #[prost(message, required, tag = "9")]
-    pub scope: ScopeTold,
+    pub scope: ScopeMessage,
     /// What it holds is of another scope: all is told anew, but never of a lower place.
     #[prost(bool, tag = "10")]
-    pub anew: bool,
+    pub reset: bool,
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct BrokenOff {
+pub struct PartialSnapshot {
     /// The place that was applied where it began.
     #[prost(uint64, tag = "1")]
     pub base: u64,
@@ -112,7 +112,7 @@
 
 /// Zones, and what concerns everybody, are in each scope.
 #[derive(Clone, PartialEq, Message)]
-pub struct ScopeTold {
+pub struct ScopeMessage {
     #[prost(bool, tag = "1")]
     pub all_servers: bool,
     #[prost(string, repeated, tag = "2")]
@@ -132,7 +132,7 @@
     #[prost(uint32, tag = "1")]
     pub version: u32,
     #[prost(fixed64, tag = "2")]
-    pub record: u64,
+    pub record_id: u64,
     /// The place that is applied here.
     #[prost(uint64, tag = "3")]
     pub head: u64,
@@ -140,7 +140,7 @@
     pub machine: String,
     /// The snapshot that was broken off goes on; if not, what is held of it is of no use.
     #[prost(bool, tag = "5")]
-    pub goes_on: bool,
+    pub resumes_snapshot: bool,
 }
 
 /// Why a watch is refused or ended. What a planner does next is in its own table.
@@ -170,10 +170,10 @@
     #[prost(enumeration = "Reason", tag = "1")]
     pub reason: i32,
     #[prost(string, tag = "2")]
-    pub why: String,
+    pub detail: String,
     /// When it may be tried here again.
     #[prost(uint64, tag = "3")]
-    pub again_ms: u64,
+    pub retry_after_ms: u64,
 }
 
 /// A piece of what has to be told. Pieces are held until one is `done`; then all of them are applied as one, and the
@@ -189,7 +189,7 @@
     pub number: u64,
     /// A snapshot begins: what was held of an earlier one goes, and what is not told until it is done is not there.
     #[prost(bool, tag = "2")]
-    pub anew: bool,
+    pub reset: bool,
     /// Of a snapshot whose keys are not all told yet: all up to this one are.
     #[prost(string, optional, tag = "3")]
     pub after: Option<String>,
@@ -199,7 +199,7 @@
     #[prost(bool, tag = "5")]
     pub done: bool,
     #[prost(message, repeated, tag = "6")]
-    pub entries: Vec<EntryTold>,
+    pub entries: Vec<EntryMessage>,
     /// The place that was applied where this was said.
     #[prost(uint64, tag = "7")]
     pub head: u64,
@@ -209,18 +209,18 @@
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct EntryTold {
+pub struct EntryMessage {
     #[prost(string, tag = "1")]
     pub key: String,
     #[prost(uint64, tag = "2")]
-    pub place: u64,
+    pub index: u64,
     /// None: it is gone.
     #[prost(bytes = "vec", optional, tag = "3")]
     pub value: Option<Vec<u8>>,
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct Took {
+pub struct Ack {
     #[prost(uint64, tag = "1")]
     pub number: u64,
     /// What is in force at this planner.
@@ -234,7 +234,7 @@
     pub token: u64,
     #[prost(uint64, tag = "2")]
     pub applied: u64,
-    /// The token of the newest `Alive` that was heard, 0 before the first: this word is no older than that one. Bytes that
+    /// The token of the newest `Pong` that was heard, 0 before the first: this word is no older than that one. Bytes that
     /// a cut held back may say what a planner had long ago, and it may have ended since.
     #[prost(uint64, tag = "3")]
     pub echo: u64,
@@ -242,7 +242,7 @@
 
 /// When the machine answered, all that had been kept `age_ms` before was applied at `head`.
 #[derive(Clone, PartialEq, Message)]
-pub struct Alive {
+pub struct Pong {
     #[prost(uint64, tag = "1")]
     pub token: u64,
     #[prost(uint64, tag = "2")]
@@ -253,7 +253,7 @@
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct Later {
+pub struct SnapshotDelayed {
     #[prost(uint64, tag = "1")]
     pub in_ms: u64,
 }
@@ -263,7 +263,7 @@
 
 /// What a control machine tells another of its own watchers, on the members' links. An empty one is a word of life.
 #[derive(Clone, PartialEq, Message)]
-pub struct RosterTold {
+pub struct RosterUpdate {
     /// Drawn anew for each word; `echo` is the newest one heard from whom this goes to: what a word says is no older than
     /// the moment at which the word that it echoes was sent.
     #[prost(fixed64, tag = "1")]
@@ -272,31 +272,31 @@
     pub echo: u64,
     /// The first of all rows: what was told before by this machine is put aside.
     #[prost(bool, tag = "3")]
-    pub anew: bool,
+    pub reset: bool,
     #[prost(message, repeated, tag = "4")]
-    pub rows: Vec<Row>,
+    pub rows: Vec<RosterRow>,
     /// All that this machine holds for heard was heard so long ago at most.
     #[prost(uint64, tag = "5")]
-    pub heard_ms: u64,
+    pub max_contact_age_ms: u64,
 }
 
 /// A planner, as its machine knows it.
 #[derive(Clone, PartialEq, Message)]
-pub struct Row {
+pub struct RosterRow {
     #[prost(string, tag = "1")]
     pub planner: String,
     #[prost(uint64, tag = "2")]
     pub start: u64,
     #[prost(uint64, tag = "3")]
-    pub turn: u64,
+    pub watch_number: u64,
     #[prost(uint64, tag = "4")]
     pub applied: u64,
     /// For so long it has not been heard; for one that is `here` see `heard_ms`.
     #[prost(uint64, tag = "5")]
-    pub quiet_ms: u64,
+    pub contact_age_ms: u64,
     /// Its watch stands at the machine that tells, and it is heard.
     #[prost(bool, tag = "6")]
-    pub here: bool,
+    pub connected: bool,
     /// It ended in order.
     #[prost(bool, tag = "7")]
     pub left: bool,
@@ -311,11 +311,11 @@
     }
 }
 
-impl ScopeTold {
+impl ScopeMessage {
     pub fn check(&self) -> Result<(), String> {
         for (field, names) in [("servers", &self.servers), ("routes", &self.routes)] {
-            if names.len() > MOST_SCOPE {
-                return Err(format!("{field}: {} of {MOST_SCOPE} at most", names.len()));
+            if names.len() > MAX_SCOPE_NAMES {
+                return Err(format!("{field}: {} of {MAX_SCOPE_NAMES} at most", names.len()));
             }
             names.iter().try_for_each(|text| name(field, text, MOST_NAME))?;
         }
@@ -323,20 +323,20 @@
     }
 }
 
-impl Word {
-    pub fn of(kind: Kind) -> Word {
-        Word { kind: Some(kind) }
+impl WatchMessage {
+    pub fn new(kind: Kind) -> WatchMessage {
+        WatchMessage { kind: Some(kind) }
     }
 }
 
-impl Checked for Word {
+impl Checked for WatchMessage {
     const MOST: usize = MOST_WORD;
 
     fn check(&self) -> Result<(), String> {
         match self.kind.as_ref().ok_or("no word")? {
             Kind::Hello(hello) => {
                 name("planner", &hello.planner, MOST_NAME)?;
-                let after = hello.broken_off.as_ref().map_or("", |broken| &broken.after);
+                let after = hello.partial_snapshot.as_ref().map_or("", |broken| &broken.after);
                 if after.len() > MOST_KEY {
                     return Err(format!("after has {} bytes, {MOST_KEY} at most", after.len()));
                 }
@@ -357,13 +357,13 @@
                 Ok(())
             }
             Kind::Rescope(scope) => scope.check(),
-            Kind::Refuse(_) | Kind::Took(_) | Kind::Ping(_) | Kind::Alive(_) => Ok(()),
-            Kind::Later(_) | Kind::Leave(_) => Ok(()),
+            Kind::Refuse(_) | Kind::Ack(_) | Kind::Ping(_) | Kind::Pong(_) => Ok(()),
+            Kind::SnapshotDelayed(_) | Kind::Leave(_) => Ok(()),
         }
     }
 }
 
-impl RosterTold {
+impl RosterUpdate {
     pub fn check(&self) -> Result<(), String> {
         if self.rows.len() > MOST_ROWS {
             return Err(format!("rows: {} of {MOST_ROWS} at most", self.rows.len()));
--- a/crates/watch/src/pieces.rs
+++ b/crates/watch/src/pieces.rs
@@ -4,8 +4,8 @@
 //! A walk passes over what is out of scope at the cost of looking at it; a piece costs no more than one look at each key.
 
 use crate::cache::{Cache, Found};
+use crate::messages::{Changes, EntryMessage, MOST_ENTRIES, MOST_PIECE};
 use crate::scope::Scope;
-use crate::words::{Changes, EntryTold, MOST_ENTRIES, MOST_PIECE};
 use prost::encoding::{encode_key, encode_varint, encoded_len_varint, WireType};
 use prost::Message;
 use std::collections::BTreeMap;
@@ -20,20 +20,20 @@
     /// Of a snapshot that began at `base` all keys up to this one.
     Keys { base: u64, after: Option<Arc<str>> },
     /// All up to this place, and of its keys so many; all of the places up to `through` for certain.
-    Beyond { place: u64, within: u32, through: u64 },
+    Beyond { index: u64, within: u32, through: u64 },
 }
 
 impl Position {
     /// All up to a place.
-    pub fn at(place: u64) -> Position {
-        Position::Beyond { place, within: u32::MAX, through: place }
+    pub fn at(index: u64) -> Position {
+        Position::Beyond { index, within: u32::MAX, through: index }
     }
 
     /// What went since can't be told any more from here.
     pub fn lost(&self, cache: &Cache) -> bool {
         match self {
             Position::Keys { base, .. } => *base < cache.forgotten(),
-            Position::Beyond { place, within, .. } => (*place, *within) < (cache.forgotten(), u32::MAX),
+            Position::Beyond { index, within, .. } => (*index, *within) < (cache.forgotten(), u32::MAX),
         }
     }
 }
@@ -65,7 +65,7 @@
 
 #[derive(Default)]
 struct Filling {
-    entries: Vec<EntryTold>,
+    entries: Vec<EntryMessage>,
     bytes: usize,
 }
 
@@ -79,12 +79,12 @@
         }
         self.bytes += bytes;
         let value = found.value.as_ref().map(|value| value.to_vec());
-        self.entries.push(EntryTold { key: found.key.to_string(), place: found.place, value });
+        self.entries.push(EntryMessage { key: found.key.to_string(), index: found.index, value });
         true
     }
 }
 
-fn make(cache: &Cache, scope: &Scope, from: &Position, anew: bool) -> Piece {
+fn make(cache: &Cache, scope: &Scope, from: &Position, reset: bool) -> Piece {
     let mut filling = Filling::default();
     let mut next = from.clone();
     let mut done = false;
@@ -92,7 +92,7 @@
         let mut last = after.clone();
         let mut full = false;
         for found in cache.after(after.as_deref()) {
-            if scope.holds(&found.key) && !filling.take(&found) {
+            if scope.contains(&found.key) && !filling.take(&found) {
                 full = true;
                 break;
             }
@@ -100,17 +100,17 @@
         }
         next = if full { Position::Keys { base: *base, after: last } } else { Position::at(*base) };
     }
-    if let Position::Beyond { place, within, through } = &mut next {
+    if let Position::Beyond { index, within, through } = &mut next {
         done = true;
-        for (at, found) in cache.beyond(*place, *within) {
-            if scope.holds(&found.key) && !filling.take(&found) {
+        for (at, found) in cache.beyond(*index, *within) {
+            if scope.contains(&found.key) && !filling.take(&found) {
                 done = false;
                 break;
             }
-            if found.place != *place {
-                *through = *place;
+            if found.index != *index {
+                *through = *index;
             }
-            (*place, *within) = (found.place, at);
+            (*index, *within) = (found.index, at);
         }
     }
     if done {
@@ -121,7 +121,7 @@
         Position::Beyond { through, .. } => (None, *through),
     };
     let (entries, head) = (filling.entries, cache.head());
-    let changes = Changes { anew, after, through, done, entries, head, ..Changes::default() };
+    let changes = Changes { reset, after, through, done, entries, head, ..Changes::default() };
     Piece { bytes: changes.encode_to_vec(), next, done }
 }
 
@@ -146,14 +146,14 @@
         cache: &Cache,
         (known, scope): (u64, &Scope),
         from: &Position,
-        anew: bool,
+        reset: bool,
     ) -> Arc<Piece> {
-        let key = (known, from.clone(), anew);
+        let key = (known, from.clone(), reset);
         if let Some(piece) = self.pieces.get(&key) {
             self.shared += 1;
             return piece.clone();
         }
-        let piece = Arc::new(make(cache, scope, from, anew));
+        let piece = Arc::new(make(cache, scope, from, reset));
         if self.pieces.len() >= MOST_SHARED {
             self.pieces.pop_first();
         }
--- a/crates/watch/src/roster.rs
+++ b/crates/watch/src/roster.rs
@@ -17,8 +17,8 @@
 //!
 //! Bounds: [`MOST_KNOWN`] planners; further ones are counted as uncounted, so that nobody takes the rest for all.
 
-use crate::terms::{up_ms, Terms};
-use crate::words::{RosterTold, Row, MOST_ROWS};
+use crate::config::{up_ms, WatchConfig};
+use crate::messages::{RosterRow, RosterUpdate, MOST_ROWS};
 use pewtergap_time::{Moment, Span};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -77,7 +77,7 @@
     /// It has echoed one of ours: if it stops to, it has begun anew.
     echoed: bool,
     /// When it was last told all anew.
-    anew: Option<Moment>,
+    full_report_at: Option<Moment>,
     /// Changes up to this one it has been told, and up to where all rows are told.
     told: u64,
     whole: Option<u64>,
@@ -88,7 +88,7 @@
 impl Machine {
     /// All that it was told is to be told again.
     fn forgets(&mut self) {
-        (self.said, self.told, self.whole, self.anew) = (None, 0, None, None);
+        (self.said, self.told, self.whole, self.full_report_at) = (None, 0, None, None);
     }
 }
 
@@ -115,7 +115,7 @@
 
 pub struct Roster {
     machine: String,
-    terms: Terms,
+    config: WatchConfig,
     known: BTreeMap<String, Known>,
     /// By the number of their last change: what a machine has not been told yet lies beyond a number.
     order: BTreeMap<u64, String>,
@@ -132,7 +132,7 @@
     pub fn new(machine: String, seed: u64) -> Roster {
         Roster {
             machine,
-            terms: Terms::default(),
+            config: WatchConfig::default(),
             known: BTreeMap::new(),
             order: BTreeMap::new(),
             changes: 0,
@@ -145,8 +145,8 @@
     }
 
     /// Other spans than the usual ones.
-    pub fn with(mut self, terms: Terms) -> Roster {
-        self.terms = terms;
+    pub fn with(mut self, config: WatchConfig) -> Roster {
+        self.config = config;
         self
     }
 
@@ -192,7 +192,7 @@
     }
 
     /// A planner that watches here had this in force at `vouched` or later.
-    pub fn heard(&mut self, planner: &str, watch: (u64, u64), applied: u64, vouched: Moment) {
+    pub fn planner_heard(&mut self, planner: &str, watch: (u64, u64), applied: u64, vouched: Moment) {
         let was = self.known.get_mut(planner);
         let here = Whereabouts::Here;
         if let Some(was) = was {
@@ -232,7 +232,7 @@
     }
 
     /// Its watch here ended.
-    pub fn gone(&mut self, planner: &str, watch: (u64, u64), left: bool) {
+    pub fn watch_ended(&mut self, planner: &str, watch: (u64, u64), left: bool) {
         self.uncounted.remove(planner);
         let Some(was) = self.known.get(planner).filter(|was| was.watch == watch) else { return };
         let whereabouts = if left { Whereabouts::Left } else { Whereabouts::Unheard(None) };
@@ -267,7 +267,7 @@
             sent: VecDeque::new(),
             echo: 0,
             echoed: false,
-            anew: None,
+            full_report_at: None,
             told: 0,
             whole: None,
             said: None,
@@ -278,30 +278,31 @@
     }
 
     /// A machine's words.
-    pub fn told(&mut self, now: Moment, from: &str, word: RosterTold) -> Result<(), String> {
+    pub fn receive(&mut self, now: Moment, from: &str, word: RosterUpdate) -> Result<(), String> {
         word.check()?;
         let number = self.number(now, from).ok_or(format!("{MOST_MACHINES} machines tell rows already"))?;
         let Some(machine) = self.of.get_mut(&number) else { return Ok(()) };
         // The first that it was told may have been lost though the link stands.
-        let unanswered = machine.anew.is_some_and(|anew| now.since(anew) >= self.terms.machine_silent);
+        let unanswered =
+            machine.full_report_at.is_some_and(|began| now.since(began) >= self.config.machine_timeout);
         if word.echo == 0 && (machine.echoed || unanswered) {
             machine.forgets();
         }
         machine.echoed = word.echo != 0;
-        machine.tells |= word.anew;
+        machine.tells |= word.reset;
         if !machine.tells {
             // The rest of what it told before its last link ended. What we say next echoes nothing: it begins anew.
             return Ok(());
         }
         machine.echo = word.token;
         let sent = machine.sent.iter().find(|(token, _)| *token == word.echo).map(|sent| sent.1);
-        if word.anew {
+        if word.reset {
             // What it told before its last link was of that link; what it says now is all that stands.
             self.aside(now, number);
         }
         let Some(machine) = self.of.get_mut(&number) else { return Ok(()) };
         if let Some(sent) = sent {
-            machine.vouched = machine.vouched.max(sent - Span::millis(word.heard_ms.min(1 << 40)));
+            machine.vouched = machine.vouched.max(sent - Span::millis(word.max_contact_age_ms.min(1 << 40)));
         }
         // No row is vouched for by a word that echoes nothing.
         let sent = sent.unwrap_or(machine.vouched);
@@ -311,19 +312,19 @@
         Ok(())
     }
 
-    fn row(&mut self, now: Moment, number: u16, sent: Moment, row: Row) {
-        let watch = (row.start, row.turn);
-        let quiet = Span::millis(row.quiet_ms.min(1 << 40));
-        let whereabouts = match (row.left, row.here) {
+    fn row(&mut self, now: Moment, number: u16, sent: Moment, row: RosterRow) {
+        let watch = (row.start, row.watch_number);
+        let quiet = Span::millis(row.contact_age_ms.min(1 << 40));
+        let whereabouts = match (row.left, row.connected) {
             (true, _) => Whereabouts::Left,
             (false, true) => Whereabouts::At(number),
             (false, false) => Whereabouts::Unheard(Some(number)),
         };
         // Forgotten here already, or about to be.
-        let old = quiet >= FORGOTTEN && !row.here;
+        let old = quiet >= FORGOTTEN && !row.connected;
         // Of one that is not counted it is only told since when.
-        let heard = if row.here { sent - quiet } else { now - quiet };
-        let at = |was: &Known| was.whereabouts == Whereabouts::At(number) && row.here;
+        let heard = if row.connected { sent - quiet } else { now - quiet };
+        let at = |was: &Known| was.whereabouts == Whereabouts::At(number) && row.connected;
         let (applied, heard) = match self.known.get(&row.planner) {
             None if old => return,
             None => (row.applied, heard),
@@ -391,19 +392,19 @@
     // ---- what is told
 
     /// What a machine is to be told now; to be asked some times a second for each machine whose link stands.
-    pub fn words(&mut self, now: Moment, to: &str) -> Vec<RosterTold> {
+    pub fn updates_for(&mut self, now: Moment, to: &str) -> Vec<RosterUpdate> {
         self.forget_old(now);
         self.quiet(now);
         let Some(number) = self.number(now, to) else { return Vec::new() };
-        let heard_ms = up_ms(self.terms.at_most(self.oldest_here(now)));
+        let max_contact_age_ms = up_ms(self.config.at_most(self.oldest_here(now)));
         let Some(machine) = self.of.get(&number) else { return Vec::new() };
-        let anew = machine.said.is_none();
-        let whole = if anew { Some(self.changes) } else { machine.whole };
+        let reset = machine.said.is_none();
+        let whole = if reset { Some(self.changes) } else { machine.whole };
         let (life, changes) = match machine.said {
             None => (true, true),
             Some(said) => (now.since(machine.said_life) >= LIFE, now.since(said) >= CHANGES),
         };
-        let mut words: Vec<RosterTold> = Vec::new();
+        let mut words: Vec<RosterUpdate> = Vec::new();
         let (mut told, mut rows) = (machine.told, Vec::new());
         let mut rest = false;
         if changes {
@@ -416,25 +417,25 @@
                 let Some(known) = self.known.get(planner) else { continue };
                 rows.extend(self.row_of(now, planner, known, whole.is_some_and(|whole| *change <= whole)));
                 if rows.len() == MOST_ROWS {
-                    words.push(RosterTold { rows: std::mem::take(&mut rows), ..RosterTold::default() });
+                    words.push(RosterUpdate { rows: std::mem::take(&mut rows), ..RosterUpdate::default() });
                 }
             }
         }
         if !rows.is_empty() || (words.is_empty() && life) {
-            words.push(RosterTold { rows, ..RosterTold::default() });
+            words.push(RosterUpdate { rows, ..RosterUpdate::default() });
         }
         let Some(machine) = self.of.get_mut(&number) else { return Vec::new() };
         machine.whole = whole.filter(|whole| rest || told < *whole);
         machine.told = told;
-        if anew {
-            machine.anew = Some(now);
+        if reset {
+            machine.full_report_at = Some(now);
         }
         let last = words.len();
         for (at, word) in words.iter_mut().enumerate() {
             word.token = self.rng.u64(1..);
-            (word.echo, word.anew) = (machine.echo, anew && at == 0);
+            (word.echo, word.reset) = (machine.echo, reset && at == 0);
             // Before all that changed is told nothing is vouched for: one that is heard no more may be among the rest.
-            word.heard_ms = if rest || at + 1 < last { NOT_VOUCHED } else { heard_ms };
+            word.max_contact_age_ms = if rest || at + 1 < last { NOT_VOUCHED } else { max_contact_age_ms };
             machine.sent.push_back((word.token, now));
             (machine.said, machine.said_life) = (Some(now), now);
         }
@@ -445,16 +446,16 @@
     }
 
     /// Own rows; of others those that no machine may tell of any more, where all is told.
-    fn row_of(&self, now: Moment, planner: &str, known: &Known, whole: bool) -> Option<Row> {
+    fn row_of(&self, now: Moment, planner: &str, known: &Known, whole: bool) -> Option<RosterRow> {
         let heard = self.since(now, known);
         let nobodys = !matches!(known.whereabouts, Whereabouts::At(_));
-        (known.mine || (whole && nobodys)).then(|| Row {
+        (known.mine || (whole && nobodys)).then(|| RosterRow {
             planner: planner.into(),
             start: known.watch.0,
-            turn: known.watch.1,
+            watch_number: known.watch.1,
             applied: known.applied,
-            quiet_ms: up_ms(self.terms.at_most(heard.unwrap_or_else(|quiet| quiet))),
-            here: known.whereabouts == Whereabouts::Here && heard.is_ok(),
+            contact_age_ms: up_ms(self.config.at_most(heard.unwrap_or_else(|quiet| quiet))),
+            connected: known.whereabouts == Whereabouts::Here && heard.is_ok(),
             left: known.whereabouts == Whereabouts::Left,
         })
     }
@@ -502,13 +503,13 @@
     /// For how long a planner was not heard: within its bound, or beyond it.
     fn since(&self, now: Moment, known: &Known) -> Result<Span, Span> {
         let (heard, bound) = match known.whereabouts {
-            Whereabouts::Here => (known.heard, self.terms.planner_silent),
+            Whereabouts::Here => (known.heard, self.config.planner_timeout),
             Whereabouts::At(number) => {
                 let machine = self.of.get(&number);
                 let vouched = machine.filter(|machine| machine.tells).map(|machine| machine.vouched);
                 // A row may be newer than the last word that says how old all of them are at most.
                 let heard = vouched.unwrap_or(Moment(0)).max(known.heard);
-                (heard, self.terms.planner_silent + self.terms.machine_silent)
+                (heard, self.config.planner_timeout + self.config.machine_timeout)
             }
             Whereabouts::Unheard(_) | Whereabouts::Left => (known.heard, Span(0)),
         };
@@ -521,7 +522,7 @@
         }
     }
 
-    pub fn in_force(&self, now: Moment, place: u64) -> InForce {
+    pub fn in_force(&self, now: Moment, index: u64) -> InForce {
         let mut found = InForce { uncounted: self.uncounted.len(), ..InForce::default() };
         for (planner, known) in &self.known {
             if known.whereabouts == Whereabouts::Left {
@@ -538,9 +539,9 @@
             };
             found.heard += 1;
             found.lowest = Some(found.lowest.map_or(known.applied, |lowest| lowest.min(known.applied)));
-            if known.applied >= place {
+            if known.applied >= index {
                 found.at_or_past += 1;
-                let quiet = self.terms.at_most(quiet);
+                let quiet = self.config.at_most(quiet);
                 found.age = Some(found.age.map_or(quiet, |age| age.max(quiet)));
             } else {
                 found.slowest.push((planner.clone(), known.applied));
@@ -557,6 +558,6 @@
     pub fn counted(&self, now: Moment, planner: &str) -> Option<(u64, Span)> {
         let known = self.known.get(planner)?;
         let quiet = self.since(now, known).ok()?;
-        Some((known.applied, self.terms.at_most(quiet)))
+        Some((known.applied, self.config.at_most(quiet)))
     }
 }
--- a/crates/watch/src/scope.rs
+++ b/crates/watch/src/scope.rs
@@ -6,7 +6,7 @@
 //! | `route/NAME` | that route is named, or all are |
 //! | `zone/NAME`, `releases`, `duties` | always |
 
-use crate::words::{ScopeTold, MOST_KEY, MOST_NAME, MOST_WORD};
+use crate::messages::{ScopeMessage, MOST_KEY, MOST_NAME, MOST_WORD};
 use prost::Message;
 use std::collections::BTreeSet;
 
@@ -23,7 +23,7 @@
 impl Scope {
     pub const ALL: Scope = Scope { servers: None, routes: None };
 
-    pub fn holds(&self, key: &str) -> bool {
+    pub fn contains(&self, key: &str) -> bool {
         let named = |names: &Option<BTreeSet<String>>, name: &str| match names {
             Some(names) => names.contains(name),
             None => true,
@@ -36,9 +36,9 @@
     }
 
     /// As it is said, as the so manieth of a planner.
-    pub fn told(&self, number: u64) -> ScopeTold {
+    pub fn to_message(&self, number: u64) -> ScopeMessage {
         let names = |names: &Option<BTreeSet<String>>| names.iter().flatten().cloned().collect();
-        ScopeTold {
+        ScopeMessage {
             all_servers: self.servers.is_none(),
             servers: names(&self.servers),
             all_routes: self.routes.is_none(),
@@ -48,8 +48,8 @@
     }
 
     /// Itself where it can be said, or all: told too much, a planner is not wrong.
-    pub fn sayable(self) -> Scope {
-        let told = self.told(0);
+    pub fn or_all_if_too_large(self) -> Scope {
+        let told = self.to_message(0);
         match told.check().is_ok() && told.encoded_len() + MOST_HELLO <= MOST_WORD {
             true => self,
             false => Scope::ALL,
@@ -57,8 +57,8 @@
     }
 }
 
-impl From<ScopeTold> for Scope {
-    fn from(told: ScopeTold) -> Scope {
+impl From<ScopeMessage> for Scope {
+    fn from(told: ScopeMessage) -> Scope {
         let names = |all: bool, names: Vec<String>| (!all).then(|| names.into_iter().collect());
         Scope { servers: names(told.all_servers, told.servers), routes: names(told.all_routes, told.routes) }
     }
--- a/crates/watch/src/server.rs
+++ b/crates/watch/src/server.rs
@@ -1,17 +1,17 @@
 //! A control machine's side: watches of planners, as a machine without I/O, over words.
 //!
-//! Nothing is queued for a watcher: it has a position in the cache and at most [`MOST_PIECES`] pieces on their way. What is
-//! held for one is so bounded by its scope's names and two pieces; in all by [`Terms::most_watches`] of them, and by
+//! Nothing is queued for a watcher: it has a position in the cache and at most [`MAX_CHUNKS_IN_FLIGHT`] pieces on their way. What is
+//! held for one is so bounded by its scope's names and two pieces; in all by [`WatchConfig::most_watches`] of them, and by
 //! [`MOST_STRANGERS`] links beside that have not said who they are or are being closed.
 
 mod admission;
 
 use crate::cache::Cache;
+use crate::config::{up_ms, WatchConfig};
+use crate::messages::{Ack, Kind, Ping, Pong, Reason, ScopeMessage, MAX_CHUNKS_IN_FLIGHT};
 use crate::pieces::{Position, Shared};
 use crate::scope::Scope;
 use crate::session::{row, Effect, Event, Session, State, MOST_ANSWERS};
-use crate::terms::{up_ms, Terms};
-use crate::words::{Alive, Kind, Ping, Reason, ScopeTold, Took, MOST_PIECES};
 use pewtergap_node::Link;
 use pewtergap_time::{Moment, Span};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -35,41 +35,41 @@
     Heard {
         planner: String,
         start: u64,
-        turn: u64,
+        watch_number: u64,
         applied: u64,
         vouched: Moment,
     },
     Gone {
         planner: String,
         start: u64,
-        turn: u64,
+        watch_number: u64,
         left: bool,
     },
 }
 
 /// For operators.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct View {
+pub struct WatchServerStats {
     pub head: u64,
     pub watches: usize,
     /// Links that have not said hello, or are being closed.
-    pub strangers: usize,
-    pub snapshots: usize,
-    pub waiting: usize,
-    pub pieces: u64,
+    pub unidentified: usize,
+    pub snapshots_active: usize,
+    pub snapshots_queued: usize,
+    pub chunks_sent: u64,
     /// Pieces that were made, and told from those made.
-    pub made: u64,
-    pub shared: u64,
+    pub chunks_built: u64,
+    pub chunks_reused: u64,
     pub refused: BTreeMap<Reason, u64>,
     /// Bytes said, and heard.
-    pub out: u64,
-    pub heard: u64,
+    pub bytes_sent: u64,
+    pub bytes_received: u64,
 }
 
 pub struct Server {
-    terms: Terms,
+    config: WatchConfig,
     machine: String,
-    record: Option<u64>,
+    record_id: Option<u64>,
     cache: Cache,
     asked: Option<Moment>,
     sessions: BTreeMap<Link, Session>,
@@ -91,12 +91,12 @@
 }
 
 impl Server {
-    pub fn new(terms: Terms, machine: String, seed: u64) -> Server {
+    pub fn new(config: WatchConfig, machine: String, seed: u64) -> Server {
         Server {
-            terms,
+            config,
             machine,
-            record: None,
-            cache: Cache::remembering(terms.most_tombstones),
+            record_id: None,
+            cache: Cache::remembering(config.max_tombstones),
             asked: None,
             sessions: BTreeMap::new(),
             planners: BTreeMap::new(),
@@ -119,29 +119,29 @@
         &self.cache
     }
 
-    pub fn view(&self) -> View {
+    pub fn stats(&self) -> WatchServerStats {
         let watches = self.sessions.values().filter(|session| session.watches()).count();
-        View {
+        WatchServerStats {
             head: self.cache.head(),
             watches,
-            strangers: self.sessions.len() - watches,
-            snapshots: self.snapshots,
-            waiting: self.queue.len(),
-            pieces: self.pieces,
-            made: self.shared.made,
-            shared: self.shared.shared,
+            unidentified: self.sessions.len() - watches,
+            snapshots_active: self.snapshots,
+            snapshots_queued: self.queue.len(),
+            chunks_sent: self.pieces,
+            chunks_built: self.shared.made,
+            chunks_reused: self.shared.shared,
             refused: self.refused.clone(),
-            out: 0,
-            heard: 0,
+            bytes_sent: 0,
+            bytes_received: 0,
         }
     }
 
     /// The most pieces on their way to any one watcher.
-    pub fn most_flight(&self) -> usize {
+    pub fn max_in_flight(&self) -> usize {
         self.sessions.values().map(|session| session.flight.len()).max().unwrap_or(0)
     }
 
-    pub fn has(&self, link: Link) -> bool {
+    pub fn owns_link(&self, link: Link) -> bool {
         self.sessions.contains_key(&link)
     }
 
@@ -153,9 +153,9 @@
     // ---- the record
 
     /// The record's identity. Whoever watched another one begins elsewhere.
-    pub fn stands(&mut self, now: Moment, record: u64, acts: &mut Vec<Act>) {
-        if self.record.replace(record).is_some_and(|was| was != record) {
-            (self.cache, self.asked) = (Cache::remembering(self.terms.most_tombstones), None);
+    pub fn set_record_id(&mut self, now: Moment, record_id: u64, acts: &mut Vec<Act>) {
+        if self.record_id.replace(record_id).is_some_and(|was| was != record_id) {
+            (self.cache, self.asked) = (Cache::remembering(self.config.max_tombstones), None);
             self.shared.clear();
             self.everybody(now, Reason::Record, acts);
         }
@@ -164,16 +164,16 @@
     pub fn apply(
         &mut self,
         now: Moment,
-        place: u64,
+        index: u64,
         changes: impl IntoIterator<Item = (String, Option<Vec<u8>>)>,
         acts: &mut Vec<Act>,
     ) {
-        self.cache.apply(place, changes);
+        self.cache.apply(index, changes);
         self.moved(now, acts);
     }
 
-    pub fn restore(&mut self, now: Moment, place: u64, all: BTreeMap<String, Vec<u8>>, acts: &mut Vec<Act>) {
-        self.cache.restore(place, all);
+    pub fn restore(&mut self, now: Moment, index: u64, all: BTreeMap<String, Vec<u8>>, acts: &mut Vec<Act>) {
+        self.cache.restore(index, all);
         self.moved(now, acts);
     }
 
@@ -184,13 +184,13 @@
     }
 
     /// All that had been kept at this moment is applied here.
-    pub fn fresh(&mut self, asked: Moment) {
+    pub fn confirm_fresh(&mut self, asked: Moment) {
         self.asked = Some(self.asked.map_or(asked, |was| was.max(asked)));
     }
 
     /// All that was kept so long ago is applied here.
     pub fn age(&self, now: Moment) -> Option<Span> {
-        self.asked.map(|asked| self.terms.at_most(now.since(asked)))
+        self.asked.map(|asked| self.config.at_most(now.since(asked)))
     }
 
     // ---- links
@@ -230,7 +230,7 @@
         match (word, session.state) {
             (_, State::Ending) => {}
             (Kind::Hello(hello), State::Came) => self.hello(now, link, hello, acts),
-            (Kind::Took(took), _) if watches => self.took(now, link, took, acts),
+            (Kind::Ack(took), _) if watches => self.took(now, link, took, acts),
             (Kind::Ping(ping), _) if watches => self.ping(now, link, ping, acts),
             (Kind::Rescope(scope), _) if watches => self.rescope(now, link, scope, acts),
             (Kind::Leave(_), _) if watches => self.event(now, link, Event::Leaves, "", acts),
@@ -239,7 +239,7 @@
         self.look_again(link);
     }
 
-    fn took(&mut self, now: Moment, link: Link, took: Took, acts: &mut Vec<Act>) {
+    fn took(&mut self, now: Moment, link: Link, took: Ack, acts: &mut Vec<Act>) {
         let Some(session) = self.sessions.get_mut(&link) else { return };
         let Some((_, sent)) = session.flight.pop_front().filter(|(number, _)| *number == took.number) else {
             return self.wrong(now, link, "a piece was taken that is not on its way", acts);
@@ -257,7 +257,7 @@
         if session.answers.len() > MOST_ANSWERS {
             session.answers.pop_front();
         }
-        acts.push(Act::Say(link, Kind::Alive(Alive { token: ping.token, head, age_ms: age.map(up_ms) })));
+        acts.push(Act::Say(link, Kind::Pong(Pong { token: ping.token, head, age_ms: age.map(up_ms) })));
         self.said(now, link, ping.applied, vouched, acts);
     }
 
@@ -278,19 +278,19 @@
         acts.push(Act::Heard {
             planner: session.planner.clone(),
             start: session.start,
-            turn: session.turn,
+            watch_number: session.watch_number,
             applied: session.applied,
             vouched: session.vouched,
         });
     }
 
-    fn rescope(&mut self, now: Moment, link: Link, told: ScopeTold, acts: &mut Vec<Act>) {
+    fn rescope(&mut self, now: Moment, link: Link, told: ScopeMessage, acts: &mut Vec<Act>) {
         let number = told.number;
         let (known, scope) = self.learn(Arc::new(told.into()));
         let Some(session) = self.sessions.get_mut(&link) else { return };
         let old = std::mem::replace(&mut session.scope, scope);
         (session.known, session.scope_number) = (known, number);
-        (session.anew, session.within) = (true, false);
+        (session.reset, session.within) = (true, false);
         self.unlearn(&old);
         self.event(now, link, Event::Rescoped, "", acts);
     }
@@ -337,7 +337,7 @@
                 self.snapshots -= 1;
                 self.enqueue(link, acts);
             }
-            Effect::Anew => session.anew = true,
+            Effect::Anew => session.reset = true,
         }
         match effect {
             Effect::Leave => acts.push(Act::Finish(link)),
@@ -354,7 +354,7 @@
         session.since = now;
         session.flight.clear();
         let (planner, scope) = (std::mem::take(&mut session.planner), session.scope.clone());
-        let (start, turn) = (session.start, session.turn);
+        let (start, watch_number) = (session.start, session.watch_number);
         match was {
             State::Snapshot => self.snapshots -= 1,
             State::Waiting => self.queue.retain(|waits| *waits != link),
@@ -362,28 +362,30 @@
         }
         self.unlearn(&scope);
         self.planners.remove(&planner);
-        acts.push(Act::Gone { planner, start, turn, left });
+        acts.push(Act::Gone { planner, start, watch_number, left });
     }
 
     /// All that may be sent to a watcher now.
     fn pump(&mut self, now: Moment, link: Link, acts: &mut Vec<Act>) {
         while let Some(session) = self.sessions.get_mut(&link) {
-            if session.flight.len() >= MOST_PIECES {
+            if session.flight.len() >= MAX_CHUNKS_IN_FLIGHT {
                 break;
             }
             let lost = session.position.lost(&self.cache);
             match session.state {
-                State::Snapshot if !self.queue.is_empty() && now.since(session.turned) >= self.terms.slot => {
+                State::Snapshot
+                    if !self.queue.is_empty() && now.since(session.turned) >= self.config.snapshot_slot =>
+                {
                     self.event(now, link, Event::TimeUp, "", acts);
                     break;
                 }
-                State::Snapshot if session.anew || lost => {
+                State::Snapshot if session.reset || lost => {
                     session.position = Position::Keys { base: self.cache.head(), after: None };
-                    session.anew = true;
+                    session.reset = true;
                 }
                 State::Snapshot => {}
                 State::Following if lost => {
-                    (session.anew, session.within) = (true, false);
+                    (session.reset, session.within) = (true, false);
                     self.event(now, link, Event::Lost, "", acts);
                     break;
                 }
@@ -394,17 +396,17 @@
             }
             let Some(session) = self.sessions.get_mut(&link) else { break };
             let scope = (session.known, &*session.scope);
-            let piece = self.shared.piece(&self.cache, scope, &session.position, session.anew);
+            let piece = self.shared.piece(&self.cache, scope, &session.position, session.reset);
             if !session.within {
-                session.next = now + self.terms.pace;
+                session.next = now + self.config.batch_interval;
             }
             session.number += 1;
             session.flight.push_back((session.number, now));
-            (session.position, session.anew, session.within) = (piece.next.clone(), false, !piece.done);
+            (session.position, session.reset, session.within) = (piece.next.clone(), false, !piece.done);
             acts.push(Act::Piece(link, piece.frame(session.number, session.scope_number)));
             self.pieces += 1;
             if piece.done && session.state == State::Snapshot {
-                self.event(now, link, Event::Told, "", acts);
+                self.event(now, link, Event::SnapshotSent, "", acts);
                 break;
             }
         }
@@ -413,7 +415,7 @@
 
     fn look_again(&mut self, link: Link) {
         let Some(session) = self.sessions.get_mut(&link) else { return };
-        let due = session.wants(&self.terms, self.cache.head(), self.grace);
+        let due = session.wants(&self.config, self.cache.head(), self.grace);
         if session.due != due || !self.due.contains(&(due, link)) {
             self.due.remove(&(session.due, link));
             session.due = due;
@@ -437,17 +439,18 @@
     }
 
     fn look(&mut self, now: Moment, link: Link, acts: &mut Vec<Act>) {
-        let (terms, grace) = (self.terms, self.grace);
+        let (config, grace) = (self.config, self.grace);
         let Some(session) = self.sessions.get_mut(&link) else { return };
-        let deaf = session.flight.front().is_some_and(|(_, sent)| now >= (*sent).max(grace) + terms.deaf);
-        let silent = now >= session.heard.max(grace) + terms.planner_silent;
+        let deaf =
+            session.flight.front().is_some_and(|(_, sent)| now >= (*sent).max(grace) + config.ack_timeout);
+        let silent = now >= session.heard.max(grace) + config.planner_timeout;
         match session.state {
-            State::Ending if now >= session.since.max(grace) + terms.dial => {
+            State::Ending if now >= session.since.max(grace) + config.connect_timeout => {
                 // Until it is closed it is looked at no more.
                 session.since = now + Span(u64::MAX / 2);
                 acts.push(Act::Cut(link));
             }
-            State::Came if now >= session.since.max(grace) + terms.dial => {
+            State::Came if now >= session.since.max(grace) + config.connect_timeout => {
                 self.event(now, link, Event::Refused(Reason::Deaf), "it does not say who it is", acts);
             }
             State::Came | State::Ending => {}
--- a/crates/watch/src/session.rs
+++ b/crates/watch/src/session.rs
@@ -14,10 +14,10 @@
 //! | any | refused, for a reason | ending | told so, closed; unheard from when it was last heard |
 //! | ending | anything | ending | nothing |
 
+use crate::config::WatchConfig;
+use crate::messages::{Reason, MAX_CHUNKS_IN_FLIGHT};
 use crate::pieces::Position;
 use crate::scope::Scope;
-use crate::terms::Terms;
-use crate::words::{Reason, MOST_PIECES};
 use pewtergap_time::Moment;
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -37,7 +37,7 @@
     NeedsSnapshot,
     Turn,
     Lost,
-    Told,
+    SnapshotSent,
     TimeUp,
     Rescoped,
     Leaves,
@@ -67,7 +67,7 @@
         (Came, Event::NeedsSnapshot) => (Waiting, Effect::Queue),
         (Waiting, Event::Turn) => (Snapshot, Effect::Nothing),
         (Snapshot, Event::Lost) => (Snapshot, Effect::Anew),
-        (Snapshot, Event::Told) => (Following, Effect::Release),
+        (Snapshot, Event::SnapshotSent) => (Following, Effect::Release),
         (Snapshot, Event::TimeUp) => (Waiting, Effect::ReleaseAndQueue),
         (Following, Event::Lost) => (Waiting, Effect::Queue),
         (Snapshot, Event::Rescoped) => (Waiting, Effect::ReleaseAndQueue),
@@ -84,18 +84,18 @@
     pub state: State,
     pub planner: String,
     pub start: u64,
-    pub turn: u64,
+    pub watch_number: u64,
     pub scope: Arc<Scope>,
     /// What stands for the scope where pieces are shared, and the planner's own number of it.
     pub known: u64,
     pub scope_number: u64,
     pub position: Position,
     /// The next piece begins a snapshot.
-    pub anew: bool,
+    pub reset: bool,
     /// A batch is told in part.
     pub within: bool,
     pub number: u64,
-    /// Pieces on their way, and when they were sent: [`MOST_PIECES`] at most.
+    /// Pieces on their way, and when they were sent: [`MAX_CHUNKS_IN_FLIGHT`] at most.
     pub flight: VecDeque<(u64, Moment)>,
     /// No batch begins before.
     pub next: Moment,
@@ -119,12 +119,12 @@
             state: State::Came,
             planner: String::new(),
             start: 0,
-            turn: 0,
+            watch_number: 0,
             scope: Arc::new(Scope::ALL),
             known: 0,
             scope_number: 0,
             position: Position::at(0),
-            anew: false,
+            reset: false,
             within: false,
             number: 0,
             flight: VecDeque::new(),
@@ -145,14 +145,14 @@
 
     /// When it is to be looked at though nothing came: silent, deaf, its pace. `grace`: nobody was heard before, by our own
     /// fault.
-    pub fn wants(&self, terms: &Terms, head: u64, grace: Moment) -> Moment {
+    pub fn wants(&self, config: &WatchConfig, head: u64, grace: Moment) -> Moment {
         if !self.watches() {
-            return self.since.max(grace) + terms.dial;
+            return self.since.max(grace) + config.connect_timeout;
         }
-        let silent = self.heard.max(grace) + terms.planner_silent;
-        let deaf = self.flight.front().map(|(_, sent)| (*sent).max(grace) + terms.deaf);
+        let silent = self.heard.max(grace) + config.planner_timeout;
+        let deaf = self.flight.front().map(|(_, sent)| (*sent).max(grace) + config.ack_timeout);
         let paced = (self.state == State::Following
-            && self.flight.len() < MOST_PIECES
+            && self.flight.len() < MAX_CHUNKS_IN_FLIGHT
             && self.position != Position::at(head))
         .then_some(self.next);
         [deaf, paced].into_iter().flatten().fold(silent, Moment::min)
--- a/crates/watch/src/state.rs
+++ b/crates/watch/src/state.rs
@@ -1,7 +1,7 @@
 //! What a planner holds: its state at a place, what is told of the next and not done yet, and what it keeps on its disk.
 
+use crate::messages::{Changes, EntryMessage, PartialSnapshot, ScopeMessage};
 use crate::scope::Scope;
-use crate::words::{BrokenOff, Changes, EntryTold, ScopeTold};
 use prost::Message;
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64;
@@ -12,38 +12,38 @@
 
 /// All within a scope at a place of a record.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Kept {
-    pub record: u64,
-    pub place: u64,
+pub struct SavedState {
+    pub record_id: u64,
+    pub index: u64,
     /// None: nothing was told yet.
     pub scope: Option<Scope>,
     pub entries: BTreeMap<String, Vec<u8>>,
 }
 
 #[derive(Clone, PartialEq, Message)]
-struct KeptTold {
+struct SavedStateMessage {
     #[prost(fixed64, tag = "1")]
-    record: u64,
+    record_id: u64,
     #[prost(uint64, tag = "2")]
-    place: u64,
+    index: u64,
     #[prost(message, optional, tag = "3")]
-    scope: Option<ScopeTold>,
+    scope: Option<ScopeMessage>,
     #[prost(message, repeated, tag = "4")]
-    entries: Vec<EntryTold>,
+    entries: Vec<EntryMessage>,
 }
 
-impl Kept {
+impl SavedState {
     /// As it is kept on a disk, with its sum before it.
-    pub fn write(&self) -> Vec<u8> {
-        let entry = |(key, value): (&String, &Vec<u8>)| EntryTold {
+    pub fn encode(&self) -> Vec<u8> {
+        let entry = |(key, value): (&String, &Vec<u8>)| EntryMessage {
             key: key.clone(),
-            place: 0,
+            index: 0,
             value: Some(value.clone()),
         };
-        let told = KeptTold {
-            record: self.record,
-            place: self.place,
-            scope: self.scope.as_ref().map(|scope| scope.told(0)),
+        let told = SavedStateMessage {
+            record_id: self.record_id,
+            index: self.index,
+            scope: self.scope.as_ref().map(|scope| scope.to_message(0)),
             entries: self.entries.iter().map(entry).collect(),
         };
         let body = told.encode_to_vec();
@@ -54,14 +54,19 @@
 
     /// # Errors
     /// What is wrong with the bytes; nothing of them is to be used then.
-    pub fn read(bytes: &[u8]) -> Result<Kept, String> {
+    pub fn decode(bytes: &[u8]) -> Result<SavedState, String> {
         let (sum, body) = bytes.split_first_chunk::<8>().ok_or("it is shorter than its sum")?;
         if xxh3_64(body).to_be_bytes() != *sum {
             return Err("its sum does not fit".into());
         }
-        let told = KeptTold::decode(body).map_err(|e| format!("not a planner's state: {e}"))?;
+        let told = SavedStateMessage::decode(body).map_err(|e| format!("not a planner's state: {e}"))?;
         let entries = told.entries.into_iter().filter_map(|entry| Some((entry.key, entry.value?))).collect();
-        Ok(Kept { record: told.record, place: told.place, scope: told.scope.map(Scope::from), entries })
+        Ok(SavedState {
+            record_id: told.record_id,
+            index: told.index,
+            scope: told.scope.map(Scope::from),
+            entries,
+        })
     }
 }
 
@@ -71,7 +76,7 @@
     pub entries: BTreeMap<String, Option<Vec<u8>>>,
     bytes: usize,
     /// Of a snapshot: how far it has come.
-    pub snapshot: Option<BrokenOff>,
+    pub snapshot: Option<PartialSnapshot>,
 }
 
 impl Held {
@@ -80,8 +85,8 @@
     /// # Errors
     /// It is more than a planner holds.
     pub fn take(&mut self, changes: Changes) -> Result<(), String> {
-        if changes.anew {
-            *self = Held { snapshot: Some(BrokenOff::default()), ..Held::default() };
+        if changes.reset {
+            *self = Held { snapshot: Some(PartialSnapshot::default()), ..Held::default() };
         }
         if let Some(snapshot) = &mut self.snapshot {
             snapshot.seen = snapshot.seen.max(changes.head);
@@ -89,7 +94,7 @@
             snapshot.all_keys = changes.after.is_none();
             snapshot.after = changes.after.unwrap_or_default();
         }
-        for EntryTold { key, value, .. } in changes.entries {
+        for EntryMessage { key, value, .. } in changes.entries {
             let bytes = key.len() + value.as_ref().map_or(0, Vec::len);
             if let Some(was) = self.entries.insert(key, value) {
                 self.bytes = self.bytes.saturating_sub(was.map_or(0, |was| was.len()));
--- a/crates/watch/src/watching.rs
+++ b/crates/watch/src/watch_client.rs
@@ -1,33 +1,33 @@
 //! A planner's watch behind a real link: frames in, frames out, one timer.
 
-use crate::client::{Act, Client, Home, Told};
+use crate::client::{Act, Client, ClientConfig, WatchEvent};
+use crate::messages::WatchMessage;
 use crate::scope::Scope;
-use crate::state::Kept;
-use crate::words::Word;
+use crate::state::SavedState;
 use pewtergap_node::{Ended, Input, Link, Outbox};
 use pewtergap_protocol::{encode, Frames};
 use pewtergap_time::{Moment, Span};
 use std::collections::BTreeSet;
 use std::net::IpAddr;
 
-pub struct Watching {
+pub struct WatchClient {
     client: Client,
     timer: u64,
-    from: Option<IpAddr>,
+    source_ip: Option<IpAddr>,
     link: Option<Link>,
     /// Closed, and not yet said to be.
     closing: BTreeSet<Link>,
-    frames: Frames<Word>,
+    frames: Frames<WatchMessage>,
     wake: Option<Moment>,
 }
 
-impl Watching {
+impl WatchClient {
     /// `kept`: what its own disk had.
-    pub fn new(home: Home, kept: Option<Kept>) -> Watching {
-        Watching {
-            timer: home.terms.timer,
-            from: home.from,
-            client: Client::new(home, kept),
+    pub fn new(client_config: ClientConfig, kept: Option<SavedState>) -> WatchClient {
+        WatchClient {
+            timer: client_config.watch_config.timer,
+            source_ip: client_config.source_ip,
+            client: Client::new(client_config, kept),
             link: None,
             closing: BTreeSet::new(),
             frames: Frames::default(),
@@ -36,12 +36,12 @@
     }
 
     /// This link is one of its own.
-    pub fn has(&self, link: Link) -> bool {
+    pub fn owns_link(&self, link: Link) -> bool {
         self.link == Some(link) || self.closing.contains(&link)
     }
 
     /// `Start`; `Opened`, `Bytes` and `Closed` of its link, `Due` of its timer; all else is none of its business.
-    pub fn handle(&mut self, now: Moment, input: Input<'_>, out: &mut Outbox) -> Vec<Told> {
+    pub fn handle(&mut self, now: Moment, input: Input<'_>, out: &mut Outbox) -> Vec<WatchEvent> {
         let mut acts = Vec::new();
         match input {
             Input::Start => self.client.started(now),
@@ -70,14 +70,14 @@
         self.carry_out(now, acts, out)
     }
 
-    fn bytes(&mut self, now: Moment, bytes: &[u8], out: &mut Outbox) -> Vec<Told> {
+    fn bytes(&mut self, now: Moment, bytes: &[u8], out: &mut Outbox) -> Vec<WatchEvent> {
         let (mut told, link) = (Vec::new(), self.link);
         self.frames.push(bytes);
         // Until all is taken, or the link was given up by what came.
         while self.link == link {
             let mut acts = Vec::new();
             match self.frames.take() {
-                Ok(Some(Word { kind: Some(kind) })) => self.client.word(now, kind, &mut acts),
+                Ok(Some(WatchMessage { kind: Some(kind) })) => self.client.word(now, kind, &mut acts),
                 Ok(_) => break,
                 Err(wrong) => self.client.wrong(now, &wrong.to_string(), &mut acts),
             }
@@ -86,17 +86,17 @@
         told
     }
 
-    fn carry_out(&mut self, now: Moment, acts: Vec<Act>, out: &mut Outbox) -> Vec<Told> {
+    fn carry_out(&mut self, now: Moment, acts: Vec<Act>, out: &mut Outbox) -> Vec<WatchEvent> {
         let mut told = Vec::new();
         for act in acts {
             match act {
                 Act::Dial(to) => {
-                    self.link = Some(out.connect(to, self.from));
+                    self.link = Some(out.connect(to, self.source_ip));
                     self.frames = Frames::default();
                 }
                 Act::Say(kind) => {
                     if let Some(link) = self.link {
-                        out.send(link, encode(&Word::of(kind)));
+                        out.send(link, encode(&WatchMessage::new(kind)));
                     }
                 }
                 Act::Finish | Act::Cut => {
@@ -119,9 +119,9 @@
     }
 
     /// The state of this place is in force here, and on the disk: it is said upward.
-    pub fn applied(&mut self, now: Moment, place: u64, out: &mut Outbox) {
+    pub fn applied(&mut self, now: Moment, index: u64, out: &mut Outbox) {
         let mut acts = Vec::new();
-        self.client.applied(now, place, &mut acts);
+        self.client.applied(now, index, &mut acts);
         self.carry_out(now, acts, out);
     }
 
@@ -140,8 +140,8 @@
     }
 
     /// Up to which all within the scope was told.
-    pub fn place(&self) -> u64 {
-        self.client.place()
+    pub fn index(&self) -> u64 {
+        self.client.index()
     }
 
     /// All that had been kept so long ago is in force here; None: not known since this start.
@@ -155,8 +155,8 @@
     }
 
     /// What a planner keeps on its disk, to start from.
-    pub fn kept(&self) -> Vec<u8> {
-        self.client.kept().write()
+    pub fn encode_state(&self) -> Vec<u8> {
+        self.client.saved_state().encode()
     }
 
     pub fn client(&self) -> &Client {
--- a/crates/watch/src/serving.rs
+++ b/crates/watch/src/watch_server.rs
@@ -1,30 +1,30 @@
 //! A control machine's watches behind real links: frames in, frames out, one timer.
 
+use crate::config::WatchConfig;
+use crate::messages::WatchMessage;
 use crate::roster::Roster;
-use crate::server::{Act, Server, View};
-use crate::terms::Terms;
-use crate::words::Word;
+use crate::server::{Act, Server, WatchServerStats};
 use pewtergap_node::{Input, Level, Link, Outbox};
 use pewtergap_protocol::{encode, Frames};
 use pewtergap_time::{Moment, Span};
 use std::collections::BTreeMap;
 
-pub struct Serving {
+pub struct WatchServer {
     server: Server,
     pub roster: Roster,
     timer: u64,
-    frames: BTreeMap<Link, Frames<Word>>,
+    frames: BTreeMap<Link, Frames<WatchMessage>>,
     wake: Option<Moment>,
     out: u64,
     heard: u64,
 }
 
-impl Serving {
-    pub fn new(terms: Terms, machine: String, seed: u64) -> Serving {
-        Serving {
-            roster: Roster::new(machine.clone(), seed ^ 1).with(terms),
-            server: Server::new(terms, machine, seed),
-            timer: terms.timer,
+impl WatchServer {
+    pub fn new(config: WatchConfig, machine: String, seed: u64) -> WatchServer {
+        WatchServer {
+            roster: Roster::new(machine.clone(), seed ^ 1).with(config),
+            server: Server::new(config, machine, seed),
+            timer: config.timer,
             frames: BTreeMap::new(),
             wake: None,
             out: 0,
@@ -32,8 +32,8 @@
         }
     }
 
-    pub fn view(&self) -> View {
-        View { out: self.out, heard: self.heard, ..self.server.view() }
+    pub fn stats(&self) -> WatchServerStats {
+        WatchServerStats { bytes_sent: self.out, bytes_received: self.heard, ..self.server.stats() }
     }
 
     pub fn server(&self) -> &Server {
@@ -41,9 +41,9 @@
     }
 
     /// The record's identity; until it is known all are refused `Behind`.
-    pub fn stands(&mut self, now: Moment, record: u64, out: &mut Outbox) {
+    pub fn set_record_id(&mut self, now: Moment, record_id: u64, out: &mut Outbox) {
         let mut acts = Vec::new();
-        self.server.stands(now, record, &mut acts);
+        self.server.set_record_id(now, record_id, &mut acts);
         self.carry_out(acts, out);
     }
 
@@ -52,25 +52,25 @@
     pub fn apply(
         &mut self,
         now: Moment,
-        place: u64,
+        index: u64,
         changes: Vec<(String, Option<Vec<u8>>)>,
         out: &mut Outbox,
     ) {
         let mut acts = Vec::new();
-        self.server.apply(now, place, changes, &mut acts);
+        self.server.apply(now, index, changes, &mut acts);
         self.carry_out(acts, out);
     }
 
     /// All that stands at a place, where the way to it is not known.
-    pub fn restore(&mut self, now: Moment, place: u64, all: BTreeMap<String, Vec<u8>>, out: &mut Outbox) {
+    pub fn restore(&mut self, now: Moment, index: u64, all: BTreeMap<String, Vec<u8>>, out: &mut Outbox) {
         let mut acts = Vec::new();
-        self.server.restore(now, place, all, &mut acts);
+        self.server.restore(now, index, all, &mut acts);
         self.carry_out(acts, out);
     }
 
     /// All that had been kept at `asked` is applied here: said after it was.
-    pub fn fresh(&mut self, asked: Moment) {
-        self.server.fresh(asked);
+    pub fn confirm_fresh(&mut self, asked: Moment) {
+        self.server.confirm_fresh(asked);
     }
 
     /// All that was kept so long ago is applied here; None: never known.
@@ -79,7 +79,7 @@
     }
 
     /// This link is one of its own.
-    pub fn has(&self, link: Link) -> bool {
+    pub fn owns_link(&self, link: Link) -> bool {
         self.frames.contains_key(&link)
     }
 
@@ -100,7 +100,9 @@
                 frames.push(bytes);
                 loop {
                     match frames.take() {
-                        Ok(Some(Word { kind: Some(kind) })) => self.server.word(now, link, kind, &mut acts),
+                        Ok(Some(WatchMessage { kind: Some(kind) })) => {
+                            self.server.word(now, link, kind, &mut acts)
+                        }
                         Ok(_) => break,
                         Err(wrong) => {
                             self.server.wrong(now, link, &wrong.to_string(), &mut acts);
@@ -137,14 +139,16 @@
     fn carry_out(&mut self, acts: Vec<Act>, out: &mut Outbox) {
         for act in acts {
             match act {
-                Act::Say(link, kind) => self.send(link, encode(&Word::of(kind)), out),
+                Act::Say(link, kind) => self.send(link, encode(&WatchMessage::new(kind)), out),
                 Act::Piece(link, frame) => self.send(link, frame, out),
                 Act::Finish(link) => out.finish(link),
                 Act::Cut(link) => out.cut(link),
-                Act::Heard { planner, start, turn, applied, vouched } => {
-                    self.roster.heard(&planner, (start, turn), applied, vouched);
+                Act::Heard { planner, start, watch_number, applied, vouched } => {
+                    self.roster.planner_heard(&planner, (start, watch_number), applied, vouched);
+                }
+                Act::Gone { planner, start, watch_number, left } => {
+                    self.roster.watch_ended(&planner, (start, watch_number), left)
                 }
-                Act::Gone { planner, start, turn, left } => self.roster.gone(&planner, (start, turn), left),
             }
         }
         for planner in std::mem::take(&mut self.roster.forgotten) {
--- a/crates/watch/tests/cache.rs
+++ b/crates/watch/tests/cache.rs
@@ -2,9 +2,9 @@
 //! comes to the prefix of the log at the stated place.
 
 use pewtergap_watch::cache::Cache;
+use pewtergap_watch::messages::{Changes, Kind, WatchMessage};
 use pewtergap_watch::pieces::{Position, Shared};
 use pewtergap_watch::state::Held;
-use pewtergap_watch::words::{Changes, Kind, Word};
 use pewtergap_watch::Scope;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -23,15 +23,15 @@
     vec![value; 4_000]
 }
 
-fn prefix(log: &[Change], place: u64, scope: &Scope) -> All {
+fn prefix(log: &[Change], index: u64, scope: &Scope) -> All {
     let mut all = All::new();
-    for (at, to) in &log[..place as usize] {
+    for (at, to) in &log[..index as usize] {
         match to {
             Some(to) => drop(all.insert(key(*at), value(*to))),
             None => drop(all.remove(&key(*at))),
         }
     }
-    all.retain(|key, _| scope.holds(key));
+    all.retain(|key, _| scope.contains(key));
     all
 }
 
@@ -49,9 +49,9 @@
 #[derive(Clone, Debug)]
 enum Step {
     /// A machine applies so many places more, as one or one by one.
-    Apply { machine: usize, places: u64, as_one: bool },
+    Apply { machine: usize, indexes: u64, as_one: bool },
     /// A machine reads the record from a snapshot so many places on.
-    Restore { machine: usize, places: u64 },
+    Restore { machine: usize, indexes: u64 },
     /// A watcher is told a piece.
     Piece,
     /// It changes machines; what was told of a snapshot stays.
@@ -61,15 +61,15 @@
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         8 => (0..2_usize, 1..4_u64, any::<bool>())
-            .prop_map(|(machine, places, as_one)| Step::Apply { machine, places, as_one }),
-        1 => (0..2_usize, 0..9_u64).prop_map(|(machine, places)| Step::Restore { machine, places }),
+            .prop_map(|(machine, indexes, as_one)| Step::Apply { machine, indexes, as_one }),
+        1 => (0..2_usize, 0..9_u64).prop_map(|(machine, indexes)| Step::Restore { machine, indexes }),
         8 => Just(Step::Piece),
         4 => Just(Step::Move),
     ]
 }
 
 fn decode(frame: &[u8]) -> Changes {
-    let mut frames = pewtergap_protocol::Frames::<Word>::default();
+    let mut frames = pewtergap_protocol::Frames::<WatchMessage>::default();
     frames.push(frame);
     match frames.take().expect("it can be read").expect("it is whole").kind {
         Some(Kind::Changes(changes)) => changes,
@@ -96,35 +96,35 @@
         let log: Vec<Change> = (0..16).map(|key| (key, Some(9))).chain(log).collect();
         caches.iter_mut().for_each(|cache| apply(cache, &log, 16));
         let mut shared = [Shared::default(), Shared::default()];
-        let (mut at, mut place, mut state, mut held) = (0, 0_u64, All::new(), Held::default());
+        let (mut at, mut index, mut state, mut held) = (0, 0_u64, All::new(), Held::default());
         let mut position = Position::at(0);
-        let mut anew = true;
+        let mut reset = true;
         for step in steps {
             match step {
-                Step::Apply { machine, places, as_one } => {
-                    let to = (caches[machine].head() + places).min(log.len() as u64);
+                Step::Apply { machine, indexes, as_one } => {
+                    let to = (caches[machine].head() + indexes).min(log.len() as u64);
                     if as_one {
                         apply(&mut caches[machine], &log, to);
                     }
                     (caches[machine].head() + 1..=to).for_each(|to| apply(&mut caches[machine], &log, to));
                     shared[machine].clear();
                 }
-                Step::Restore { machine, places } => {
-                    let to = (caches[machine].head() + places).min(log.len() as u64);
+                Step::Restore { machine, indexes } => {
+                    let to = (caches[machine].head() + indexes).min(log.len() as u64);
                     caches[machine].restore(to, prefix(&log, to, &Scope::ALL));
                     shared[machine].clear();
                 }
                 // Never back; a snapshot goes on where the other machine can.
-                Step::Move if caches[1 - at].head() >= place => {
+                Step::Move if caches[1 - at].head() >= index => {
                     at = 1 - at;
                     let cache = &caches[at];
                     let broken = held.snapshot.take().filter(|broken| {
                         broken.base >= cache.forgotten() && broken.base.max(broken.seen) <= cache.head()
                     });
-                    let goes_on = place > 0 && place >= cache.forgotten();
-                    anew = !goes_on && broken.is_none();
+                    let resumes_snapshot = index > 0 && index >= cache.forgotten();
+                    reset = !resumes_snapshot && broken.is_none();
                     position = match &broken {
-                        _ if goes_on => Position::at(place),
+                        _ if resumes_snapshot => Position::at(index),
                         Some(broken) if broken.all_keys => Position::at(broken.base),
                         Some(broken) => {
                             Position::Keys { base: broken.base, after: Some(broken.after.as_str().into()) }
@@ -132,18 +132,18 @@
                         None => Position::at(0),
                     };
                     match broken {
-                        Some(broken) if !goes_on => held.snapshot = Some(broken),
+                        Some(broken) if !resumes_snapshot => held.snapshot = Some(broken),
                         _ => held = Held::default(),
                     }
                 }
                 Step::Move => {}
                 Step::Piece => {
                     let cache = &caches[at];
-                    if anew || position.lost(cache) {
-                        (position, anew) = (Position::Keys { base: cache.head(), after: None }, true);
+                    if reset || position.lost(cache) {
+                        (position, reset) = (Position::Keys { base: cache.head(), after: None }, true);
                     }
-                    let piece = shared[at].piece(cache, (1, &scope), &position, anew);
-                    (position, anew) = (piece.next.clone(), false);
+                    let piece = shared[at].piece(cache, (1, &scope), &position, reset);
+                    (position, reset) = (piece.next.clone(), false);
                     let changes = decode(&piece.frame(7, 3));
                     prop_assert_eq!((changes.number, changes.scope, changes.done), (7, 3, piece.done));
                     prop_assert!(changes.entries.len() == 1 || changes.encoded_len_of_entries() <= 16 * 1024);
@@ -160,9 +160,9 @@
                                 None => drop(state.remove(&key)),
                             }
                         }
-                        prop_assert!(through >= place);
-                        place = through;
-                        prop_assert_eq!(&state, &prefix(&log, place, &scope));
+                        prop_assert!(through >= index);
+                        index = through;
+                        prop_assert_eq!(&state, &prefix(&log, index, &scope));
                     }
                 }
             }
@@ -183,8 +183,8 @@
 #[test]
 fn tombstones_are_bounded_and_a_key_that_comes_back_is_none() {
     let mut cache = Cache::remembering(2);
-    for place in 1..=4 {
-        cache.apply(place, [(format!("zone/{place}"), Some(vec![1]))]);
+    for index in 1..=4 {
+        cache.apply(index, [(format!("zone/{index}"), Some(vec![1]))]);
     }
     cache.apply(5, [("zone/1".to_string(), None)]);
     cache.apply(6, [("zone/2".to_string(), None)]);
@@ -195,7 +195,7 @@
     cache.apply(9, [("zone/4".to_string(), None)]);
     assert_eq!((cache.forgotten(), cache.size().0), (6, 1));
     let told: Vec<(u64, bool)> =
-        cache.beyond(6, u32::MAX).map(|found| (found.1.place, found.1.value.is_some())).collect();
+        cache.beyond(6, u32::MAX).map(|found| (found.1.index, found.1.value.is_some())).collect();
     assert_eq!(told, [(7, true), (8, false), (9, false)]);
     // Nothing goes back.
     cache.apply(9, [("zone/9".to_string(), Some(vec![1]))]);
--- a/crates/watch/tests/client.rs
+++ b/crates/watch/tests/client.rs
@@ -2,19 +2,21 @@
 
 mod common;
 
-use common::{home, ms, RECORD};
+use common::{client_config, ms, RECORD};
 use pewtergap_time::{Moment, Span};
 use pewtergap_watch::choice::Choice;
 use pewtergap_watch::client::{Act, Client, MOST_PINGS};
-use pewtergap_watch::words::{Alive, Changes, EntryTold, Hello, Kind, Later, Ping, Reason, Refuse, Welcome};
-use pewtergap_watch::{Home, Kept, Scope, Told};
+use pewtergap_watch::messages::{
+    Changes, EntryMessage, Hello, Kind, Ping, Pong, Reason, Refuse, SnapshotDelayed, Welcome,
+};
+use pewtergap_watch::{ClientConfig, SavedState, Scope, WatchEvent};
 use std::collections::BTreeMap;
 
 const MACHINES: &[&str] = &["m0", "m1", "m2", "m3"];
 
-fn kept(place: u64) -> Kept {
+fn kept(index: u64) -> SavedState {
     let entries = [("zone/z".to_string(), b"on".to_vec())].into();
-    Kept { record: RECORD, place, scope: Some(Scope::ALL), entries }
+    SavedState { record_id: RECORD, index, scope: Some(Scope::ALL), entries }
 }
 
 struct One {
@@ -23,8 +25,8 @@
 }
 
 impl One {
-    fn new(home: Home, kept: Option<Kept>) -> One {
-        let mut client = Client::new(home, kept);
+    fn new(client_config: ClientConfig, kept: Option<SavedState>) -> One {
+        let mut client = Client::new(client_config, kept);
         client.started(ms(0));
         One { client, now: ms(0) }
     }
@@ -69,24 +71,24 @@
     }
 }
 
-fn welcome(head: u64, goes_on: bool) -> Kind {
-    Kind::Welcome(Welcome { version: 1, record: RECORD, head, machine: "m".into(), goes_on })
+fn welcome(head: u64, resumes_snapshot: bool) -> Kind {
+    Kind::Welcome(Welcome { version: 1, record_id: RECORD, head, machine: "m".into(), resumes_snapshot })
 }
 
-fn piece(number: u64, anew: bool, after: Option<&str>, through: u64, keys: &[(&str, Option<&str>)]) -> Kind {
+fn piece(number: u64, reset: bool, after: Option<&str>, through: u64, keys: &[(&str, Option<&str>)]) -> Kind {
     let entry = |(key, value): &(&str, Option<&str>)| {
         let value = value.map(|value| value.as_bytes().to_vec());
-        EntryTold { key: key.to_string(), place: through, value }
+        EntryMessage { key: key.to_string(), index: through, value }
     };
     let done = after.is_none();
     let after = after.map(str::to_string);
     let entries = keys.iter().map(entry).collect();
-    Kind::Changes(Changes { number, anew, after, through, done, entries, head: through, scope: 1 })
+    Kind::Changes(Changes { number, reset, after, through, done, entries, head: through, scope: 1 })
 }
 
 fn lost(acts: &[Act]) -> Option<&str> {
     acts.iter().find_map(|act| match act {
-        Act::Tell(Told::Lost(why)) => Some(why.as_str()),
+        Act::Tell(WatchEvent::Lost(why)) => Some(why.as_str()),
         _ => None,
     })
 }
@@ -96,71 +98,77 @@
 }
 
 fn state(client: &Client) -> BTreeMap<String, Vec<u8>> {
-    client.kept().entries.clone()
+    client.saved_state().entries.clone()
 }
 
 /// A client that is taken back when it changes machines.
 #[test]
 fn a_machine_that_is_behind_is_left_and_another_dialled() {
-    let mut one = One::new(home("p", MACHINES), Some(kept(50)));
+    let mut one = One::new(client_config("p", MACHINES), Some(kept(50)));
     let first = one.dials();
     let hello = one.does(|client, now, acts| client.opened(now, acts));
-    assert!(matches!(&hello[..], [Act::Say(Kind::Hello(Hello { place: 50, record: RECORD, .. }))]));
+    assert!(matches!(&hello[..], [Act::Say(Kind::Hello(Hello { index: 50, record_id: RECORD, .. }))]));
     let acts = one.word(welcome(49, false));
     assert!(cut(&acts) && lost(&acts).is_some_and(|why| why.contains("49")), "{acts:?}");
-    assert_eq!((one.client.place(), one.client.watching()), (50, None));
+    assert_eq!((one.client.index(), one.client.watching()), (50, None));
     assert_ne!(one.dials(), first);
 
     // Another record's state is none.
     one.does(|client, now, acts| client.opened(now, acts));
-    let other =
-        Kind::Welcome(Welcome { version: 1, record: 9, head: 900, machine: "m".into(), goes_on: false });
+    let other = Kind::Welcome(Welcome {
+        version: 1,
+        record_id: 9,
+        head: 900,
+        machine: "m".into(),
+        resumes_snapshot: false,
+    });
     assert!(cut(&one.word(other)));
     one.asks();
-    let other = Kind::Welcome(Welcome { version: 2, record: RECORD, head: 60, ..Welcome::default() });
+    let other = Kind::Welcome(Welcome { version: 2, record_id: RECORD, head: 60, ..Welcome::default() });
     assert!(lost(&one.word(other)).is_some_and(|why| why.contains("version 2")));
     // Nor does a piece bring it back, whatever the welcome said.
     assert!(
-        one.watches(60).contains(&Act::Tell(Told::Watching("m0".into()))) || one.client.watching().is_some()
+        one.watches(60).contains(&Act::Tell(WatchEvent::Watching("m0".into())))
+            || one.client.watching().is_some()
     );
     assert!(cut(&one.word(piece(1, false, None, 49, &[("zone/z", Some("off"))]))));
     assert!(!cut(&one.watches(60)));
     assert!(cut(&one.word(piece(1, true, None, 49, &[]))));
-    assert_eq!((one.client.place(), state(&one.client)), (50, kept(50).entries));
+    assert_eq!((one.client.index(), state(&one.client)), (50, kept(50).entries));
 }
 
 #[test]
 fn pieces_apply_as_one_and_in_their_order() {
-    let mut one = One::new(home("p", MACHINES), Some(kept(50)));
+    let mut one = One::new(client_config("p", MACHINES), Some(kept(50)));
     one.watches(60);
     let mut more = piece(1, false, None, 52, &[("route/r", Some("a")), ("zone/z", None)]);
     if let Kind::Changes(changes) = &mut more {
         changes.done = false;
     }
     let acts = one.word(more);
-    assert!(matches!(&acts[..], [Act::Say(Kind::Took(took))] if (took.number, took.applied) == (1, 50)));
-    assert_eq!((one.client.place(), one.client.held()), (50, 2));
+    assert!(matches!(&acts[..], [Act::Say(Kind::Ack(took))] if (took.number, took.applied) == (1, 50)));
+    assert_eq!((one.client.index(), one.client.pending_len()), (50, 2));
     let acts = one.word(piece(2, false, None, 60, &[("route/r", Some("b"))]));
     let entries = vec![("route/r".to_string(), Some(b"b".to_vec())), ("zone/z".to_string(), None)];
-    assert!(acts.contains(&Act::Tell(Told::Changed { place: 60, anew: false, entries })));
-    assert_eq!((one.client.place(), state(&one.client).len()), (60, 1));
+    assert!(acts.contains(&Act::Tell(WatchEvent::Changed { index: 60, reset: false, entries })));
+    assert_eq!((one.client.index(), state(&one.client).len()), (60, 1));
     let acts = one.word(piece(4, false, None, 61, &[]));
     assert!(lost(&acts).is_some_and(|why| why.contains("order")));
 }
 
 #[test]
 fn a_snapshot_broken_off_goes_on_elsewhere_or_is_dropped() {
-    let mut one = One::new(home("p", MACHINES), None);
+    let mut one = One::new(client_config("p", MACHINES), None);
     one.watches(60);
     one.word(piece(1, true, Some("route/r"), 60, &[("route/r", Some("a"))]));
     one.does(|client, now, acts| client.closed(now, "gone", acts));
-    let broken = one.asks().broken_off.expect("it was broken off");
+    let broken = one.asks().partial_snapshot.expect("it was broken off");
     assert_eq!((broken.base, &*broken.after, broken.seen, broken.all_keys), (60, "route/r", 60, false));
     one.word(welcome(70, true));
     one.word(piece(1, false, None, 70, &[("zone/z", Some("on"))]));
     assert_eq!(state(&one.client).keys().collect::<Vec<_>>(), ["route/r", "zone/z"]);
 
-    let mut one = One::new(home("p", MACHINES), None);
+    let mut one = One::new(client_config("p", MACHINES), None);
     one.watches(60);
     one.word(piece(1, true, Some("route/r"), 60, &[("route/r", Some("a"))]));
     one.does(|client, now, acts| client.closed(now, "gone", acts));
@@ -175,33 +183,33 @@
 
 #[test]
 fn another_scope_comes_anew_before_anything_of_it_counts() {
-    let mut one = One::new(home("p", MACHINES), Some(kept(50)));
+    let mut one = One::new(client_config("p", MACHINES), Some(kept(50)));
     one.watches(60);
     let scope = Scope { servers: None, routes: Some(["r".to_string()].into()) };
     let acts = one.does(|client, now, acts| client.rescope(now, scope.clone(), acts));
     assert!(matches!(&acts[..], [Act::Say(Kind::Rescope(told))] if told.number == 2));
     // What was on its way is of the old one: taken, and not applied.
     let acts = one.word(piece(1, false, None, 55, &[("zone/z", Some("off"))]));
-    assert!(matches!(&acts[..], [Act::Say(Kind::Took(_))]));
-    assert_eq!((one.client.place(), state(&one.client)), (50, kept(50).entries));
+    assert!(matches!(&acts[..], [Act::Say(Kind::Ack(_))]));
+    assert_eq!((one.client.index(), state(&one.client)), (50, kept(50).entries));
     // Broken off here, the next machine is told that what is held is of another scope.
     one.does(|client, now, acts| client.closed(now, "gone", acts));
     let hello = one.asks();
-    assert_eq!((hello.place, hello.anew, hello.scope.routes.len()), (50, true, 1));
+    assert_eq!((hello.index, hello.reset, hello.scope.routes.len()), (50, true, 1));
     one.word(welcome(60, false));
     let mut whole = piece(1, true, None, 60, &[("route/r", Some("a"))]);
     if let Kind::Changes(changes) = &mut whole {
         changes.scope = 2;
     }
     one.word(whole);
-    assert_eq!((one.client.place(), one.client.kept().scope.clone()), (60, Some(scope.clone())));
+    assert_eq!((one.client.index(), one.client.saved_state().scope.clone()), (60, Some(scope.clone())));
     // On its disk, it is of the scope that it says.
-    let read = Kept::read(&one.client.kept().write()).expect("it was just written");
-    assert_eq!(&read, one.client.kept());
-    assert!(One::new(home("p", MACHINES), Some(read)).asks().anew);
-    let mut bytes = one.client.kept().write();
+    let read = SavedState::decode(&one.client.saved_state().encode()).expect("it was just written");
+    assert_eq!(&read, one.client.saved_state());
+    assert!(One::new(client_config("p", MACHINES), Some(read)).asks().reset);
+    let mut bytes = one.client.saved_state().encode();
     bytes[11] ^= 1;
-    assert!(Kept::read(&bytes).is_err() && Kept::read(&[]).is_err());
+    assert!(SavedState::decode(&bytes).is_err() && SavedState::decode(&[]).is_err());
 }
 
 /// A scope that no word holds is widened, not cut.
@@ -209,19 +217,19 @@
 fn a_scope_too_long_is_all() {
     let names = (0..4_000).map(|at| format!("{at:0200}")).collect();
     let scope = Scope { servers: Some(names), routes: Some(Default::default()) };
-    let mut one = One::new(Home { scope, ..home("p", MACHINES) }, None);
+    let mut one = One::new(ClientConfig { scope, ..client_config("p", MACHINES) }, None);
     let hello = one.asks();
     assert!(hello.scope.all_servers && hello.scope.all_routes);
 }
 
 #[test]
 fn age_is_counted_from_when_it_was_asked_and_only_in_force() {
-    let mut one = One::new(home("p", MACHINES), Some(kept(50)));
+    let mut one = One::new(client_config("p", MACHINES), Some(kept(50)));
     let acts = one.watches(60);
     let [Act::Tell(_), Act::Say(Kind::Ping(ping))] = &acts[..] else { panic!("{acts:?}") };
     assert_eq!((ping.applied, ping.echo), (50, 0));
     one.now = one.now + Span::millis(400);
-    let alive = |token, age_ms| Kind::Alive(Alive { token, head: 60, age_ms });
+    let alive = |token, age_ms| Kind::Pong(Pong { token, head: 60, age_ms });
     one.word(alive(ping.token, Some(30)));
     assert_eq!(one.client.age(one.now), None, "60 is not told yet");
     one.word(piece(1, false, None, 60, &[]));
@@ -245,7 +253,7 @@
 
 #[test]
 fn a_machine_that_is_not_heard_is_left() {
-    let mut one = One::new(home("p", MACHINES), Some(kept(50)));
+    let mut one = One::new(client_config("p", MACHINES), Some(kept(50)));
     one.watches(50);
     let since = one.now;
     let mut pings = 0;
@@ -264,7 +272,7 @@
     // Later is a word of life, and no piece needs to come.
     one.watches(50);
     one.now = one.now + Span::millis(2_900);
-    one.word(Kind::Later(Later { in_ms: 900 }));
+    one.word(Kind::SnapshotDelayed(SnapshotDelayed { in_ms: 900 }));
     one.now = one.now + Span::millis(2_000);
     let due = one.client.due(one.now).expect("it looks");
     assert!(!cut(&one.does(|client, now, acts| client.tick(now, due, acts))));
@@ -272,9 +280,9 @@
 
 #[test]
 fn a_refusal_is_kept_to() {
-    let mut one = One::new(home("p", &["m0"]), None);
+    let mut one = One::new(client_config("p", &["m0"]), None);
     one.asks();
-    let refuse = Refuse { reason: Reason::Full as i32, why: "full".into(), again_ms: 4_000 };
+    let refuse = Refuse { reason: Reason::Full as i32, detail: "full".into(), retry_after_ms: 4_000 };
     let acts = one.word(Kind::Refuse(refuse));
     assert!(lost(&acts).is_some_and(|why| why.contains("Full")));
     let at = one.now;
@@ -287,7 +295,7 @@
 fn reconnects_are_spread_by_full_jitter() {
     let mut choices: Vec<Choice> = (0..1_000)
         .map(|at| {
-            let Home { planner, machines, seed, .. } = home(&format!("p{at}"), MACHINES);
+            let ClientConfig { planner, machines, seed, .. } = client_config(&format!("p{at}"), MACHINES);
             Choice::new(&planner, machines, seed)
         })
         .collect();
@@ -308,7 +316,7 @@
     }
     // The same seed, the same pauses.
     let again = |seed| {
-        let mut choice = Choice::new("p", home("p", MACHINES).machines, seed);
+        let mut choice = Choice::new("p", client_config("p", MACHINES).machines, seed);
         (0..4).for_each(|_| choice.over(ms(0), 0, None));
         format!("{:?}", choice.next(ms(0)))
     };
@@ -323,7 +331,7 @@
     let mut first: BTreeMap<String, usize> = BTreeMap::new();
     let mut second: BTreeMap<String, usize> = BTreeMap::new();
     for at in 0..3_800 {
-        let Home { planner, machines, seed, .. } = home(&format!("planner-{at}"), &names);
+        let ClientConfig { planner, machines, seed, .. } = client_config(&format!("planner-{at}"), &names);
         let choice = Choice::new(&planner, machines, seed);
         let order: Vec<&str> = choice.order().collect();
         *first.entry(order[0].into()).or_default() += 1;
@@ -339,7 +347,7 @@
 
 #[test]
 fn one_that_left_does_nothing_more() {
-    let mut one = One::new(home("p", MACHINES), Some(kept(50)));
+    let mut one = One::new(client_config("p", MACHINES), Some(kept(50)));
     one.watches(50);
     let acts = one.does(|client, now, acts| client.leave(now, acts));
     assert!(matches!(&acts[..], [Act::Say(Kind::Leave(_)), Act::Finish]));
--- a/crates/watch/tests/common/mod.rs
+++ b/crates/watch/tests/common/mod.rs
@@ -5,9 +5,9 @@
 use pewtergap_protocol::Frames;
 use pewtergap_time::{Moment, Span};
 use pewtergap_watch::client::{Act as Up, Client};
+use pewtergap_watch::messages::{Changes, Hello, Kind, Ping, ScopeMessage, WatchMessage};
 use pewtergap_watch::server::{Act as Down, Server};
-use pewtergap_watch::words::{Changes, Hello, Kind, Ping, ScopeTold, Word};
-use pewtergap_watch::{Home, Kept, Scope, Terms, Told};
+use pewtergap_watch::{ClientConfig, SavedState, Scope, WatchConfig, WatchEvent};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
@@ -19,7 +19,7 @@
 }
 
 pub fn decode(frame: &[u8]) -> Kind {
-    let mut frames = Frames::<Word>::default();
+    let mut frames = Frames::<WatchMessage>::default();
     frames.push(frame);
     frames.take().expect("it can be read").expect("it is whole").kind.expect("it says something")
 }
@@ -32,32 +32,40 @@
     (key.into(), None)
 }
 
-pub fn all() -> ScopeTold {
-    Scope::ALL.told(1)
+pub fn all() -> ScopeMessage {
+    Scope::ALL.to_message(1)
 }
 
-pub fn hello(planner: &str, place: u64) -> Hello {
-    let record = if place > 0 { RECORD } else { 0 };
+pub fn hello(planner: &str, index: u64) -> Hello {
+    let record_id = if index > 0 { RECORD } else { 0 };
     let planner = planner.into();
     Hello {
-        lowest: 1,
-        highest: 1,
-        record,
-        place,
+        min_version: 1,
+        max_version: 1,
+        record_id,
+        index,
         planner,
         start: 1,
-        turn: 1,
+        watch_number: 1,
         scope: all(),
         ..Hello::default()
     }
 }
 
-pub fn home(planner: &str, machines: &[&str]) -> Home {
+pub fn client_config(planner: &str, machines: &[&str]) -> ClientConfig {
     let address = |at: usize| SocketAddr::from(([127, 0, 0, 1], 1_000 + at as u16));
     let machines = machines.iter().enumerate().map(|(at, name)| (name.to_string(), address(at))).collect();
     let seed = planner.bytes().fold(7, |seed, byte| seed * 31 + u64::from(byte));
-    let terms = Terms::default();
-    Home { planner: planner.into(), start: 1, machines, scope: Scope::ALL, from: None, seed, terms }
+    let config = WatchConfig::default();
+    ClientConfig {
+        planner: planner.into(),
+        start: 1,
+        machines,
+        scope: Scope::ALL,
+        source_ip: None,
+        seed,
+        watch_config: config,
+    }
 }
 
 /// A machine alone, and what it said.
@@ -68,23 +76,23 @@
 }
 
 impl Machine {
-    pub fn new(terms: Terms) -> Machine {
-        let mut server = Server::new(terms, "m0".into(), 5);
-        server.stands(BEGIN, RECORD, &mut Vec::new());
+    pub fn new(config: WatchConfig) -> Machine {
+        let mut server = Server::new(config, "m0".into(), 5);
+        server.set_record_id(BEGIN, RECORD, &mut Vec::new());
         Machine { server, now: BEGIN, acts: Vec::new() }
     }
 
     /// Several keys a place, so many bytes each.
-    pub fn filled(terms: Terms, places: u64, bytes: usize) -> Machine {
-        let mut machine = Machine::new(terms);
-        for place in 1..=places {
-            machine.apply(place, vec![(format!("zone/{place:05}"), Some(vec![place as u8; bytes]))]);
+    pub fn filled(config: WatchConfig, indexes: u64, bytes: usize) -> Machine {
+        let mut machine = Machine::new(config);
+        for index in 1..=indexes {
+            machine.apply(index, vec![(format!("zone/{index:05}"), Some(vec![index as u8; bytes]))]);
         }
         machine
     }
 
-    pub fn apply(&mut self, place: u64, changes: Vec<(String, Option<Vec<u8>>)>) {
-        self.server.apply(self.now, place, changes, &mut self.acts);
+    pub fn apply(&mut self, index: u64, changes: Vec<(String, Option<Vec<u8>>)>) {
+        self.server.apply(self.now, index, changes, &mut self.acts);
     }
 
     pub fn accepted(&mut self, link: u64) {
@@ -143,8 +151,8 @@
     pub client: Client,
     /// What the caller has in force.
     pub state: BTreeMap<String, Vec<u8>>,
-    pub place: u64,
-    pub told: Vec<(Moment, Told)>,
+    pub index: u64,
+    pub told: Vec<(Moment, WatchEvent)>,
     /// It takes nothing of what it is sent while this is false.
     pub reads: bool,
     link: Option<Link>,
@@ -173,7 +181,7 @@
     wire: VecDeque<(Moment, Item)>,
     way: Span,
     /// The most snapshots that any machine had under way.
-    pub most_snapshots: usize,
+    pub max_snapshots: usize,
     pub pieces: u64,
 }
 
@@ -187,21 +195,21 @@
             made: 0,
             wire: VecDeque::new(),
             way: Span::millis(2),
-            most_snapshots: 0,
+            max_snapshots: 0,
             pieces: 0,
         }
     }
 
-    pub fn planner(&mut self, home: Home, kept: Option<Kept>) -> usize {
+    pub fn planner(&mut self, client_config: ClientConfig, kept: Option<SavedState>) -> usize {
         let state = kept.as_ref().map(|kept| kept.entries.clone()).unwrap_or_default();
-        let place = kept.as_ref().map_or(0, |kept| kept.place);
-        let mut client = Client::new(home, kept);
+        let index = kept.as_ref().map_or(0, |kept| kept.index);
+        let mut client = Client::new(client_config, kept);
         client.started(self.now);
         let wake = client.due(self.now);
         self.planners.push(Planner {
             client,
             state,
-            place,
+            index,
             told: Vec::new(),
             reads: true,
             link: None,
@@ -212,15 +220,15 @@
         self.planners.len() - 1
     }
 
-    pub fn apply(&mut self, place: u64, changes: &[(String, Option<Vec<u8>>)]) {
+    pub fn apply(&mut self, index: u64, changes: &[(String, Option<Vec<u8>>)]) {
         let at: Vec<SocketAddr> = self.servers.keys().copied().collect();
-        at.into_iter().for_each(|at| self.apply_at(at, place, changes));
+        at.into_iter().for_each(|at| self.apply_at(at, index, changes));
     }
 
-    pub fn apply_at(&mut self, at: SocketAddr, place: u64, changes: &[(String, Option<Vec<u8>>)]) {
+    pub fn apply_at(&mut self, at: SocketAddr, index: u64, changes: &[(String, Option<Vec<u8>>)]) {
         let mut acts = Vec::new();
         if let Some(server) = self.servers.get_mut(&at) {
-            server.apply(self.now, place, changes.to_vec(), &mut acts);
+            server.apply(self.now, index, changes.to_vec(), &mut acts);
         }
         self.down(acts);
     }
@@ -271,12 +279,12 @@
         self.planners[planner].wake = due;
     }
 
-    fn tell(&mut self, at: usize, told: Told) {
+    fn tell(&mut self, at: usize, told: WatchEvent) {
         let planner = &mut self.planners[at];
         planner.told.push((self.now, told.clone()));
         match told {
-            Told::Changed { place, anew, entries } => {
-                if anew {
+            WatchEvent::Changed { index, reset, entries } => {
+                if reset {
                     planner.state.clear();
                 }
                 for (key, value) in entries {
@@ -285,13 +293,13 @@
                         None => drop(planner.state.remove(&key)),
                     }
                 }
-                planner.place = place;
+                planner.index = index;
                 let mut acts = Vec::new();
-                planner.client.applied(self.now, place, &mut acts);
+                planner.client.applied(self.now, index, &mut acts);
                 self.up(at, acts);
             }
-            Told::Watching(_) => drop(planner.watched.get_or_insert(self.now)),
-            Told::Lost(_) => planner.watched = None,
+            WatchEvent::Watching(_) => drop(planner.watched.get_or_insert(self.now)),
+            WatchEvent::Lost(_) => planner.watched = None,
         }
     }
 
@@ -393,8 +401,8 @@
                     }
                 }
             }
-            let most = self.servers.values().map(|server| server.view().snapshots).max();
-            self.most_snapshots = self.most_snapshots.max(most.unwrap_or(0));
+            let most = self.servers.values().map(|server| server.stats().snapshots_active).max();
+            self.max_snapshots = self.max_snapshots.max(most.unwrap_or(0));
         }
         self.now = moment;
     }
--- a/crates/watch/tests/roster.rs
+++ b/crates/watch/tests/roster.rs
@@ -1,8 +1,8 @@
 //! Who has what in force: planners that restart, move, leave, are lost with their machine; words that come late.
 
 use pewtergap_time::{Moment, Span};
+use pewtergap_watch::messages::{RosterRow, RosterUpdate, MOST_ROWS};
 use pewtergap_watch::roster::{Roster, MOST_KNOWN, MOST_MACHINES};
-use pewtergap_watch::words::{RosterTold, Row, MOST_ROWS};
 
 fn ms(ms: u64) -> Moment {
     Moment(1_000_000_000_000) + Span::millis(ms)
@@ -30,8 +30,8 @@
             self.now += 100;
             let now = ms(self.now);
             if self.now.is_multiple_of(1_000) {
-                for (planner, start, turn, applied, at) in &self.heard {
-                    self.rosters[*at].heard(planner, (*start, *turn), *applied, now);
+                for (planner, start, watch_number, applied, at) in &self.heard {
+                    self.rosters[*at].planner_heard(planner, (*start, *watch_number), *applied, now);
                 }
             }
             for from in 0..self.rosters.len() {
@@ -39,8 +39,8 @@
                     if self.cut.contains(&(from, to)) {
                         continue;
                     }
-                    for word in self.rosters[from].words(now, &format!("m{to}")) {
-                        self.rosters[to].told(now, &format!("m{from}"), word).expect("it is well formed");
+                    for word in self.rosters[from].updates_for(now, &format!("m{to}")) {
+                        self.rosters[to].receive(now, &format!("m{from}"), word).expect("it is well formed");
                     }
                 }
             }
@@ -48,8 +48,8 @@
     }
 
     /// (expected, at or past, unheard) of a place, as this machine knows it.
-    fn count(&self, at: usize, place: u64) -> (usize, usize, usize) {
-        let found = self.rosters[at].in_force(ms(self.now), place);
+    fn count(&self, at: usize, index: u64) -> (usize, usize, usize) {
+        let found = self.rosters[at].in_force(ms(self.now), index);
         assert_eq!(found.heard + found.unheard_count, found.expected);
         (found.expected, found.at_or_past, found.unheard_count)
     }
@@ -90,7 +90,7 @@
     tier.pass(2_000);
     assert_eq!((tier.count(0, 9), tier.count(1, 9), tier.count(0, 0)), ((1, 0, 0), (1, 0, 0), (1, 1, 0)));
     // What its old start said comes late, and counts nowhere.
-    tier.rosters[0].heard("a", (1, 4), 9, ms(tier.now));
+    tier.rosters[0].planner_heard("a", (1, 4), 9, ms(tier.now));
     tier.pass(1_000);
     assert_eq!((tier.count(0, 9).1, tier.count(1, 9).1), (0, 0));
 }
@@ -103,7 +103,7 @@
     tier.heard = vec![("a", 1, 2, 0, 1)];
     tier.pass(1_000);
     // The old machine hears of its end only now.
-    tier.rosters[0].gone("a", (1, 1), false);
+    tier.rosters[0].watch_ended("a", (1, 1), false);
     tier.pass(1_000);
     (0..3).for_each(|at| assert_eq!(tier.count(at, 9), (1, 1, 0)));
 }
@@ -177,10 +177,11 @@
     assert_eq!((tier.count(0, 9), tier.count(2, 9)), ((2, 2, 0), (2, 1, 1)));
     // It goes quiet here, and what another says of that comes before the others are told.
     tier.heard.pop();
-    tier.rosters[0].gone("b", (1, 1), false);
-    let row = Row { planner: "b".into(), start: 1, turn: 1, applied: 9, ..Row::default() };
-    let word = RosterTold { token: 5, echo: 1, rows: vec![row], ..RosterTold::default() };
-    tier.rosters[0].told(ms(tier.now), "m1", word).expect("it is well formed");
+    tier.rosters[0].watch_ended("b", (1, 1), false);
+    let row =
+        RosterRow { planner: "b".into(), start: 1, watch_number: 1, applied: 9, ..RosterRow::default() };
+    let word = RosterUpdate { token: 5, echo: 1, rows: vec![row], ..RosterUpdate::default() };
+    tier.rosters[0].receive(ms(tier.now), "m1", word).expect("it is well formed");
     tier.pass(500);
     assert_eq!(tier.count(2, 9), (2, 0, 2));
 }
@@ -190,15 +191,15 @@
 fn first_words_that_are_lost() {
     let mut tier = Tier::new(2);
     tier.heard = vec![("a", 1, 1, 9, 0)];
-    assert!(tier.rosters[0].words(ms(0), "m1")[0].anew);
+    assert!(tier.rosters[0].updates_for(ms(0), "m1")[0].reset);
     tier.pass(2_500);
     assert_eq!(tier.count(1, 9), (0, 0, 0));
     tier.pass(4_000);
     assert_eq!(tier.count(1, 9), (1, 1, 0));
 
     let mut other = Roster::new("m1".into(), 2);
-    for word in tier.rosters[0].words(ms(tier.now), "m2") {
-        other.told(ms(tier.now), "m0", word).expect("it is well formed");
+    for word in tier.rosters[0].updates_for(ms(tier.now), "m2") {
+        other.receive(ms(tier.now), "m0", word).expect("it is well formed");
     }
     let found = other.in_force(ms(tier.now + 300), 9);
     assert_eq!((found.at_or_past, found.unheard), (0, vec![("a".to_string(), Span::millis(300))]));
@@ -210,11 +211,11 @@
     tier.heard = vec![("a", 1, 1, 9, 0), ("b", 1, 1, 9, 0), ("c", 1, 1, 9, 1)];
     tier.pass(2_000);
     tier.heard.remove(0);
-    tier.rosters[0].gone("a", (1, 1), true);
+    tier.rosters[0].watch_ended("a", (1, 1), true);
     tier.pass(1_000);
     (0..2).for_each(|at| assert_eq!(tier.count(at, 9), (2, 2, 0)));
     // An old word does not bring it back; a new start does.
-    tier.rosters[1].heard("a", (1, 0), 9, ms(tier.now));
+    tier.rosters[1].planner_heard("a", (1, 0), 9, ms(tier.now));
     assert_eq!(tier.count(1, 9), (2, 2, 0));
     tier.heard.push(("a", 2, 1, 9, 1));
     tier.pass(2_000);
@@ -234,11 +235,11 @@
 #[test]
 fn unheard_for_an_hour_is_forgotten_and_said() {
     let mut roster = Roster::new("m0".into(), 1);
-    roster.heard("a", (1, 1), 9, ms(0));
-    roster.gone("a", (1, 1), false);
-    roster.words(ms(3_500_000), "m1");
+    roster.planner_heard("a", (1, 1), 9, ms(0));
+    roster.watch_ended("a", (1, 1), false);
+    roster.updates_for(ms(3_500_000), "m1");
     assert_eq!(roster.in_force(ms(3_500_000), 1).unheard_count, 1);
-    roster.words(ms(3_600_001), "m1");
+    roster.updates_for(ms(3_600_001), "m1");
     assert_eq!((roster.size(), roster.forgotten.clone()), (0, vec!["a".to_string()]));
 }
 
@@ -246,12 +247,12 @@
 #[test]
 fn a_word_that_comes_late_vouches_for_then() {
     let (mut one, mut other) = (Roster::new("m0".into(), 1), Roster::new("m1".into(), 2));
-    for word in one.words(ms(0), "m1") {
-        other.told(ms(0), "m0", word).expect("it is well formed");
+    for word in one.updates_for(ms(0), "m1") {
+        other.receive(ms(0), "m0", word).expect("it is well formed");
     }
-    other.heard("a", (1, 1), 9, ms(0));
-    let late = other.words(ms(0), "m0");
-    late.into_iter().for_each(|word| one.told(ms(6_500), "m1", word).expect("it is well formed"));
+    other.planner_heard("a", (1, 1), 9, ms(0));
+    let late = other.updates_for(ms(0), "m0");
+    late.into_iter().for_each(|word| one.receive(ms(6_500), "m1", word).expect("it is well formed"));
     let (applied, quiet) =
         one.counted(ms(6_500), "a").expect("it is within the bound of what machines may be silent");
     assert!(applied == 9 && quiet >= Span::millis(6_500), "{quiet}");
@@ -265,26 +266,26 @@
     let mut other = Roster::new("m1".into(), 2);
     let most = MOST_KNOWN as u64;
     for at in 0..most + 10 {
-        one.heard(&format!("p{at}"), (1, 1), 9, ms(0));
+        one.planner_heard(&format!("p{at}"), (1, 1), 9, ms(0));
     }
     let found = one.in_force(ms(0), 9);
     assert_eq!((found.expected, found.at_or_past, found.uncounted), (MOST_KNOWN, MOST_KNOWN, 10));
     // One that left makes room.
-    one.gone("p1", (1, 1), true);
-    one.heard("p9000", (1, 2), 9, ms(0));
+    one.watch_ended("p1", (1, 1), true);
+    one.planner_heard("p9000", (1, 2), 9, ms(0));
     assert_eq!((one.size(), one.in_force(ms(0), 9).uncounted), (MOST_KNOWN, 10));
     let mut words = 0;
     for at in 0..10 {
         let now = ms(at * 200);
-        let told = one.words(now, "m1");
+        let told = one.updates_for(now, "m1");
         assert!(told.len() <= 4 && told.iter().all(|word| word.rows.len() <= MOST_ROWS));
         words += told.len();
-        told.into_iter().for_each(|word| other.told(now, "m0", word).expect("it is well formed"));
+        told.into_iter().for_each(|word| other.receive(now, "m0", word).expect("it is well formed"));
     }
     assert_eq!((other.size(), words), (MOST_KNOWN, 16 + 1));
-    let row = Row { planner: "p".into(), ..Row::default() };
-    let word = RosterTold { rows: vec![row; MOST_ROWS + 1], ..RosterTold::default() };
-    assert!(other.told(ms(0), "m0", word).is_err());
-    (0..MOST_MACHINES + 5).for_each(|at| drop(other.words(ms(0), &format!("x{at}"))));
-    assert!(other.told(ms(0), "x66", RosterTold::default()).is_err());
+    let row = RosterRow { planner: "p".into(), ..RosterRow::default() };
+    let word = RosterUpdate { rows: vec![row; MOST_ROWS + 1], ..RosterUpdate::default() };
+    assert!(other.receive(ms(0), "m0", word).is_err());
+    (0..MOST_MACHINES + 5).for_each(|at| drop(other.updates_for(ms(0), &format!("x{at}"))));
+    assert!(other.receive(ms(0), "x66", RosterUpdate::default()).is_err());
 }
--- a/crates/watch/tests/server.rs
+++ b/crates/watch/tests/server.rs
@@ -4,10 +4,12 @@
 
 use common::{all, decode, gone, hello, ms, set, Machine, RECORD};
 use pewtergap_node::Link;
+use pewtergap_watch::messages::{
+    Ack, Changes, Hello, Kind, Leave, PartialSnapshot, Reason, Refuse, MAX_CHUNKS_IN_FLIGHT,
+};
 use pewtergap_watch::pieces::{Position, Shared};
 use pewtergap_watch::server::{Act, MOST_STRANGERS};
-use pewtergap_watch::words::{BrokenOff, Changes, Hello, Kind, Leave, Reason, Refuse, Took, MOST_PIECES};
-use pewtergap_watch::{Cache, Scope, Terms};
+use pewtergap_watch::{Cache, Scope, WatchConfig};
 
 fn refused(said: &[Kind]) -> Option<Reason> {
     match said.last() {
@@ -23,7 +25,7 @@
 }
 
 fn took(number: u64, applied: u64) -> Kind {
-    Kind::Took(Took { number, applied })
+    Kind::Ack(Ack { number, applied })
 }
 
 #[test]
@@ -31,35 +33,35 @@
     let cases: &[(&str, Hello, Option<Reason>)] = &[
         ("nothing yet", hello("a", 0), None),
         ("as far as the machine", hello("a", 9), None),
-        ("another build", Hello { lowest: 2, highest: 3, ..hello("a", 0) }, Some(Reason::Version)),
-        ("an older build", Hello { lowest: 0, highest: 0, ..hello("a", 0) }, Some(Reason::Version)),
-        ("a newer build that speaks this too", Hello { highest: 7, ..hello("a", 0) }, None),
-        ("another record", Hello { record: 5, ..hello("a", 3) }, Some(Reason::Record)),
+        ("another build", Hello { min_version: 2, max_version: 3, ..hello("a", 0) }, Some(Reason::Version)),
+        ("an older build", Hello { min_version: 0, max_version: 0, ..hello("a", 0) }, Some(Reason::Version)),
+        ("a newer build that speaks this too", Hello { max_version: 7, ..hello("a", 0) }, None),
+        ("another record", Hello { record_id: 5, ..hello("a", 3) }, Some(Reason::Record)),
         ("further than the machine", hello("a", 10), Some(Reason::Behind)),
     ];
     for (what, hello, expected) in cases {
-        let mut machine = Machine::filled(Terms::default(), 9, 10);
+        let mut machine = Machine::filled(WatchConfig::default(), 9, 10);
         machine.comes(1, hello.clone());
         let said = machine.said(1);
         assert_eq!(refused(&said), *expected, "{what}");
         assert_eq!(matches!(said[0], Kind::Welcome(_)), expected.is_none(), "{what}");
-        assert_eq!(machine.server.view().watches, usize::from(expected.is_none()), "{what}");
+        assert_eq!(machine.server.stats().watches, usize::from(expected.is_none()), "{what}");
     }
 }
 
 #[test]
 fn without_a_record_stopping_and_full() {
-    let mut machine = Machine::filled(Terms { most_watches: 2, ..Terms::default() }, 3, 10);
+    let mut machine = Machine::filled(WatchConfig { max_watches: 2, ..WatchConfig::default() }, 3, 10);
     machine.comes(1, hello("a", 3));
     machine.comes(2, hello("b", 3));
     machine.comes(3, hello("c", 3));
     assert_eq!(refused(&machine.said(3)), Some(Reason::Full));
     // A newer watch of one that is here needs no other room; an older one is not taken in.
-    machine.comes(4, Hello { turn: 2, ..hello("b", 3) });
+    machine.comes(4, Hello { watch_number: 2, ..hello("b", 3) });
     assert_eq!(refused(&machine.said(2)), Some(Reason::Replaced));
     machine.comes(5, hello("b", 3));
     assert_eq!(refused(&machine.said(5)), Some(Reason::Replaced));
-    machine.comes(6, Hello { start: 0, turn: 9, ..hello("b", 3) });
+    machine.comes(6, Hello { start: 0, watch_number: 9, ..hello("b", 3) });
     assert_eq!(refused(&machine.said(6)), Some(Reason::Replaced));
     assert!(matches!(machine.said(4)[..], [Kind::Welcome(_)]));
     machine.server.stop(machine.now, &mut machine.acts);
@@ -69,10 +71,10 @@
     );
     machine.accepted(7);
     assert_eq!(refused(&machine.said(7)), Some(Reason::Stopping));
-    let counts = machine.server.view().refused;
+    let counts = machine.server.stats().refused;
     assert_eq!((counts[&Reason::Replaced], counts[&Reason::Full], counts[&Reason::Stopping]), (3, 1, 3));
 
-    let mut server = pewtergap_watch::server::Server::new(Terms::default(), "m".into(), 1);
+    let mut server = pewtergap_watch::server::Server::new(WatchConfig::default(), "m".into(), 1);
     let mut acts = Vec::new();
     server.accepted(ms(0), Link(1), &mut acts);
     server.word(ms(0), Link(1), Kind::Hello(hello("a", 0)), &mut acts);
@@ -82,9 +84,9 @@
 
 #[test]
 fn strangers_are_bounded_and_closed() {
-    let mut machine = Machine::filled(Terms::default(), 1, 1);
+    let mut machine = Machine::filled(WatchConfig::default(), 1, 1);
     (0..MOST_STRANGERS as u64 + 5).for_each(|link| machine.accepted(link));
-    assert_eq!(machine.server.view().strangers, MOST_STRANGERS);
+    assert_eq!(machine.server.stats().unidentified, MOST_STRANGERS);
     assert_eq!(machine.acts.iter().filter(|act| matches!(act, Act::Cut(_))).count(), 5);
     machine.pass(2_000);
     assert_eq!(refused(&machine.said(0)), Some(Reason::Deaf));
@@ -104,26 +106,30 @@
         (
             "more in force than was told",
             true,
-            Kind::Ping(pewtergap_watch::words::Ping { token: 1, applied: 2, echo: 0 }),
+            Kind::Ping(pewtergap_watch::messages::Ping { token: 1, applied: 2, echo: 0 }),
+        ),
+        (
+            "a machine's word",
+            true,
+            Kind::SnapshotDelayed(pewtergap_watch::messages::SnapshotDelayed { in_ms: 1 }),
         ),
-        ("a machine's word", true, Kind::Later(pewtergap_watch::words::Later { in_ms: 1 })),
     ];
     for (what, after_hello, word) in cases {
-        let mut machine = Machine::filled(Terms::default(), 1, 1);
+        let mut machine = Machine::filled(WatchConfig::default(), 1, 1);
         machine.accepted(1);
         if *after_hello {
             machine.say(1, Kind::Hello(hello("a", 1)));
         }
         machine.say(1, word.clone());
         assert_eq!(refused(&machine.said(1)), Some(Reason::Bad), "{what}");
-        assert_eq!(machine.server.view().watches, 0, "{what}");
+        assert_eq!(machine.server.stats().watches, 0, "{what}");
     }
 }
 
 /// A hot key whose watchers all wake at once: told at once after quiet, then once a pace, and once each time.
 #[test]
 fn a_hot_key_is_told_once_a_pace() {
-    let mut machine = Machine::filled(Terms::default(), 1, 1);
+    let mut machine = Machine::filled(WatchConfig::default(), 1, 1);
     let watchers = 100;
     for link in 0..watchers {
         machine.comes(link, hello(&format!("p{link}"), 1));
@@ -151,13 +157,13 @@
         assert_eq!(told.last().map(|told| told.1), Some(101));
     }
     // What all are told is made once.
-    let view = machine.server.view();
-    assert!(view.made <= 12 && view.shared >= 1_000, "{view:?}");
+    let view = machine.server.stats();
+    assert!(view.chunks_built <= 12 && view.chunks_reused >= 1_000, "{view:?}");
 }
 
 #[test]
 fn a_delete_is_never_lost_by_coalescing() {
-    let mut machine = Machine::new(Terms::default());
+    let mut machine = Machine::new(WatchConfig::default());
     machine.apply(1, vec![set("route/r", "a"), set("zone/z", "on")]);
     machine.comes(1, hello("a", 1));
     machine.apply(2, vec![set("route/x", "1")]);
@@ -174,12 +180,12 @@
     machine.pass(100);
     let [piece] = &machine.pieces(1)[..] else { panic!("one piece") };
     assert_eq!(keys(piece), [("zone/z", Some("off")), ("route/r", None), ("route/y", None)]);
-    assert_eq!((piece.through, piece.done, piece.anew), (7, true, false));
+    assert_eq!((piece.through, piece.done, piece.reset), (7, true, false));
 }
 
 #[test]
 fn a_word_of_life_waits_behind_no_more_than_two_pieces() {
-    let mut machine = Machine::filled(Terms::default(), 100, 4_000);
+    let mut machine = Machine::filled(WatchConfig::default(), 100, 4_000);
     machine.comes(1, hello("a", 0));
     let mut behind = 0;
     let mut told = 0;
@@ -188,24 +194,26 @@
         let said = machine.said(1);
         let before: Vec<u64> = said
             .iter()
-            .take_while(|kind| !matches!(kind, Kind::Alive(_)))
+            .take_while(|kind| !matches!(kind, Kind::Pong(_)))
             .filter_map(|kind| match kind {
                 Kind::Changes(changes) => Some(changes.number),
                 _ => None,
             })
             .collect();
         // All that is on its way and not taken lies before this answer.
-        assert!(before.len() <= MOST_PIECES && machine.server.most_flight() <= MOST_PIECES);
+        assert!(
+            before.len() <= MAX_CHUNKS_IN_FLIGHT && machine.server.max_in_flight() <= MAX_CHUNKS_IN_FLIGHT
+        );
         behind = behind.max(before.len());
         told += before.len();
         before.into_iter().for_each(|number| machine.say(1, took(number, 0)));
     }
-    assert_eq!((behind, told), (MOST_PIECES, 25));
+    assert_eq!((behind, told), (MAX_CHUNKS_IN_FLIGHT, 25));
 }
 
 #[test]
 fn one_that_takes_nothing_is_closed_and_one_that_is_silent() {
-    let mut machine = Machine::filled(Terms::default(), 100, 4_000);
+    let mut machine = Machine::filled(WatchConfig::default(), 100, 4_000);
     machine.comes(1, hello("deaf", 0));
     machine.comes(2, hello("silent", 100));
     machine.comes(3, hello("fine", 100));
@@ -219,42 +227,42 @@
         }
     }
     assert_eq!(ended, [(4, 2, Reason::Deaf), (5, 1, Reason::Deaf)]);
-    assert_eq!(machine.server.view().watches, 1);
+    assert_eq!(machine.server.stats().watches, 1);
 }
 
 /// A machine that was stopped does not hold its planners for silent before it has read what waits.
 #[test]
 fn after_a_stop_of_its_own_all_are_heard_first() {
-    let mut machine = Machine::filled(Terms::default(), 1, 1);
+    let mut machine = Machine::filled(WatchConfig::default(), 1, 1);
     machine.comes(1, hello("a", 1));
     machine.now = ms(10_000);
     machine.server.tick(machine.now, &mut machine.acts);
     assert!(refused(&machine.said(1)).is_none());
     machine.ping(1, 1, 1);
     machine.pass(3_900);
-    assert_eq!(machine.server.view().watches, 1);
+    assert_eq!(machine.server.stats().watches, 1);
     machine.pass(200);
     assert_eq!(refused(&machine.said(1)), Some(Reason::Deaf));
 }
 
 #[test]
 fn compaction_while_a_snapshot_is_told_begins_it_anew() {
-    let mut machine = Machine::filled(Terms { most_tombstones: 2, ..Terms::default() }, 40, 4_000);
+    let mut machine = Machine::filled(WatchConfig { max_tombstones: 2, ..WatchConfig::default() }, 40, 4_000);
     machine.comes(1, hello("a", 0));
     let first = machine.pieces(1);
-    assert!(first[0].anew && !first[1].anew && first[1].after.is_some());
+    assert!(first[0].reset && !first[1].reset && first[1].after.is_some());
     // Keys that were told go, and are forgotten.
-    for place in 41..=44 {
-        machine.apply(place, vec![gone(&format!("zone/{:05}", place - 40))]);
+    for index in 41..=44 {
+        machine.apply(index, vec![gone(&format!("zone/{:05}", index - 40))]);
     }
     machine.say(1, took(1, 0));
     let next = machine.pieces(1);
-    assert!(next[0].anew, "{:?}", next[0].after);
+    assert!(next[0].reset, "{:?}", next[0].after);
     assert_eq!(keys(&next[0])[0].0, "zone/00005");
     // A base that is not forgotten goes on.
     machine.apply(45, vec![gone("zone/00005")]);
     machine.say(1, took(2, 0));
-    assert!(machine.pieces(1).iter().all(|piece| !piece.anew));
+    assert!(machine.pieces(1).iter().all(|piece| !piece.reset));
 }
 
 /// Several keys of one place, of which a watcher was told some before another was forgotten.
@@ -263,7 +271,7 @@
     let mut cache = Cache::remembering(1);
     cache.apply(1, [set("a", "1"), set("b", "1")]);
     cache.apply(2, [set("a", "2"), gone("b")]);
-    let partly = Position::Beyond { place: 2, within: 0, through: 1 };
+    let partly = Position::Beyond { index: 2, within: 0, through: 1 };
     assert!(!partly.lost(&cache));
     cache.apply(3, [set("c", "1")]);
     cache.apply(4, [gone("c")]);
@@ -273,50 +281,54 @@
 
 #[test]
 fn a_snapshot_broken_off_goes_on_at_another_machine() {
-    let mut one = Machine::filled(Terms::default(), 40, 4_000);
+    let mut one = Machine::filled(WatchConfig::default(), 40, 4_000);
     one.comes(1, hello("a", 0));
     let told = one.pieces(1);
     let last = told.last().expect("two pieces");
     let after = last.after.clone().expect("keys are told");
-    let broken = BrokenOff { base: last.through, after: after.clone(), seen: last.head, all_keys: false };
-    let goes_on = |machine: &mut Machine, broken: &BrokenOff| {
-        machine.comes(1, Hello { broken_off: Some(broken.clone()), ..hello("a", 0) });
+    let broken =
+        PartialSnapshot { base: last.through, after: after.clone(), seen: last.head, all_keys: false };
+    let resumes_snapshot = |machine: &mut Machine, broken: &PartialSnapshot| {
+        machine.comes(1, Hello { partial_snapshot: Some(broken.clone()), ..hello("a", 0) });
         let said = machine.said(1);
         let Kind::Welcome(welcome) = &said[0] else { panic!("{said:?}") };
         let Kind::Changes(first) = &said[1] else { panic!("{said:?}") };
-        (welcome.goes_on, first.anew, first.entries[0].key.clone())
+        (welcome.resumes_snapshot, first.reset, first.entries[0].key.clone())
     };
     let next = format!("zone/{:05}", after[5..].parse::<u64>().expect("a number") + 1);
     assert_eq!(
-        goes_on(&mut Machine::filled(Terms::default(), 40, 4_000), &broken),
+        resumes_snapshot(&mut Machine::filled(WatchConfig::default(), 40, 4_000), &broken),
         (true, false, next.clone())
     );
     // One that is further has what changed since.
-    assert_eq!(goes_on(&mut Machine::filled(Terms::default(), 50, 4_000), &broken), (true, false, next));
+    assert_eq!(
+        resumes_snapshot(&mut Machine::filled(WatchConfig::default(), 50, 4_000), &broken),
+        (true, false, next)
+    );
     // One that is behind what was seen, and one that does not know what went since the base, begin anew.
     let first = "zone/00001".to_string();
-    let seen = BrokenOff { seen: 45, ..broken.clone() };
+    let seen = PartialSnapshot { seen: 45, ..broken.clone() };
     assert_eq!(
-        goes_on(&mut Machine::filled(Terms::default(), 44, 4_000), &seen),
+        resumes_snapshot(&mut Machine::filled(WatchConfig::default(), 44, 4_000), &seen),
         (false, true, first.clone())
     );
-    let mut restored = Machine::filled(Terms::default(), 40, 4_000);
+    let mut restored = Machine::filled(WatchConfig::default(), 40, 4_000);
     let all = (1..=41).map(|at| (format!("zone/{at:05}"), vec![1; 4_000])).collect();
     restored.server.restore(restored.now, 41, all, &mut restored.acts);
-    assert_eq!(goes_on(&mut restored, &broken), (false, true, first));
+    assert_eq!(resumes_snapshot(&mut restored, &broken), (false, true, first));
 }
 
 #[test]
 fn another_record_and_another_scope() {
-    let mut machine = Machine::new(Terms::default());
+    let mut machine = Machine::new(WatchConfig::default());
     machine.apply(1, vec![set("server/s1", "a"), set("server/s2", "b"), set("releases", "r")]);
     machine.comes(1, hello("a", 1));
     let scope = Scope { servers: Some(["s2".to_string()].into()), routes: None };
     machine.acts.clear();
-    machine.say(1, Kind::Rescope(scope.told(2)));
+    machine.say(1, Kind::Rescope(scope.to_message(2)));
     let [piece] = &machine.pieces(1)[..] else { panic!("one piece") };
     assert_eq!(keys(piece), [("releases", Some("r")), ("server/s2", Some("b"))]);
-    assert_eq!((piece.anew, piece.done, piece.scope), (true, true, 2));
+    assert_eq!((piece.reset, piece.done, piece.scope), (true, true, 2));
     // What is out of scope moves the place alone.
     machine.say(1, took(1, 1));
     machine.pass(100);
@@ -324,7 +336,7 @@
     let [piece] = &machine.pieces(1)[..] else { panic!("one piece") };
     assert_eq!((piece.entries.len(), piece.through, piece.done), (0, 2, true));
 
-    machine.server.stands(machine.now, RECORD + 1, &mut machine.acts);
+    machine.server.set_record_id(machine.now, RECORD + 1, &mut machine.acts);
     assert_eq!(refused(&machine.said(1)), Some(Reason::Record));
     assert_eq!((machine.server.cache().head(), machine.server.age(machine.now)), (0, None));
 }
@@ -332,7 +344,7 @@
 /// Bytes that a cut held back say what was so when they were sent: no earlier than what they answer.
 #[test]
 fn what_a_planner_says_is_as_old_as_what_it_echoes() {
-    let mut machine = Machine::filled(Terms::default(), 2, 1);
+    let mut machine = Machine::filled(WatchConfig::default(), 2, 1);
     machine.comes(1, hello("a", 1));
     let vouched = |machine: &mut Machine| {
         let said = std::mem::take(&mut machine.acts).into_iter().rev();
@@ -355,7 +367,7 @@
 
 #[test]
 fn one_that_leaves_is_expected_no_more() {
-    let mut machine = Machine::filled(Terms::default(), 1, 1);
+    let mut machine = Machine::filled(WatchConfig::default(), 1, 1);
     machine.comes(1, hello("a", 1));
     machine.comes(2, hello("b", 1));
     machine.acts.clear();
