--- a/crates/watch/tests/storms.rs
+++ b/crates/watch/tests/storms.rs
@@ -2,10 +2,10 @@
 
 mod common;
 
-use common::{home, ms, set, Planner, Tier, RECORD};
+use common::{client_config, ms, set, Planner, Tier, RECORD};
 use pewtergap_time::{Moment, Span};
 use pewtergap_watch::server::Server;
-use pewtergap_watch::{Kept, Scope, Terms, Told};
+use pewtergap_watch::{SavedState, Scope, WatchConfig, WatchEvent};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -15,52 +15,56 @@
     SocketAddr::from(([127, 0, 0, 1], 1_000 + at as u16))
 }
 
-fn machine(terms: Terms, places: u64) -> Server {
-    let mut server = Server::new(terms, "m".into(), 3);
+fn machine(config: WatchConfig, indexes: u64) -> Server {
+    let mut server = Server::new(config, "m".into(), 3);
     let mut acts = Vec::new();
-    server.stands(ms(0), RECORD, &mut acts);
-    for place in 1..=places {
-        server.apply(ms(0), place, [(format!("zone/{place:04}"), Some(vec![1; BYTES]))], &mut acts);
+    server.set_record_id(ms(0), RECORD, &mut acts);
+    for index in 1..=indexes {
+        server.apply(ms(0), index, [(format!("zone/{index:04}"), Some(vec![1; BYTES]))], &mut acts);
     }
     server
 }
 
-fn kept(places: u64) -> Kept {
+fn kept(indexes: u64) -> SavedState {
     let entries: BTreeMap<String, Vec<u8>> =
-        (1..=places).map(|place| (format!("zone/{place:04}"), vec![1; BYTES])).collect();
-    Kept { record: RECORD, place: places, scope: Some(Scope::ALL), entries }
+        (1..=indexes).map(|index| (format!("zone/{index:04}"), vec![1; BYTES])).collect();
+    SavedState { record_id: RECORD, index: indexes, scope: Some(Scope::ALL), entries }
 }
 
-fn tier(terms: Terms, machines: usize, places: u64) -> Tier {
-    Tier::new((0..machines).map(|at| (address(at), machine(terms, places))).collect())
+fn tier(config: WatchConfig, machines: usize, indexes: u64) -> Tier {
+    Tier::new((0..machines).map(|at| (address(at), machine(config, indexes))).collect())
 }
 
 const NAMES: &[&str] = &["m0", "m1", "m2", "m3"];
 
-fn all_at(tier: &Tier, place: u64) -> usize {
-    tier.planners.iter().filter(|planner| planner.place == place).count()
+fn all_at(tier: &Tier, index: u64) -> usize {
+    tier.planners.iter().filter(|planner| planner.index == index).count()
 }
 
 /// When it had a place.
-fn when(planner: &Planner, place: u64) -> Option<Moment> {
-    let there = |told: &Told| matches!(told, Told::Changed { place: at, .. } if *at >= place);
+fn when(planner: &Planner, index: u64) -> Option<Moment> {
+    let there = |told: &WatchEvent| matches!(told, WatchEvent::Changed { index: at, .. } if *at >= index);
     planner.told.iter().find(|(_, told)| there(told)).map(|told| told.0)
 }
 
 /// Resyncs that keep the tier from catching up: 300 that hold nothing, at one machine, while those that watch are served.
 #[test]
 fn snapshots_at_once_are_bounded_and_those_who_go_on_are_served() {
-    let terms = Terms { most_snapshots: 8, ..Terms::default() };
-    let mut tier = tier(terms, 1, 60);
+    let config = WatchConfig { max_snapshots: 8, ..WatchConfig::default() };
+    let mut tier = tier(config, 1, 60);
     for at in 0..50 {
-        tier.planner(home(&format!("old{at}"), &NAMES[..1]), Some(kept(60)));
+        tier.planner(client_config(&format!("old{at}"), &NAMES[..1]), Some(kept(60)));
     }
     tier.pass(1_000);
     for at in 0..300 {
-        tier.planner(home(&format!("new{at}"), &NAMES[..1]), None);
+        tier.planner(client_config(&format!("new{at}"), &NAMES[..1]), None);
     }
     tier.pass(250);
-    assert!(tier.servers[&address(0)].view().waiting > 100, "{:?}", tier.servers[&address(0)].view());
+    assert!(
+        tier.servers[&address(0)].stats().snapshots_queued > 100,
+        "{:?}",
+        tier.servers[&address(0)].stats()
+    );
     let changed = tier.now;
     tier.apply(61, &[set("zone/0001", "new")]);
     tier.pass(50);
@@ -69,7 +73,7 @@
     assert_eq!(served, 50, "each that goes on, at once");
     tier.pass(6_000);
     assert_eq!(all_at(&tier, 61), 350);
-    assert_eq!(tier.most_snapshots, 8);
+    assert_eq!(tier.max_snapshots, 8);
     assert!(tier.planners.iter().all(|planner| planner.state == tier.planners[0].state));
     // Nobody gave up its watch to come again.
     assert!(tier.planners.iter().all(|planner| planner.dials.len() == 1));
@@ -78,10 +82,10 @@
 /// A relist storm after a compaction: the machine forgot what went, all at it were behind that.
 #[test]
 fn a_relist_after_compaction_drains() {
-    let terms = Terms { most_snapshots: 8, ..Terms::default() };
-    let mut tier = tier(terms, 2, 60);
+    let config = WatchConfig { max_snapshots: 8, ..WatchConfig::default() };
+    let mut tier = tier(config, 2, 60);
     for at in 0..200 {
-        let planner = tier.planner(home(&format!("p{at}"), &NAMES[..2]), Some(kept(50)));
+        let planner = tier.planner(client_config(&format!("p{at}"), &NAMES[..2]), Some(kept(50)));
         tier.planners[planner].reads = at % 10 != 0;
     }
     tier.pass(100);
@@ -92,21 +96,21 @@
         server.restore(tier.now, 70, all.clone(), &mut acts);
     }
     tier.pass(500);
-    assert!(tier.most_snapshots <= 8);
+    assert!(tier.max_snapshots <= 8);
     // One in ten reads nothing, and has its turn at most until it is closed as deaf.
     tier.planners.iter_mut().for_each(|planner| planner.reads = true);
     tier.pass(20_000);
     assert_eq!(all_at(&tier, 70), 200);
     assert!(tier.planners.iter().all(|planner| planner.state == all));
-    assert_eq!(tier.most_snapshots, 8);
+    assert_eq!(tier.max_snapshots, 8);
 }
 
 /// Slow watchers beside fast ones: their delay is unchanged, and what waits for the slow ones is no queue.
 #[test]
 fn a_slow_watcher_holds_up_nobody() {
-    let mut tier = tier(Terms::default(), 1, 10);
+    let mut tier = tier(WatchConfig::default(), 1, 10);
     for at in 0..40 {
-        let planner = tier.planner(home(&format!("p{at}"), &NAMES[..1]), Some(kept(10)));
+        let planner = tier.planner(client_config(&format!("p{at}"), &NAMES[..1]), Some(kept(10)));
         tier.planners[planner].reads = at % 4 != 0;
     }
     // They hear their welcome, and nothing after it.
@@ -114,16 +118,16 @@
     tier.pass(500);
     (0..40).step_by(4).for_each(|at| tier.planners[at].reads = false);
     let begun = tier.now;
-    for place in 11..=20 {
-        tier.apply(place, &[set("zone/0001", &place.to_string())]);
+    for index in 11..=20 {
+        tier.apply(index, &[set("zone/0001", &index.to_string())]);
         tier.pass(200);
     }
-    for place in 11..=20 {
-        let due = begun + Span::millis((place - 11) * 200 + 10);
-        let at: Vec<Moment> = tier.planners.iter().filter_map(|planner| when(planner, place)).collect();
-        assert_eq!((at.len(), at.iter().max().is_some_and(|last| *last <= due)), (30, true), "{place}");
+    for index in 11..=20 {
+        let due = begun + Span::millis((index - 11) * 200 + 10);
+        let at: Vec<Moment> = tier.planners.iter().filter_map(|planner| when(planner, index)).collect();
+        assert_eq!((at.len(), at.iter().max().is_some_and(|last| *last <= due)), (30, true), "{index}");
     }
-    assert!(tier.servers[&address(0)].most_flight() <= 2);
+    assert!(tier.servers[&address(0)].max_in_flight() <= 2);
     (0..40).step_by(4).for_each(|at| tier.planners[at].reads = true);
     tier.pass(15_000);
     assert_eq!(all_at(&tier, 20), 40);
@@ -132,12 +136,12 @@
 /// A machine ends: its planners spread over the others, none gets more than twice its even part, all watch within 5 s.
 #[test]
 fn a_killed_machines_planners_watch_elsewhere() {
-    let mut tier = tier(Terms { most_watches: 300, ..Terms::default() }, 4, 10);
+    let mut tier = tier(WatchConfig { max_watches: 300, ..WatchConfig::default() }, 4, 10);
     for at in 0..400 {
-        tier.planner(home(&format!("p{at}"), NAMES), Some(kept(10)));
+        tier.planner(client_config(&format!("p{at}"), NAMES), Some(kept(10)));
     }
     tier.pass(2_000);
-    let before = tier.servers[&address(1)].view().watches;
+    let before = tier.servers[&address(1)].stats().watches;
     assert!((60..140).contains(&before), "{before}");
     let killed = tier.now;
     tier.kill(address(1));
@@ -146,7 +150,7 @@
     let last = tier.planners.iter().filter_map(|planner| planner.watched).max().expect("they watch");
     assert!(last > killed && last.since(killed) < Span::millis(1_000), "{}", last.since(killed));
     for server in tier.servers.values() {
-        let watches = server.view().watches;
+        let watches = server.stats().watches;
         assert!(watches <= 2 * 400 / 3, "{watches}");
     }
     // They did not come at one instant.
@@ -165,13 +169,13 @@
 /// All start within the same moment: those that hold a state watch at once, and a full machine sends elsewhere.
 #[test]
 fn a_stampede_finds_room_elsewhere() {
-    let mut tier = tier(Terms { most_watches: 110, ..Terms::default() }, 4, 10);
+    let mut tier = tier(WatchConfig { max_watches: 110, ..WatchConfig::default() }, 4, 10);
     for at in 0..400 {
-        tier.planner(home(&format!("p{at}"), NAMES), Some(kept(10)));
+        tier.planner(client_config(&format!("p{at}"), NAMES), Some(kept(10)));
     }
     tier.pass(10_000);
     assert!(tier.planners.iter().all(|planner| planner.client.watching().is_some()));
-    assert!(tier.servers.values().all(|server| server.view().watches <= 110));
+    assert!(tier.servers.values().all(|server| server.stats().watches <= 110));
     tier.apply(11, &[set("zone/0001", "new")]);
     tier.pass(100);
     assert_eq!(all_at(&tier, 11), 400);
