--- a/crates/benchlink/src/wire.rs
+++ b/crates/benchlink/src/wire.rs
@@ -1,8 +1,8 @@
 //! The wire, line by line: batches of events in, one reply out. No decision is taken here.
 
-use pewtergap_planner::door::Door;
+use pewtergap_planner::interner::Interner;
 use pewtergap_planner::{
-    Entry, Event, ListKind, Listed, Load, Moment, Order, Planner, ProbeEnd, Resend, Span,
+    Action, Event, ListEntry, ListKind, ListedState, Load, Moment, Planner, ProbeOutcome, ResendPolicy, Span,
 };
 use std::collections::{BTreeMap, HashMap};
 use std::fmt::Write;
@@ -11,8 +11,8 @@
 /// What one instance needs besides its planner: its names, and how its classes and zones are called.
 struct Instance {
     planner: Planner,
-    servers: Door<String>,
-    proxies: Door<u64>,
+    servers: Interner<String>,
+    proxies: Interner<u64>,
     zones: Vec<String>,
     routes: Vec<String>,
     slices: bool,
@@ -24,7 +24,7 @@
     server: String,
     zone: String,
     cell: u64,
-    state: Listed,
+    state: ListedState,
     weight: f64,
     last_start: Option<Moment>,
 }
@@ -89,7 +89,7 @@
             let value = value.ok_or(format!("field {field}: '{pair}' is not a number"))?;
             match name {
                 "cpu" => load.util = Some(value),
-                "active" => load.in_hand = Some(value),
+                "active" => load.in_flight = Some(value),
                 _ => {}
             }
         }
@@ -115,9 +115,9 @@
     fields.text("Sku")?;
     let cell = fields.whole_or("Cluster", 0)?;
     let state = match fields.text("State")? {
-        "Running" => Listed::Running,
-        "Stopping" => Listed::Stopping,
-        "Deleted" => Listed::Deleted,
+        "Running" => ListedState::Running,
+        "Stopping" => ListedState::Stopping,
+        "Deleted" => ListedState::Deleted,
         other => return Err(format!("field State: '{other}' is not known")),
     };
     let weight = fields.number_or("Weight", 1.0)?;
@@ -181,8 +181,8 @@
                     let inbox = std::mem::take(&mut instance.inbox);
                     for order in instance.planner.turn(now, &inbox) {
                         instance.write(*who, &order, &mut reply);
-                        if let Order::Forget { server } = order {
-                            instance.servers.forget(server);
+                        if let Action::ReleaseServer { server } = order {
+                            instance.servers.release(server);
                         }
                     }
                 }
@@ -246,14 +246,14 @@
             text = text + "\t" + more;
         }
         let start = serde_json::from_str(&text).map_err(|e| e.to_string());
-        let start = start.and_then(|text| pewtergap_start::read(&text));
+        let start = start.and_then(|text| pewtergap_start::parse(&text));
         let start = start.map_err(|e| format!("field BootInfo: {e}"))?;
         let slices = start.slicing.slices > 0;
-        let planner = start.planner(now, seed);
+        let planner = start.build_planner(now, seed);
         let instance = Instance {
             planner,
-            servers: Door::default(),
-            proxies: Door::default(),
+            servers: Interner::default(),
+            proxies: Interner::default(),
             zones: start.zone_names,
             routes: start.route_names,
             slices,
@@ -288,8 +288,8 @@
                 };
                 let mut entries = Vec::with_capacity(rows.len());
                 for row in rows {
-                    entries.push(Entry {
-                        server: self.servers.admit(&row.server),
+                    entries.push(ListEntry {
+                        server: self.servers.intern(&row.server),
                         zone: place(&self.zones, &row.zone, "Zone")?,
                         cell: row.cell,
                         state: row.state,
@@ -304,17 +304,17 @@
                 Event::Tick
             }
             "echo" => {
-                let server = self.servers.admit(&fields.text("Server")?.to_string());
+                let server = self.servers.intern(&fields.text("Server")?.to_string());
                 let end = match fields.text("How")? {
-                    "ok" => ProbeEnd::Answered,
-                    "error" => ProbeEnd::Erring,
-                    "full" => ProbeEnd::Refused,
-                    "timeout" | "cancelled" | "moot" => ProbeEnd::Silent,
-                    "connect_failed" | "reset" => ProbeEnd::Dead,
+                    "ok" => ProbeOutcome::Answered,
+                    "error" => ProbeOutcome::Error,
+                    "full" => ProbeOutcome::Rejected,
+                    "timeout" | "cancelled" | "moot" => ProbeOutcome::TimedOut,
+                    "connect_failed" | "reset" => ProbeOutcome::Unreachable,
                     other => return Err(format!("field How: '{other}' is not known")),
                 };
                 fields.whole_or("CostTimeNs", 0)?;
-                Event::Probed { server, end, load: fields.load("Metrics")? }
+                Event::ProbeEnded { server, outcome: end, load: fields.load("Metrics")? }
             }
             "whisper" => {
                 fields.whole("Neighbour")?;
@@ -322,30 +322,30 @@
                 Event::Tick
             }
             "joined" => {
-                let proxy = self.proxies.admit(&fields.whole("Agent")?);
+                let proxy = self.proxies.intern(&fields.whole("Agent")?);
                 let zone = place(&self.zones, fields.text("Zone")?, "Zone")?;
                 let calls_per_s = fields.number_or("Weight", 0.0)?;
                 fields.flag("Active")?;
-                Event::Joined { proxy, zone, calls_per_s }
+                Event::ProxyJoined { proxy, zone, calls_per_s }
             }
-            "disconnected" => Event::Left { proxy: self.proxies.admit(&fields.whole("Agent")?) },
+            "disconnected" => Event::ProxyLeft { proxy: self.proxies.intern(&fields.whole("Agent")?) },
             "roundup" => {
                 let dropped = fields.whole_or("Lost", 0)? as f64;
                 let over = Span(fields.whole_or("WindowNs", 0)?);
                 let mean = Span(fields.whole_or("CostTimeNs", 0)?);
                 let zone = place(&self.zones, fields.text("Zone")?, "Zone")?;
                 let tries = fields.whole_or("Number", 0)? as f64;
-                let server = self.servers.admit(&fields.text("Server")?.to_string());
+                let server = self.servers.intern(&fields.text("Server")?.to_string());
                 let load = fields.load("Metrics")?;
-                Event::Sums { server, zone, tries, dropped, mean, over, load }
+                Event::ServerStats { server, zone, tries, dropped, mean_latency: mean, period: over, load }
             }
             "arrivals" => {
-                let proxy = self.proxies.admit(&fields.whole("Agent")?);
+                let proxy = self.proxies.intern(&fields.whole("Agent")?);
                 let route = place(&self.routes, fields.text("Service")?, "Service")?;
                 let calls = fields.whole_or("Number", 0)? as f64;
                 let dropped = fields.whole_or("Lost", 0)? as f64;
                 let over = Span(fields.whole_or("WindowNs", 0)?);
-                Event::Arrivals { proxy, route, calls, dropped, over }
+                Event::Arrivals { proxy, route, calls, dropped, period: over }
             }
             "hotness" => {
                 fields.whole("RouteTable")?;
@@ -357,15 +357,15 @@
             }
             "mandate" => {
                 let slice = fields.whole("RouteTable")? as usize;
-                Event::SliceGiven { slice, given: fields.flag("Active")? }
+                Event::SliceAssigned { slice, assigned: fields.flag("Active")? }
             }
             "standing_line" => {
-                let server = self.servers.admit(&fields.text("Server")?.to_string());
+                let server = self.servers.intern(&fields.text("Server")?.to_string());
                 let slice = fields.whole("RouteTable")? as usize;
                 Event::SliceLine { slice, server, weight: fields.number_or("Weight", 1.0)? }
             }
             _ => {
-                let proxy = self.proxies.admit(&fields.whole("Agent")?);
+                let proxy = self.proxies.intern(&fields.whole("Agent")?);
                 let mark = fields.whole("Epoch")?;
                 fields.whole_or("CostTimeNs", 0)?;
                 Event::Applied { proxy, mark }
@@ -373,29 +373,29 @@
         })
     }
 
-    fn write(&self, who: u64, order: &Order, reply: &mut String) {
+    fn write(&self, who: u64, order: &Action, reply: &mut String) {
         let _ = match order {
-            Order::Line { table, server, weight } => {
+            Action::SetLine { table, server, weight } => {
                 writeln!(reply, "put_line\t{who}\t{table}\t{}\t{weight}", self.servers.name(*server))
             }
-            Order::Bind { proxy, table, routes } if !self.slices => {
+            Action::Bind { proxy, table, routes } if !self.slices => {
                 writeln!(reply, "hand_table\t{who}\t{}\t{table}\t{routes}", self.proxies.name(*proxy))
             }
-            Order::Bind { .. } => Ok(()),
-            Order::Gate { table, routes, level, resend } => {
+            Action::Bind { .. } => Ok(()),
+            Action::SetLevel { table, routes, level, resend } => {
                 let how = match resend {
-                    Resend::Never => 0,
-                    Resend::OnProof => 1,
-                    Resend::Once => 2,
+                    ResendPolicy::Never => 0,
+                    ResendPolicy::IfNeverRan => 1,
+                    ResendPolicy::Once => 2,
                 };
                 writeln!(reply, "gate_class\t{who}\t{level}\t{routes}\t{how}\t{table}")
             }
-            Order::Mark { mark } => writeln!(reply, "checkpoint\t{who}\t{mark}\t0"),
-            Order::Probe { server } => writeln!(reply, "probe\t{who}\t{}", self.servers.name(*server)),
-            Order::Wake { at } => writeln!(reply, "timer\t{who}\t{}\t0", at.0),
-            Order::Note { text } => writeln!(reply, "journal_line\t{who}\t{text}"),
-            Order::Forget { .. } => Ok(()),
-            Order::Subscribe => writeln!(reply, "tail\t{who}\t1"),
+            Action::Mark { mark } => writeln!(reply, "checkpoint\t{who}\t{mark}\t0"),
+            Action::Probe { server } => writeln!(reply, "probe\t{who}\t{}", self.servers.name(*server)),
+            Action::Wake { at } => writeln!(reply, "timer\t{who}\t{}\t0", at.0),
+            Action::Log { text } => writeln!(reply, "journal_line\t{who}\t{text}"),
+            Action::ReleaseServer { .. } => Ok(()),
+            Action::Subscribe => writeln!(reply, "tail\t{who}\t1"),
         };
     }
 }
--- a/crates/control/src/intake.rs
+++ b/crates/control/src/intake.rs
@@ -69,7 +69,8 @@
         line.dropped += dropped as f64;
         // Proxies of a zone report of about the same time, so the longest stands for all.
         line.over = line.over.max(over);
-        line.load = Load { util: load.util.or(line.load.util), in_hand: load.in_hand.or(line.load.in_hand) };
+        line.load =
+            Load { util: load.util.or(line.load.util), in_flight: load.in_flight.or(line.load.in_flight) };
     }
 
     pub fn arrivals(&mut self, proxy: usize, route: usize, calls: u64, dropped: u64, over: Span) {
@@ -115,9 +116,19 @@
         match key {
             Key::Sums { server, zone } => {
                 let mean = Span::of_seconds(took / (count - dropped).max(1.0));
-                Event::Sums { server, zone, tries: count, dropped, mean, over, load }
+                Event::ServerStats {
+                    server,
+                    zone,
+                    tries: count,
+                    dropped,
+                    mean_latency: mean,
+                    period: over,
+                    load,
+                }
+            }
+            Key::Arrivals { proxy, route } => {
+                Event::Arrivals { proxy, route, calls: count, dropped, period: over }
             }
-            Key::Arrivals { proxy, route } => Event::Arrivals { proxy, route, calls: count, dropped, over },
         }
     }
 }
--- a/crates/control/src/kept.rs
+++ b/crates/control/src/kept.rs
@@ -1,7 +1,7 @@
 //! The last list, as kept on disk for the next start.
 
 use crate::roll::Endpoint;
-use pewtergap_planner::Listed;
+use pewtergap_planner::ListedState;
 use pewtergap_time::Moment;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -27,7 +27,7 @@
 pub fn write(highest: u64, known: &BTreeMap<String, Endpoint>) -> Vec<u8> {
     let row = |endpoint: &Endpoint| Row {
         zone: endpoint.zone.clone(),
-        stopping: endpoint.state == Listed::Stopping,
+        stopping: endpoint.state == ListedState::Stopping,
         weight: endpoint.weight,
         started_ms: endpoint.started.map(|at| at.0 / 1_000_000),
     };
@@ -42,7 +42,7 @@
     }
     let endpoint = |row: Row| Endpoint {
         zone: row.zone,
-        state: if row.stopping { Listed::Stopping } else { Listed::Running },
+        state: if row.stopping { ListedState::Stopping } else { ListedState::Running },
         weight: if row.weight.is_finite() && row.weight > 0.0 { row.weight } else { 1.0 },
         started: row.started_ms.map(|ms| Moment(ms.saturating_mul(1_000_000))),
     };
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -20,7 +20,7 @@
 pub mod watch;
 
 pub use admin::{Admin, Asked};
-pub use pewtergap_planner::ProbeEnd;
+pub use pewtergap_planner::ProbeOutcome;
 pub use probes::Probing;
 pub use service::{Charge, Doors, DrainTold, Hint, ProbeOver, Service};
 pub use sight::{Met, Sight};
--- a/crates/control/src/probes.rs
+++ b/crates/control/src/probes.rs
@@ -4,7 +4,7 @@
 
 use pewtergap_http::{request, Bounds, Part, Reader, Side};
 use pewtergap_node::{Ended, Link};
-use pewtergap_planner::{Load, ProbeEnd};
+use pewtergap_planner::{Load, ProbeOutcome};
 use pewtergap_protocol::load_report::{LoadReport, HEADER};
 use pewtergap_time::{Moment, Span};
 use std::collections::{BTreeMap, VecDeque};
@@ -28,7 +28,7 @@
     server: usize,
     until: Moment,
     reader: Reader,
-    heard: Option<(ProbeEnd, Load)>,
+    heard: Option<(ProbeOutcome, Load)>,
     body: Vec<u8>,
 }
 
@@ -99,7 +99,7 @@
     }
 
     /// The end of the probe, when this was the end.
-    pub fn bytes(&mut self, link: Link, bytes: &[u8]) -> Option<(usize, ProbeEnd, Load)> {
+    pub fn bytes(&mut self, link: Link, bytes: &[u8]) -> Option<(usize, ProbeOutcome, Load)> {
         let open = self.open.get_mut(&link)?;
         open.reader.push(bytes);
         loop {
@@ -107,11 +107,11 @@
                 Ok(Some(Part::Head(head))) => {
                     let report = head.header(HEADER).map(LoadReport::read).unwrap_or_default();
                     let end = match head.status() {
-                        200..=299 => ProbeEnd::Answered,
-                        429 | 503 => ProbeEnd::Refused,
-                        _ => ProbeEnd::Erring,
+                        200..=299 => ProbeOutcome::Answered,
+                        429 | 503 => ProbeOutcome::Rejected,
+                        _ => ProbeOutcome::Error,
                     };
-                    open.heard = Some((end, Load { util: report.util, in_hand: report.in_hand }));
+                    open.heard = Some((end, Load { util: report.util, in_flight: report.in_hand }));
                 }
                 Ok(Some(Part::Data(data))) => {
                     if self.asked.in_body.is_some() && open.body.len() + data.len() <= MOST_REPORT {
@@ -120,31 +120,31 @@
                 }
                 Ok(Some(Part::End)) => return self.whole(link),
                 Ok(None) => return None,
-                Err(_) => return self.end(link, ProbeEnd::Erring),
+                Err(_) => return self.end(link, ProbeOutcome::Error),
             }
         }
     }
 
     /// The answer is complete.
-    fn whole(&mut self, link: Link) -> Option<(usize, ProbeEnd, Load)> {
+    fn whole(&mut self, link: Link) -> Option<(usize, ProbeOutcome, Load)> {
         let open = self.open.get_mut(&link)?;
         if let (Some((util, in_hand)), Some(heard)) = (&self.asked.in_body, &mut open.heard) {
             let text = String::from_utf8_lossy(&open.body);
             let report = LoadReport::read_as(&text, util, in_hand);
-            heard.1 = Load { util: report.util, in_hand: report.in_hand };
+            heard.1 = Load { util: report.util, in_flight: report.in_hand };
         }
-        self.end(link, ProbeEnd::Erring)
+        self.end(link, ProbeOutcome::Error)
     }
 
-    pub fn closed(&mut self, link: Link, why: Ended) -> Option<(usize, ProbeEnd, Load)> {
+    pub fn closed(&mut self, link: Link, why: Ended) -> Option<(usize, ProbeOutcome, Load)> {
         // A body without a length is complete with the end of the connection.
         let open = self.open.get_mut(&link)?;
         if why == Ended::Done && open.reader.close() == Ok(Some(Part::End)) {
             return self.whole(link);
         }
         match why {
-            Ended::Refused | Ended::Reset | Ended::Done => self.end(link, ProbeEnd::Dead),
-            Ended::Ours | Ended::Handed => self.end(link, ProbeEnd::Silent),
+            Ended::Refused | Ended::Reset | Ended::Done => self.end(link, ProbeOutcome::Unreachable),
+            Ended::Ours | Ended::Handed => self.end(link, ProbeOutcome::TimedOut),
             // This side had no room for the call, which says nothing of the server: it is asked again in its turn.
             Ended::Overflow => self.open.remove(&link).and(None),
         }
@@ -158,7 +158,7 @@
     }
 
     /// What was heard goes before how the connection ended.
-    fn end(&mut self, link: Link, end: ProbeEnd) -> Option<(usize, ProbeEnd, Load)> {
+    fn end(&mut self, link: Link, end: ProbeOutcome) -> Option<(usize, ProbeOutcome, Load)> {
         let open = self.open.remove(&link)?;
         let (end, load) = open.heard.unwrap_or((end, Load::default()));
         Some((open.server, end, load))
--- a/crates/control/src/roll.rs
+++ b/crates/control/src/roll.rs
@@ -6,7 +6,7 @@
 //! `pewtergap/started` in milliseconds since 1970. Where no start is told, an endpoint that appears after the
 //! first list counts as started when it was seen.
 
-use pewtergap_planner::Listed;
+use pewtergap_planner::ListedState;
 use pewtergap_time::Moment;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -15,7 +15,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
     pub zone: String,
-    pub state: Listed,
+    pub state: ListedState,
     pub weight: f64,
     pub started: Option<Moment>,
 }
@@ -110,9 +110,9 @@
         };
         let conditions = &endpoint.conditions;
         let state = if conditions.terminating == Some(true) {
-            Listed::Stopping
+            ListedState::Stopping
         } else if conditions.ready.unwrap_or(true) {
-            Listed::Running
+            ListedState::Running
         } else {
             continue;
         };
@@ -199,8 +199,8 @@
         let mut listed: BTreeMap<String, Endpoint> = BTreeMap::new();
         for (at, endpoint) in self.slices.values().flatten() {
             let stands = listed.entry(at.clone()).or_insert_with(|| endpoint.clone());
-            if endpoint.state == Listed::Stopping {
-                stands.state = Listed::Stopping;
+            if endpoint.state == ListedState::Stopping {
+                stands.state = ListedState::Stopping;
             }
         }
         let mut changes = Vec::new();
@@ -216,7 +216,7 @@
         }
         let gone = self.known.iter().filter(|known| !listed.contains_key(known.0));
         changes.extend(
-            gone.map(|(at, known)| (at.clone(), Endpoint { state: Listed::Deleted, ..known.clone() })),
+            gone.map(|(at, known)| (at.clone(), Endpoint { state: ListedState::Deleted, ..known.clone() })),
         );
         self.known = listed;
         changes
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -12,8 +12,8 @@
 use crate::tables::Tables;
 use crate::watch::{Source, Told, Watch};
 use pewtergap_node::{Effect, Ended, Input, Level, Link, Node, Outbox};
-use pewtergap_planner::door::Door;
-use pewtergap_planner::{Entry, Event, ListKind, Listed, Load, Order, Planner, ProbeEnd};
+use pewtergap_planner::interner::Interner;
+use pewtergap_planner::{Action, Event, ListEntry, ListKind, ListedState, Load, Planner, ProbeOutcome};
 use pewtergap_protocol::{down, encode, up, Beat, Bye, Down, Hello, Nack, Sums, Update, Welcome, VERSION};
 use pewtergap_time::{Moment, Span};
 use std::any::Any;
@@ -84,7 +84,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProbeOver {
     pub server: String,
-    pub end: ProbeEnd,
+    pub end: ProbeOutcome,
     pub load: (Option<f64>, Option<f64>),
 }
 
@@ -120,8 +120,8 @@
     planner: Planner,
     /// Which start of this planner.
     epoch: u64,
-    servers: Door<String>,
-    proxies: Door<String>,
+    servers: Interner<String>,
+    proxies: Interner<String>,
     roll: Roll,
     watch: Option<Watch>,
     list_link: Option<Link>,
@@ -174,8 +174,8 @@
             source,
             planner,
             epoch: now.0,
-            servers: Door::default(),
-            proxies: Door::default(),
+            servers: Interner::default(),
+            proxies: Interner::default(),
             roll: Roll::default(),
             watch: None,
             list_link: None,
@@ -294,19 +294,19 @@
                 out.log(Level::Warn, "list_entry_refused", vec![("what", what)]);
                 continue;
             };
-            let server = self.servers.admit(at);
+            let server = self.servers.intern(at);
             let (mut state, mut weight) = (endpoint.state, endpoint.weight);
-            if state != Listed::Running && kind != ListKind::Kept && self.drains.len() < MOST_DRAINS {
+            if state != ListedState::Running && kind != ListKind::Kept && self.drains.len() < MOST_DRAINS {
                 let started = endpoint.started.unwrap_or_default();
                 self.drains.push(DrainTold { server: at.clone(), started, told: now });
             }
-            if state == Listed::Running && self.standing.drained.contains(at) {
-                state = Listed::Stopping;
+            if state == ListedState::Running && self.standing.drained.contains(at) {
+                state = ListedState::Stopping;
             }
             if let Some(held) = self.standing.weights.get(at) {
                 weight = *held;
             }
-            entries.push(Entry { server, zone, cell: 0, state, weight, last_start: endpoint.started });
+            entries.push(ListEntry { server, zone, cell: 0, state, weight, last_start: endpoint.started });
             if kind == ListKind::Changes {
                 let fields = vec![
                     ("turn", (self.counts.turns + 1).to_string()),
@@ -363,27 +363,27 @@
         let orders = self.planner.turn(now, &events);
         for order in &orders {
             match order {
-                Order::Probe { server } if self.probes_shared => {
+                Action::Probe { server } if self.probes_shared => {
                     self.probes_wanted.insert(*server);
                     self.probe_asks.push(self.servers.name(*server).clone());
                 }
-                Order::Probe { server } => self.probes.ask(*server),
-                Order::Wake { at } => out.wake(timer::WOKEN, *at),
-                Order::Note { text } => out.log(Level::Info, "planner", vec![("text", text.clone())]),
-                Order::Forget { server } => {
+                Action::Probe { server } => self.probes.ask(*server),
+                Action::Wake { at } => out.wake(timer::WOKEN, *at),
+                Action::Log { text } => out.log(Level::Info, "planner", vec![("text", text.clone())]),
+                Action::ReleaseServer { server } => {
                     if let Some(link) = self.probes.forget(*server) {
                         out.cut(link);
                     }
                     self.probes_wanted.remove(server);
                     self.intake.forget_server(*server);
-                    self.servers.forget(*server);
+                    self.servers.release(*server);
                 }
                 // The list is watched all the time; nothing has to be asked for.
-                Order::Subscribe
-                | Order::Line { .. }
-                | Order::Bind { .. }
-                | Order::Gate { .. }
-                | Order::Mark { .. } => {}
+                Action::Subscribe
+                | Action::SetLine { .. }
+                | Action::Bind { .. }
+                | Action::SetLevel { .. }
+                | Action::Mark { .. } => {}
             }
         }
         let updates = self.tables.carry_out(now, turn, &orders, &self.servers);
@@ -532,14 +532,14 @@
             return Err(format!("route '{route}' is not known here"));
         }
         // A name is kept for good, as an index; whoever made up a new one each time would fill the memory.
-        let known = self.proxies.find(&hello.proxy).is_some();
-        if !known && self.proxies.count() >= 4 * self.reports.most_streams {
+        let known = self.proxies.get(&hello.proxy).is_some();
+        if !known && self.proxies.slots() >= 4 * self.reports.most_streams {
             return Err(format!(
                 "{} proxies were named since the start, no new name is taken",
-                self.proxies.count()
+                self.proxies.slots()
             ));
         }
-        let proxy = self.proxies.admit(&hello.proxy);
+        let proxy = self.proxies.intern(&hello.proxy);
         // It came back before its old stream was seen to be broken.
         if let Some(old) = self.streams.by_proxy.get(&proxy).copied() {
             self.forget(now, old, out);
@@ -562,7 +562,7 @@
         };
         out.send(link, encode(&Down::of(down::Kind::Welcome(welcome))));
         out.log(Level::Info, "joined", vec![("proxy", hello.proxy), ("zone", hello.zone)]);
-        self.event(now, Event::Joined { proxy, zone, calls_per_s: hello.calls_per_s }, out);
+        self.event(now, Event::ProxyJoined { proxy, zone, calls_per_s: hello.calls_per_s }, out);
         Ok(())
     }
 
@@ -592,8 +592,8 @@
         let (zone, calls_per_s) = (stream.zone, stream.calls_per_s);
         self.channel.forget(proxy);
         self.tables.join(proxy, std::iter::empty());
-        self.event(now, Event::Left { proxy }, out);
-        self.event(now, Event::Joined { proxy, zone, calls_per_s }, out);
+        self.event(now, Event::ProxyLeft { proxy }, out);
+        self.event(now, Event::ProxyJoined { proxy, zone, calls_per_s }, out);
         Ok(())
     }
 
@@ -601,10 +601,10 @@
         let zone = self.streams.by_link.get(&link).map_or(0, |stream| stream.zone);
         for row in &sums.rows {
             // A server that no list of ours ever named is another planner's affair.
-            let Some(server) = self.servers.find(&row.server) else { continue };
+            let Some(server) = self.servers.get(&row.server) else { continue };
             self.tried.0 = self.tried.0.saturating_add(row.tries);
             self.tried.1 = self.tried.1.saturating_add(row.dropped);
-            let load = Load { util: row.util, in_hand: row.in_hand };
+            let load = Load { util: row.util, in_flight: row.in_hand };
             let (mean, over) = (Span::micros(row.mean_us), Span::micros(sums.over_us));
             self.sight.met(&row.server, row.tries, row.dropped, mean.seconds());
             self.intake.sums(server, zone, row.tries, row.dropped, mean, over, load);
@@ -643,7 +643,7 @@
         self.intake.forget(proxy);
         self.counts.leaves += 1;
         out.log(Level::Info, "left", vec![("proxy", self.proxies.name(proxy).clone())]);
-        self.event(now, Event::Left { proxy }, out);
+        self.event(now, Event::ProxyLeft { proxy }, out);
     }
 
     // ---- probes
@@ -660,20 +660,20 @@
     }
 
     /// The end of a probe from here.
-    fn probe_ended(&mut self, now: Moment, server: usize, end: ProbeEnd, load: Load, out: &mut Outbox) {
+    fn probe_ended(&mut self, now: Moment, server: usize, end: ProbeOutcome, load: Load, out: &mut Outbox) {
         if self.probes_shared {
             let at = self.servers.name(server).clone();
-            self.probe_ends.push(ProbeOver { server: at, end, load: (load.util, load.in_hand) });
+            self.probe_ends.push(ProbeOver { server: at, end, load: (load.util, load.in_flight) });
             if !self.probes_wanted.remove(&server) {
                 return;
             }
         }
-        self.event(now, Event::Probed { server, end, load }, out);
+        self.event(now, Event::ProbeEnded { server, outcome: end, load }, out);
     }
 
     /// Asks a server from here, for whomever.
     pub fn probe(&mut self, now: Moment, at: &str, out: &mut Outbox) {
-        if let Some(server) = self.servers.find(&at.to_string()) {
+        if let Some(server) = self.servers.get(&at.to_string()) {
             self.probes.ask(server);
             self.ask_next(now, out);
         }
@@ -684,27 +684,31 @@
         &mut self,
         now: Moment,
         at: &str,
-        end: ProbeEnd,
+        end: ProbeOutcome,
         (util, in_hand): (Option<f64>, Option<f64>),
         out: &mut Outbox,
     ) {
-        let Some(server) = self.servers.find(&at.to_string()) else { return };
+        let Some(server) = self.servers.get(&at.to_string()) else { return };
         if self.probes_wanted.remove(&server) {
-            self.event(now, Event::Probed { server, end, load: Load { util, in_hand } }, out);
+            self.event(
+                now,
+                Event::ProbeEnded { server, outcome: end, load: Load { util, in_flight: in_hand } },
+                out,
+            );
         }
     }
 
     /// What others told, for the module.
     pub fn hint(&mut self, now: Moment, hint: Hint, out: &mut Outbox) {
         let event = match hint {
-            Hint::Elsewhere(calls) => Event::Elsewhere { calls },
-            Hint::Share(part) => Event::Share { part },
-            Hint::Lighter(at, part) => match self.servers.find(&at) {
-                Some(server) => Event::Lighter { server, part },
+            Hint::Elsewhere(calls) => Event::OtherPlannersRate { calls_per_s: calls },
+            Hint::Share(part) => Event::ColdShare { share: part },
+            Hint::Lighter(at, part) => match self.servers.get(&at) {
+                Some(server) => Event::ReduceWeight { server, by: part },
                 None => return,
             },
             Hint::Ask(at) => {
-                let Some(server) = self.servers.find(&at) else { return };
+                let Some(server) = self.servers.get(&at) else { return };
                 if self.probes_shared {
                     self.probes_wanted.insert(server);
                     self.probe_asks.push(at);
@@ -765,7 +769,7 @@
     fn late_probes(&mut self, now: Moment, out: &mut Outbox) {
         for (link, server) in self.probes.late(now) {
             out.cut(link);
-            self.probe_ended(now, server, ProbeEnd::Silent, Load::default(), out);
+            self.probe_ended(now, server, ProbeOutcome::TimedOut, Load::default(), out);
         }
         self.ask_next(now, out);
     }
@@ -822,10 +826,10 @@
                 }
                 Stands::Capped(name, level) => {
                     if let Some(route) = self.charge.routes.iter().position(|route| route == name) {
-                        self.event(now, Event::Cap { route, level: level.unwrap_or(1.0) }, out);
+                        self.event(now, Event::LimitRoute { route, level: level.unwrap_or(1.0) }, out);
                     }
                 }
-                Stands::Held(on) => self.event(now, Event::Hold { on: *on }, out),
+                Stands::Held(on) => self.event(now, Event::HoldChanges { on: *on }, out),
             }
         }
         if !changes.is_empty() {
@@ -978,11 +982,11 @@
     }
 }
 
-fn state_name(state: Listed) -> &'static str {
+fn state_name(state: ListedState) -> &'static str {
     match state {
-        Listed::Running => "running",
-        Listed::Stopping => "stopping",
-        Listed::Deleted => "gone",
+        ListedState::Running => "running",
+        ListedState::Stopping => "stopping",
+        ListedState::Deleted => "gone",
     }
 }
 
--- a/crates/control/src/tables.rs
+++ b/crates/control/src/tables.rs
@@ -4,8 +4,8 @@
 //! the whole table, one that follows it the change from the version it was sent last.
 
 use crate::channel::lines;
-use pewtergap_planner::door::Door;
-use pewtergap_planner::{Order, Resend};
+use pewtergap_planner::interner::Interner;
+use pewtergap_planner::{Action, ResendPolicy};
 use pewtergap_protocol::{Bind, Gate, Line, TableChange, Update};
 use pewtergap_time::Moment;
 use std::collections::{BTreeMap, BTreeSet};
@@ -49,14 +49,14 @@
         &mut self,
         now: Moment,
         turn: u64,
-        orders: &[Order],
-        servers: &Door<String>,
+        orders: &[Action],
+        servers: &Interner<String>,
     ) -> Vec<(usize, Update)> {
         let mut mark = 0;
         let mut binds: Vec<(usize, usize, u64)> = Vec::new();
         for order in orders {
             match order {
-                Order::Line { table, server, weight } => {
+                Action::SetLine { table, server, weight } => {
                     let standing = self.tables.entry(*table).or_default();
                     standing.touched.insert(*server);
                     if *weight > 0.0 {
@@ -65,11 +65,11 @@
                         standing.lines.remove(server);
                     }
                 }
-                Order::Gate { table, routes, level, resend } => {
+                Action::SetLevel { table, routes, level, resend } => {
                     let resend = match resend {
-                        Resend::Never => 0,
-                        Resend::OnProof => 1,
-                        Resend::Once => 2,
+                        ResendPolicy::Never => 0,
+                        ResendPolicy::IfNeverRan => 1,
+                        ResendPolicy::Once => 2,
                     };
                     let gate = Gate { routes: *routes, level: *level, resend };
                     let standing = self.tables.entry(*table).or_default();
@@ -78,8 +78,8 @@
                         gates.push(gate.clone());
                     }
                 }
-                Order::Bind { proxy, table, routes } => binds.push((*proxy, *table, *routes)),
-                Order::Mark { mark: ordered } => mark = *ordered as u32,
+                Action::Bind { proxy, table, routes } => binds.push((*proxy, *table, *routes)),
+                Action::Mark { mark: ordered } => mark = *ordered as u32,
                 _ => {}
             }
         }
@@ -131,17 +131,17 @@
 }
 
 impl Standing {
-    fn line(&self, server: usize, weight: f64, servers: &Door<String>) -> Line {
+    fn line(&self, server: usize, weight: f64, servers: &Interner<String>) -> Line {
         Line { server: servers.name(server).clone(), weight }
     }
 
-    fn whole(&self, table: usize, servers: &Door<String>) -> TableChange {
+    fn whole(&self, table: usize, servers: &Interner<String>) -> TableChange {
         let set = self.lines.iter().map(|(server, weight)| self.line(*server, *weight, servers)).collect();
         let (table, to, gates) = (table as u32, self.version, self.gates.clone());
         TableChange { table, from: 0, to, whole: true, set, removed: Vec::new(), gates }
     }
 
-    fn change(&self, table: usize, from: u64, servers: &Door<String>) -> TableChange {
+    fn change(&self, table: usize, from: u64, servers: &Interner<String>) -> TableChange {
         let mut change = TableChange {
             table: table as u32,
             from,
--- a/crates/control/tests/parts.rs
+++ b/crates/control/tests/parts.rs
@@ -5,8 +5,8 @@
 use pewtergap_control::roll::{Endpoint, Roll, Slice};
 use pewtergap_control::tables::Tables;
 use pewtergap_control::watch::{Told, Watch};
-use pewtergap_planner::door::Door;
-use pewtergap_planner::{Load, Order, Resend};
+use pewtergap_planner::interner::Interner;
+use pewtergap_planner::{Action, Load, ResendPolicy};
 use pewtergap_protocol::{Line, TableChange, Update};
 use pewtergap_time::{Moment, Span};
 use std::net::SocketAddr;
@@ -70,28 +70,28 @@
 
 #[test]
 fn a_proxy_gets_the_whole_once_and_changes_from_then_on() {
-    let mut servers: Door<String> = Door::default();
+    let mut servers: Interner<String> = Interner::default();
     for name in ["a:1", "b:1", "c:1"] {
-        servers.admit(&name.to_string());
+        servers.intern(&name.to_string());
     }
-    let set = |table, server, weight| Order::Line { table, server, weight };
-    let bind = |proxy, table| Order::Bind { proxy, table, routes: 0 };
+    let set = |table, server, weight| Action::SetLine { table, server, weight };
+    let bind = |proxy, table| Action::Bind { proxy, table, routes: 0 };
     let mut tables = Tables::default();
     let mut trace = String::new();
-    let mut turn = |tables: &mut Tables, at: u64, orders: &[Order]| {
+    let mut turn = |tables: &mut Tables, at: u64, orders: &[Action]| {
         for (proxy, update) in tables.carry_out(ms(at), at, orders, &servers) {
             trace += &format!("turn {at} to {proxy}: {}\n", shown(&update));
         }
     };
     tables.join(0, std::iter::empty());
     turn(&mut tables, 1, &[set(0, 0, 1.0), set(0, 1, 0.5), bind(0, 0)]);
-    let gate = Order::Gate { table: 0, routes: 1, level: 0.5, resend: Resend::Never };
+    let gate = Action::SetLevel { table: 0, routes: 1, level: 0.5, resend: ResendPolicy::Never };
     turn(&mut tables, 2, &[set(0, 2, 0.25), gate]);
     turn(&mut tables, 3, &[set(0, 1, 0.0)]);
     // Seen in a rehearsal: it came back with version 3 of this very start, was bound a turn later and sent the
     // whole again.
     tables.join(0, [(0, 3)].into_iter());
-    turn(&mut tables, 4, &[Order::Mark { mark: 1 }]);
+    turn(&mut tables, 4, &[Action::Mark { mark: 1 }]);
     turn(&mut tables, 5, &[bind(0, 0)]);
     // Another came with an older version, and one left: nothing is ordered for it.
     tables.join(1, [(0, 2)].into_iter());
@@ -104,7 +104,7 @@
 #[test]
 fn reports_are_taken_in_at_their_rate_and_joined_while_they_wait() {
     let mut intake = Intake::new(50.0);
-    let load = Load { util: Some(0.5), in_hand: None };
+    let load = Load { util: Some(0.5), in_flight: None };
     for _ in 0..100 {
         for server in 0..40 {
             intake.sums(server, 0, 10, 1, Span::millis(20), Span::millis(500), load);
--- a/crates/control/tests/service.rs
+++ b/crates/control/tests/service.rs
@@ -31,45 +31,45 @@
         zones: 1,
         proxies: 4,
         planners: 1,
-        on_request: false,
-        ask_within: ms(0),
-        crossing_price: 0.0,
-        conns_least: f64::INFINITY,
+        list_on_request: false,
+        list_request_interval: ms(0),
+        cross_zone_cost: 0.0,
+        min_server_connections: f64::INFINITY,
         keep_alive: ms(15_000),
     };
     let route = Route {
         importance: 1.0,
         slo_time: ms(500),
         time_limit: ms(2_000),
-        repeats: Repeats::Mutating,
+        retry_safety: RetrySafety::Mutating,
         zone_bound: false,
         writes: true,
     };
-    let channel = Channel {
-        head: 3.0,
-        most_waiting: 400.0,
-        messages_most: usize::MAX,
-        messages_over: ms(10_000),
+    let channel = ChannelLimits {
+        message_overhead: 3.0,
+        max_queued_lines: 400.0,
+        max_messages: usize::MAX,
+        message_window: ms(10_000),
         lines_per_s,
-        longest_way: ms(100),
+        max_transit: ms(100),
     };
-    let pledge = Pledge {
+    let contract = Contract {
         drain_grace: ms(2_000),
-        removal_binds: true,
-        cold_from: 0.2,
-        cold_for: ms(4_000),
+        removal_is_binding: true,
+        cold_capacity: 0.2,
+        warmup: ms(4_000),
         overload_factor: 3.0,
-        fall: ms(2_000),
+        overload_time: ms(2_000),
     };
-    let reach = Reach {
+    let capabilities = Capabilities {
         throttle: Throttle::Fraction,
         probes: false,
         load_on_probe: false,
-        shuns: false,
-        first_wait: 0.0,
+        ejects_servers: false,
+        resend_wait_factor: 0.0,
     };
-    let slicing = Slicing { slices: 0, exclusive: false, keeps_writing: ms(0), lingers: ms(0) };
-    let planner = Planner::new(START, 7, fleet, vec![route], channel, pledge, reach, slicing);
+    let slicing = Slicing { slices: 0, exclusive: false, write_stop_delay: ms(0), write_linger: ms(0) };
+    let planner = Planner::new(START, 7, fleet, vec![route], channel, contract, capabilities, slicing);
     let charge = Charge {
         name: "a".into(),
         zones: vec!["north".into()],
--- a/crates/lab/src/day.rs
+++ b/crates/lab/src/day.rs
@@ -2,7 +2,7 @@
 
 use crate::clients::Asked;
 use crate::server::Machine;
-use pewtergap_planner::{Channel, Pledge, Repeats};
+use pewtergap_planner::{ChannelLimits, Contract, RetrySafety};
 use pewtergap_proxy::Shunning;
 use pewtergap_settings::{channel, routes, rules, run, Faults, RouteFile, Section, Share};
 use pewtergap_time::Span;
@@ -151,9 +151,9 @@
     /// Demand of the heaviest proxy against the lightest.
     pub skew: f64,
     pub crossing_price: f64,
-    pub pledge: Pledge,
+    pub contract: Contract,
     pub no_line: Span,
-    pub channel: Channel,
+    pub channel: ChannelLimits,
     pub report_every: Span,
     pub intake_per_s: f64,
     pub shunning: Shunning,
@@ -168,7 +168,7 @@
     fn take(part: &Section) -> Day {
         let zones: Vec<String> = part.need("zones");
         let lasts: Span = part.need("lasts");
-        let (pledge, no_line) = part.within("rules", "rules", rules);
+        let (contract, no_line) = part.within("rules", "rules", rules);
         let mut slots: Vec<Slot> = Vec::new();
         let groups = part.parts("servers", "servers", |part| {
             let machine = Machine {
@@ -179,7 +179,7 @@
                 cold_from: part.or("cold_from", Share(0.3)).0,
                 cold_for: part.or("cold_for", Span::millis(4_000)),
             };
-            if machine.cold_from < pledge.cold_from || machine.cold_for > pledge.cold_for {
+            if machine.cold_from < contract.cold_capacity || machine.cold_for > contract.warmup {
                 part.clash("cold_from", "colder, or cold for longer, than the rules say");
             }
             let zone: String = part.need("zone");
@@ -210,7 +210,7 @@
                 work: part.or("work", Span::millis(40)),
                 cv: part.or("scatter", 0.5),
                 time_limit: route.map_or(Span::millis(1), |route| route.planned.time_limit),
-                repeatable: route.is_some_and(|route| route.planned.repeats == Repeats::Repeatable),
+                repeatable: route.is_some_and(|route| route.planned.retry_safety == RetrySafety::Repeatable),
                 route: name,
             }
         });
@@ -273,7 +273,7 @@
             calls_per_s: part.or("calls_per_s", 200.0),
             skew: part.or("skew", 2.0),
             crossing_price: part.or("crossing_price", Share(0.03)).0,
-            pledge,
+            contract,
             no_line,
             channel: part.within("channel", "channel", channel),
             report_every: part.or("report_every", Span::millis(500)),
@@ -368,7 +368,7 @@
                         add(from, Act::Replace(*slot));
                         add(drain, Act::Drain(*slot));
                         add(
-                            drain + day.pledge.drain_grace.times(day.slowest()) + trouble.linger,
+                            drain + day.contract.drain_grace.times(day.slowest()) + trouble.linger,
                             Act::Remove(*slot),
                         );
                     }
--- a/crates/lab/src/rehearse.rs
+++ b/crates/lab/src/rehearse.rs
@@ -16,7 +16,7 @@
 use crate::report::{service, Service};
 use crate::server::Server;
 use crate::wrong::{Plant, Wrong};
-use pewtergap_planner::Repeats;
+use pewtergap_planner::RetrySafety;
 use pewtergap_reactor::{duration, Clock, Handle, Place, Reactor};
 use pewtergap_settings::{proxy_file, run, service_file};
 use pewtergap_time::{Moment, Span};
@@ -280,8 +280,8 @@
 fn routes_text(day: &Day) -> String {
     let route = |route: &pewtergap_settings::RouteFile| {
         let planned = &route.planned;
-        let repeats = match planned.repeats {
-            Repeats::Mutating => "mutating",
+        let repeats = match planned.retry_safety {
+            RetrySafety::Mutating => "mutating",
             _ => "repeatable",
         };
         format!(
@@ -388,13 +388,13 @@
     fn planner_text(&self, at: usize) -> String {
         let day = self.play.day;
         let zones: Vec<String> = day.zones.iter().map(|zone| format!("\"{zone}\"")).collect();
-        let (channel, pledge) = (&day.channel, &day.pledge);
-        let messages = if channel.messages_most == usize::MAX {
+        let (channel, contract) = (&day.channel, &day.contract);
+        let messages = if channel.max_messages == usize::MAX {
             String::new()
         } else {
-            format!(", messages = {}, messages_over = {}", channel.messages_most, span(channel.messages_over))
+            format!(", messages = {}, messages_over = {}", channel.max_messages, span(channel.message_window))
         };
-        let binds = if pledge.removal_binds { "True" } else { "False" };
+        let binds = if contract.removal_is_binding { "True" } else { "False" };
         let shun = if day.shunning.after > 0 { "True" } else { "False" };
         format!(
             "service(\n    name = \"{}\", zones = [{}], seed = {},\n    listen = \"127.0.0.1:0\", source_address = \"{}\",\n    \
@@ -413,13 +413,13 @@
             day.planners,
             day.crossing_price,
             channel.lines_per_s,
-            channel.most_waiting,
-            channel.head,
-            span(pledge.drain_grace),
-            pledge.cold_from,
-            span(pledge.cold_for),
-            pledge.overload_factor,
-            span(pledge.fall),
+            channel.max_queued_lines,
+            channel.message_overhead,
+            span(contract.drain_grace),
+            contract.cold_capacity,
+            span(contract.warmup),
+            contract.overload_factor,
+            span(contract.overload_time),
             span(day.report_every),
             day.intake_per_s,
             self.play.dir.display(),
@@ -539,7 +539,7 @@
         self.listens.remove(&name);
         let mut text = self.planner_text(at);
         if self.play.plant == Some(Plant::LongQueue) && at == 0 {
-            let limit = format!("most_waiting = {}", self.play.day.channel.most_waiting);
+            let limit = format!("most_waiting = {}", self.play.day.channel.max_queued_lines);
             text = text.replace(&limit, &format!("{limit}000"));
             // What may wait is reckoned from the pace as well: this planner believes in one it does not have.
             let pace = format!("lines_per_s = {}", self.play.day.channel.lines_per_s);
@@ -594,7 +594,7 @@
 
     fn facts(&self, started: Moment) -> Facts {
         let day = self.play.day;
-        let (pledge, channel) = (&day.pledge, &day.channel);
+        let (contract, channel) = (&day.contract, &day.channel);
         let route = |route: &pewtergap_settings::RouteFile| {
             (route.name.clone(), route.planned.slo_time.0 as i64, route.served.mutating)
         };
@@ -607,16 +607,16 @@
             seed: self.play.seed,
             started: started.0 as i64,
             no_line: day.no_line.0 as i64,
-            drain_grace: pledge.drain_grace.0 as i64,
-            cold_from: pledge.cold_from,
-            cold_for: pledge.cold_for.0 as i64,
-            overload: pledge.overload_factor,
-            fall: pledge.fall.0 as i64,
-            head: channel.head,
-            most_waiting: channel.most_waiting,
-            messages: if channel.messages_most == usize::MAX { 0 } else { channel.messages_most },
-            messages_over: channel.messages_over.0 as i64,
-            removal_binds: pledge.removal_binds,
+            drain_grace: contract.drain_grace.0 as i64,
+            cold_from: contract.cold_capacity,
+            cold_for: contract.warmup.0 as i64,
+            overload: contract.overload_factor,
+            fall: contract.overload_time.0 as i64,
+            head: channel.message_overhead,
+            most_waiting: channel.max_queued_lines,
+            messages: if channel.max_messages == usize::MAX { 0 } else { channel.max_messages },
+            messages_over: channel.message_window.0 as i64,
+            removal_binds: contract.removal_is_binding,
             slowest: day.slowest(),
             routes: day.routes.iter().map(route).collect(),
             asked: day.duties.then_some(ASKED),
@@ -858,7 +858,7 @@
             servers: servers.collect(),
             routes: day.routes.iter().map(|route| route.name.clone()).collect(),
             seed: self.play.seed,
-            stays: duration(day.pledge.drain_grace) + Duration::from_millis(1_500),
+            stays: duration(day.contract.drain_grace) + Duration::from_millis(1_500),
             ignored: self.play.plant == Some(Plant::IgnoredOrder),
             shared: day.sharing,
         };
--- a/crates/lab/src/relay.rs
+++ b/crates/lab/src/relay.rs
@@ -12,7 +12,7 @@
 use pewtergap_control::roll::{endpoints, Slice, SliceList, WatchLine};
 use pewtergap_http::{Bounds, First, Head, Part, Reader, Side};
 use pewtergap_node::{Effect, Ended, Input, Link, Node, Outbox};
-use pewtergap_planner::Listed;
+use pewtergap_planner::ListedState;
 use pewtergap_protocol::{down, up, Down, Frames, Up};
 use pewtergap_proxy::ENDED;
 use pewtergap_time::{Moment, Span};
@@ -561,7 +561,7 @@
         let mut names = BTreeSet::new();
         for (at, endpoint) in endpoints(slice, &mut Vec::new()) {
             let name = self.names.get(&at).cloned().unwrap_or(at);
-            let state = if endpoint.state == Listed::Stopping { "stopping" } else { "running" };
+            let state = if endpoint.state == ListedState::Stopping { "stopping" } else { "running" };
             names.insert(name.clone());
             let row = Row {
                 route: state.into(),
--- a/crates/member/src/slices.rs
+++ b/crates/member/src/slices.rs
@@ -17,7 +17,7 @@
 //! | any | told under an older number | as it is | counted |
 
 use crate::words::{word, ProbeAsk, ProbeTaken, Probed};
-use pewtergap_control::ProbeEnd;
+use pewtergap_control::ProbeOutcome;
 use pewtergap_duty::Fence;
 use pewtergap_time::{Moment, Span};
 use std::collections::BTreeMap;
@@ -47,7 +47,7 @@
     /// A word for all.
     TellAll(word::Kind),
     /// What another saw.
-    Heard { server: String, end: ProbeEnd, load: Loads },
+    Heard { server: String, end: ProbeOutcome, load: Loads },
 }
 
 pub struct Slices {
@@ -55,7 +55,7 @@
     within: Span,
     asked: BTreeMap<String, Moment>,
     own: BTreeMap<String, Moment>,
-    last: BTreeMap<String, (Moment, ProbeEnd, Loads)>,
+    last: BTreeMap<String, (Moment, ProbeOutcome, Loads)>,
     fence: Fence,
     pub doubts: u64,
 }
@@ -66,8 +66,13 @@
     pub linked: bool,
 }
 
-const ENDS: [ProbeEnd; 5] =
-    [ProbeEnd::Answered, ProbeEnd::Refused, ProbeEnd::Erring, ProbeEnd::Silent, ProbeEnd::Dead];
+const ENDS: [ProbeOutcome; 5] = [
+    ProbeOutcome::Answered,
+    ProbeOutcome::Rejected,
+    ProbeOutcome::Error,
+    ProbeOutcome::TimedOut,
+    ProbeOutcome::Unreachable,
+];
 
 pub fn names(zones: &[String], each: usize) -> Vec<String> {
     zones.iter().flat_map(|zone| (0..each).map(move |slice| format!("probe/{zone}/{slice}"))).collect()
@@ -160,7 +165,7 @@
         now: Moment,
         duty: String,
         server: String,
-        end: ProbeEnd,
+        end: ProbeOutcome,
         load: Loads,
         ours: Option<u64>,
     ) -> Option<Wants> {
@@ -175,7 +180,14 @@
     }
 }
 
-fn probed(duty: String, server: String, number: u64, end: ProbeEnd, load: Loads, age: Span) -> word::Kind {
+fn probed(
+    duty: String,
+    server: String,
+    number: u64,
+    end: ProbeOutcome,
+    load: Loads,
+    age: Span,
+) -> word::Kind {
     let at = ENDS.iter().position(|known| *known == end).unwrap_or(0) as u32;
     let (util, in_hand) = load;
     word::Kind::Probed(Probed { duty, number, server, end: at, util, in_hand, age_ms: age.0 / 1_000_000 })
--- a/crates/planner/src/decide.rs
+++ b/crates/planner/src/decide.rs
@@ -120,7 +120,7 @@
 ];
 
 impl Planner {
-    pub fn turn(&mut self, now: Moment, events: &[Event]) -> Vec<Order> {
+    pub fn turn(&mut self, now: Moment, events: &[Event]) -> Vec<Action> {
         let mut orders = Vec::new();
         events.iter().for_each(|event| self.hear(now, event));
         if now >= self.state.woken {
@@ -132,11 +132,11 @@
             }
             // Planners that started together should not probe and push in step.
             self.state.woken = now + TICK.times(0.9 + 0.2 * self.rng.f64());
-            orders.push(Order::Wake { at: self.state.woken });
-            let due = |at: Moment| now.since(at) > self.fleet.ask_within.times(0.4);
-            if self.fleet.on_request && self.state.asked_list.is_none_or(due) {
+            orders.push(Action::Wake { at: self.state.woken });
+            let due = |at: Moment| now.since(at) > self.fleet.list_request_interval.times(0.4);
+            if self.fleet.list_on_request && self.state.asked_list.is_none_or(due) {
                 self.state.asked_list = Some(now);
-                orders.push(Order::Subscribe);
+                orders.push(Action::Subscribe);
             }
         }
         let pause = PAUSE.0.times(self.fleet.proxies as f64).min(PAUSE.1);
@@ -148,9 +148,9 @@
             }
             self.push(now, &mut orders);
         }
-        for server in std::mem::take(&mut self.state.ask).into_iter().filter(|_| self.reach.probes) {
+        for server in std::mem::take(&mut self.state.ask).into_iter().filter(|_| self.capabilities.probes) {
             self.state.servers[server].probed = Some(now);
-            orders.push(Order::Probe { server });
+            orders.push(Action::Probe { server });
         }
         orders
     }
@@ -158,7 +158,7 @@
     fn hear(&mut self, now: Moment, event: &Event) {
         match event {
             Event::List { kind, entries } => self.hear_list(now, *kind, entries),
-            Event::Sums { server, tries, dropped, load, .. } => {
+            Event::ServerStats { server, tries, dropped, load, .. } => {
                 self.state.note_load(*server, UTIL_EDGES, load.util, *tries);
                 let (tries, dropped) = self.state.note_tries(*server, *tries, *dropped);
                 if dropped >= BAD_TRIES && dropped >= BAD_PART * tries {
@@ -167,18 +167,18 @@
                     self.sign(now, *server, SumsGood, None);
                 }
             }
-            Event::Probed { server, end, load } => {
+            Event::ProbeEnded { server, outcome: end, load } => {
                 self.state.server(*server);
                 // Where a probe waits its turn, no answer in time is the only word of a full queue.
-                let full = self.reach.load_on_probe && *end == ProbeEnd::Silent;
+                let full = self.capabilities.load_on_probe && *end == ProbeOutcome::TimedOut;
                 self.state.note_load(*server, UTIL_EDGES, if full { Some(1.0) } else { load.util }, 1.0);
                 let sign = match end {
-                    ProbeEnd::Answered | ProbeEnd::Refused => ProbeGood,
+                    ProbeOutcome::Answered | ProbeOutcome::Rejected => ProbeGood,
                     // Where all are late, one more late answer says nothing of this server.
-                    ProbeEnd::Silent if self.strained() => return,
-                    ProbeEnd::Silent => ProbeSilent,
-                    ProbeEnd::Erring => ProbeErring,
-                    ProbeEnd::Dead => ProbeDead,
+                    ProbeOutcome::TimedOut if self.strained() => return,
+                    ProbeOutcome::TimedOut => ProbeSilent,
+                    ProbeOutcome::Error => ProbeErring,
+                    ProbeOutcome::Unreachable => ProbeDead,
                 };
                 self.sign(now, *server, sign, None);
                 let known = &self.state.servers[*server];
@@ -188,7 +188,7 @@
                 }
             }
             Event::Applied { proxy, mark } => self.state.applied(now, *proxy, *mark),
-            Event::Left { proxy } | Event::Joined { proxy, .. } => {
+            Event::ProxyLeft { proxy } | Event::ProxyJoined { proxy, .. } => {
                 // Uncounted, what a mass reconnect left in the channel took it past its limit.
                 self.state.depart(*proxy, now + self.empties().times(OUTLASTS));
                 self.state.note(event);
@@ -201,8 +201,8 @@
     /// counts against the grace at the pace the channel has now: it was seen to stand long after it was slow.
     /// Bindings are as urgent as what drains: behind a slow channel they stood still for 15 s.
     fn claims(&self, pace: f64) -> [f64; 4] {
-        let most = self.channel.most_waiting;
-        let grace = self.pledge.drain_grace.seconds() - self.channel.longest_way.seconds();
+        let most = self.channel.max_queued_lines;
+        let grace = self.contract.drain_grace.seconds() - self.channel.max_transit.seconds();
         // No account keeps a grace that is shorter than the way; it would only stand still.
         let in_time = |pace: f64| (grace.max(PAUSE.1.seconds()) * pace).min(most);
         let (soon, usually) = (in_time(pace), in_time(self.channel.lines_per_s));
@@ -211,26 +211,26 @@
 
     /// What a full channel takes to empty at its pace.
     fn empties(&self) -> Span {
-        Span::of_seconds(self.channel.most_waiting / self.channel.lines_per_s)
+        Span::of_seconds(self.channel.max_queued_lines / self.channel.lines_per_s)
     }
 
-    fn hear_list(&mut self, now: Moment, kind: ListKind, entries: &[Entry]) {
+    fn hear_list(&mut self, now: Moment, kind: ListKind, entries: &[ListEntry]) {
         if kind == ListKind::Failed {
             self.state.asked_list = None;
         }
-        let leaves = if self.pledge.removal_binds { Sign::Gone } else { Unlisted };
-        let doubted = leaves == Unlisted && kind != ListKind::Kept && self.reach.probes;
+        let leaves = if self.contract.removal_is_binding { Sign::Gone } else { Unlisted };
+        let doubted = leaves == Unlisted && kind != ListKind::Kept && self.capabilities.probes;
         for entry in entries {
             let server = self.state.server(entry.server);
             server.zone = entry.zone;
             server.weight = if entry.weight > 0.0 { entry.weight } else { 1.0 };
             let restarted = entry.last_start.is_some() && entry.last_start > server.started;
             let sign = match entry.state {
-                Listed::Running if doubted && matches!(server.stand, Stand::Gone | Fresh) => Appears,
-                Listed::Running if restarted => Restarted,
-                Listed::Running => Runs,
-                Listed::Stopping => Stops,
-                Listed::Deleted => leaves,
+                ListedState::Running if doubted && matches!(server.stand, Stand::Gone | Fresh) => Appears,
+                ListedState::Running if restarted => Restarted,
+                ListedState::Running => Runs,
+                ListedState::Stopping => Stops,
+                ListedState::Deleted => leaves,
             };
             self.sign(now, entry.server, sign, entry.last_start);
         }
@@ -287,7 +287,7 @@
 
     fn warmth(&self, now: Moment, at: ServerIx) -> usize {
         let Some(started) = self.state.servers[at].started else { return RAMP.len() - 1 };
-        let gone = now.since(started).seconds() / self.pledge.cold_for.seconds().max(1e-9);
+        let gone = now.since(started).seconds() / self.contract.warmup.seconds().max(1e-9);
         ((gone * 4.0) as usize).min(RAMP.len() - 1)
     }
 
@@ -366,7 +366,7 @@
                 let below = factor(-1).is_some_and(|next| wanted <= next / 0.95);
                 let call = if fails { -1 } else { i32::from(above) - i32::from(below) };
                 server.asked = if call == server.asked.signum() { server.asked + call } else { call };
-                let asked = server.asked.abs() >= 2 + i32::from(self.reach.load_on_probe);
+                let asked = server.asked.abs() >= 2 + i32::from(self.capabilities.load_on_probe);
                 if asked && common < BUSY || fails {
                     server.step = (server.step + call).max(-UNCORRECTED);
                     server.asked = 0;
@@ -378,11 +378,11 @@
     }
 
     /// Gives up places of servers long gone: each deploy took new ones, for as long as the planner ran.
-    fn forget(&mut self, now: Moment, orders: &mut Vec<Order>) {
+    fn forget(&mut self, now: Moment, orders: &mut Vec<Action>) {
         let forgotten = |bare: &(ServerIx, Moment)| now.since(bare.1) >= FORGOTTEN;
         for (server, _) in self.state.bare(now).into_iter().filter(forgotten) {
             self.state.servers[server] = Server::default();
-            orders.push(Order::Forget { server });
+            orders.push(Action::ReleaseServer { server });
         }
     }
 
@@ -452,7 +452,7 @@
         let left = |z: ZoneIx| (density * room[z] - load[z]).max(0.0);
         let free: Vec<f64> = (0..zones).map(left).collect();
         let (heard, bound) = (seen / all, self.routes.iter().any(|route| route.zone_bound));
-        let dear = ((self.fleet.crossing_price - CROSSING.0) / (CROSSING.1 - CROSSING.0)).clamp(0.0, 1.0);
+        let dear = ((self.fleet.cross_zone_cost - CROSSING.0) / (CROSSING.1 - CROSSING.0)).clamp(0.0, 1.0);
         let home = if bound { 1.0 } else { dear * heard * heard };
         let shares = |mass: &dyn Fn(ZoneIx) -> f64| -> Vec<Share> {
             let lines = carries.iter().enumerate().filter(|line| *line.1 > 0.0);
@@ -487,9 +487,11 @@
         let listed: f64 = self.state.servers.iter().filter(known).map(|s| s.weight).sum();
         let calls = self.state.work.map_or(2.0 * listed, |work| 1.2 * work * all);
         let full = self.state.step > 0 || self.state.common > BUSY || self.state.work.is_none();
-        let even = (self.pledge.overload_factor * self.pledge.fall.seconds() / EVEN).min(1.0).powi(2);
-        let grown = |at: usize| 1.0 - (1.0 - self.pledge.cold_from) * (1.0 - ripe[at] as f64 / last as f64);
-        let sure = |at: usize| self.pledge.overload_factor * grown(at) * self.state.servers[at].weight;
+        let even =
+            (self.contract.overload_factor * self.contract.overload_time.seconds() / EVEN).min(1.0).powi(2);
+        let grown =
+            |at: usize| 1.0 - (1.0 - self.contract.cold_capacity) * (1.0 - ripe[at] as f64 / last as f64);
+        let sure = |at: usize| self.contract.overload_factor * grown(at) * self.state.servers[at].weight;
         // Proxies that shun servers which fail them heap all on the last that answer, the cold: these wait
         // until they could bear it, and under strain. Harms a fleet that drops for want of new servers.
         let carries = self.carried(now);
@@ -498,7 +500,8 @@
         let struck = self.state.servers.iter().filter(|s| s.stand == Out || s.strikes >= CONFIRM);
         let struck = struck.map(|s| s.weight).sum::<f64>() / listed.max(1e-9);
         let failing = (dropped / tries).max(struck).max(1.0 - carries.iter().sum::<f64>() / calls);
-        let heaped = if self.reach.shuns { (SHUNNED.1 * failing).min(1.0) * calls } else { 0.0 };
+        let heaped =
+            if self.capabilities.ejects_servers { (SHUNNED.1 * failing).min(1.0) * calls } else { 0.0 };
         let shunned = failing > SHUNNED.0 && bears < heaped || self.strained();
         let cap = if shunned { 0.0 } else { [SAFE.0, SAFE.1][usize::from(full)] };
         let mut sent = vec![0.0; ripe.len()];
@@ -528,8 +531,8 @@
         let servers = self.state.servers.iter().filter(|s| s.stand == Open).count();
         let proxies = self.fleet.proxies.max(1) as f64;
         let lines = HANDED_OUT.seconds() * self.channel.lines_per_s;
-        let handed = lines * planners.max(1) as f64 / proxies - self.channel.head;
-        let connected = CONNECTED * self.fleet.conns_least * servers as f64 / proxies;
+        let handed = lines * planners.max(1) as f64 / proxies - self.channel.message_overhead;
+        let connected = CONNECTED * self.fleet.min_server_connections * servers as f64 / proxies;
         let kept = self.fleet.keep_alive.seconds() * self.state.average.max(1.0) / CALLS_KEPT;
         handed.min(connected).min(kept).clamp(NARROW, 1e6) as usize
     }
@@ -682,15 +685,15 @@
         }
     }
 
-    fn push(&mut self, now: Moment, orders: &mut Vec<Order>) {
-        let there_and_back = self.channel.longest_way.times(2.0);
+    fn push(&mut self, now: Moment, orders: &mut Vec<Action>) {
+        let there_and_back = self.channel.max_transit.times(2.0);
         let pace = self.state.measure_pace(now, there_and_back, self.channel.lines_per_s);
         let claims = self.claims(pace);
         self.state.pushed = now;
         // Marks tell what has arrived, so this holds however slow the channel has become.
         let mut queued = self.state.queued(now, self.empties());
         let mut spent = vec![0.0; self.state.proxies.len()];
-        let head = self.channel.head + 1.0;
+        let head = self.channel.message_overhead + 1.0;
         let mut users = self.state.users();
         let leaves = |at: ServerIx| matches!(self.state.servers[at].stand, Stand::Gone | Draining | Out);
         let leaving: Vec<bool> = (0..self.state.servers.len()).map(leaves).collect();
@@ -723,7 +726,7 @@
                 binds = Some(bound);
             }
             let users = &users[table];
-            let stale = |at: usize| at != self.state.step && self.reach.throttle == Throttle::Fraction;
+            let stale = |at: usize| at != self.state.step && self.capabilities.throttle == Throttle::Fraction;
             let known = self.state.tables[table].gates;
             let filled = jammed || queued > claims[0];
             let gates = known.is_none_or(|step| stale(step) && !filled);
@@ -763,7 +766,7 @@
                 continue;
             }
             for (server, weight) in changes {
-                orders.push(Order::Line { table, server, weight });
+                orders.push(Action::SetLine { table, server, weight });
                 self.state.tables[table].set((server, weight));
             }
             if gates {
@@ -775,15 +778,15 @@
         if late > 0.0 && self.state.reviewed == now {
             let (beyond, wait) = (format!("{late:.0} lines beyond {queued:.0}"), (queued + late) / pace);
             let text = format!("removals wait: {beyond} in the channel, {wait:.1} s at its pace");
-            orders.push(Order::Note { text });
+            orders.push(Action::Log { text });
         }
         let binds = binds.unwrap_or_else(|| self.binds(now, claims[3], &mut queued, &mut spent));
         for (proxy, table) in binds {
             let given = &mut self.state.proxies[proxy];
             (given.bound, given.holds) = (Some(now), Some(table));
-            orders.push(Order::Bind { proxy, table, routes: 0 });
+            orders.push(Action::Bind { proxy, table, routes: 0 });
         }
-        orders.extend(self.state.mark_messages(now, &spent, self.channel.messages_over));
+        orders.extend(self.state.mark_messages(now, &spent, self.channel.message_window));
     }
 
     /// Whom to hand a table, longest joined first: behind a cut, proxies kept what has drained meanwhile, and
@@ -797,7 +800,7 @@
             let Some(table) = self.state.table(&self.state.proxies[proxy]) else { continue };
             let standing = &self.state.tables[table];
             let gates = standing.gates.map_or(0, |_| self.routes.len());
-            let cost = (standing.lines.len() + gates) as f64 + self.channel.head + 2.0;
+            let cost = (standing.lines.len() + gates) as f64 + self.channel.message_overhead + 2.0;
             let fits = *queued + cost < most;
             if !standing.lines.is_empty() && fits && self.may_tell(now, proxy, 2) {
                 binds.push((proxy, table));
@@ -810,18 +813,18 @@
 
     /// Messages to one proxy: half of the limit is for removals alone, cold servers' lines once took it all.
     fn may_tell(&self, now: Moment, at: ProxyIx, haste: usize) -> bool {
-        let (told, most) = (&self.state.proxies[at].told, self.channel.messages_most);
-        let recent = told.iter().filter(|told| now.since(**told) <= self.channel.messages_over).count();
+        let (told, most) = (&self.state.proxies[at].told, self.channel.max_messages);
+        let recent = told.iter().filter(|told| now.since(**told) <= self.channel.message_window).count();
         let since = told.last().map_or(Span(u64::MAX), |last| now.since(*last));
-        let joined = since >= self.pledge.drain_grace.times(0.4);
+        let joined = since >= self.contract.drain_grace.times(0.4);
         recent < most / 2 && (haste > 0 || since >= GAP) || haste == 2 && recent + 1 < most && joined
     }
 
-    fn gate(&mut self, table: TableNo, orders: &mut Vec<Order>) {
+    fn gate(&mut self, table: TableNo, orders: &mut Vec<Action>) {
         let step = self.state.step;
         // Rule 2 by construction; and what one full server turns away only fills the next.
-        let set = |routes, level| Order::Gate { table, routes, level, resend: Resend::Never };
-        match (self.reach.throttle, step) {
+        let set = |routes, level| Action::SetLevel { table, routes, level, resend: ResendPolicy::Never };
+        match (self.capabilities.throttle, step) {
             (Throttle::Fraction, step) if step > 0 || !self.state.caps.is_empty() => {
                 orders.extend((0..self.routes.len()).map(|at| set(1 << at, self.level(at, step))))
             }
@@ -831,7 +834,7 @@
     }
 
     /// A slice whose server is not usable gets another, an exclusive one when no write can be left there.
-    fn mend_slices(&mut self, now: Moment, orders: &mut Vec<Order>) {
+    fn mend_slices(&mut self, now: Moment, orders: &mut Vec<Action>) {
         let carried = self.carried(now);
         let usable: Vec<ServerIx> = (0..carried.len()).filter(|at| carried[*at] > 0.0).collect();
         for (table, slice) in self.state.slices.iter_mut().enumerate().filter(|(_, slice)| slice.given) {
@@ -839,19 +842,19 @@
             if usable.is_empty() || lost.is_empty() && !kept.is_empty() {
                 continue;
             }
-            let gate = |level| Order::Gate { table, routes: 0, level, resend: Resend::Never };
+            let gate = |level| Action::SetLevel { table, routes: 0, level, resend: ResendPolicy::Never };
             if self.slicing.exclusive && !lost.is_empty() {
                 orders.extend(slice.held_until.is_none().then(|| gate(0.0)));
-                let rest = self.slicing.keeps_writing + self.slicing.lingers;
+                let rest = self.slicing.write_stop_delay + self.slicing.write_linger;
                 if now < *slice.held_until.get_or_insert(now + rest) {
                     continue;
                 }
             }
             let server = usable[table % usable.len()];
-            orders.push(Order::Line { table, server, weight: 1.0 });
+            orders.push(Action::SetLine { table, server, weight: 1.0 });
             orders.extend(slice.held_until.take().map(|_| gate(UNLIMITED)));
             let gone = lost.iter().filter(|_| !self.slicing.exclusive);
-            orders.extend(gone.map(|(server, _)| Order::Line { table, server: *server, weight: 0.0 }));
+            orders.extend(gone.map(|(server, _)| Action::SetLine { table, server: *server, weight: 0.0 }));
             slice.lines = kept.into_iter().filter(|line| line.0 != server).chain([(server, 1.0)]).collect();
         }
     }
--- a/crates/planner/src/door.rs
+++ b/crates/planner/src/interner.rs
@@ -4,22 +4,22 @@
 use std::hash::Hash;
 
 #[derive(Debug)]
-pub struct Door<Id> {
+pub struct Interner<Id> {
     indices: HashMap<Id, usize>,
     names: Vec<Id>,
     /// Places whose names were given up; lowest first, so that the same events lead to the same indices.
     free: BTreeSet<usize>,
 }
 
-impl<Id: Clone + Eq + Hash> Default for Door<Id> {
+impl<Id: Clone + Eq + Hash> Default for Interner<Id> {
     fn default() -> Self {
-        Door { indices: HashMap::new(), names: Vec::new(), free: BTreeSet::new() }
+        Interner { indices: HashMap::new(), names: Vec::new(), free: BTreeSet::new() }
     }
 }
 
-impl<Id: Clone + Eq + Hash> Door<Id> {
+impl<Id: Clone + Eq + Hash> Interner<Id> {
     /// The index of a name, a new one if it was never seen or has been forgotten.
-    pub fn admit(&mut self, name: &Id) -> usize {
+    pub fn intern(&mut self, name: &Id) -> usize {
         if let Some(index) = self.indices.get(name) {
             return *index;
         }
@@ -38,7 +38,7 @@
     }
 
     /// Gives a place up; only when nothing names it any more. Its name is kept for the log until another has it.
-    pub fn forget(&mut self, index: usize) {
+    pub fn release(&mut self, index: usize) {
         if self.indices.get(&self.names[index]) == Some(&index) {
             self.indices.remove(&self.names[index]);
             self.free.insert(index);
@@ -46,12 +46,12 @@
     }
 
     /// The index of a name, if it was seen.
-    pub fn find(&self, name: &Id) -> Option<usize> {
+    pub fn get(&self, name: &Id) -> Option<usize> {
         self.indices.get(name).copied()
     }
 
     /// Places so far, free ones too.
-    pub fn count(&self) -> usize {
+    pub fn slots(&self) -> usize {
         self.names.len()
     }
 
--- a/crates/planner/src/lib.rs
+++ b/crates/planner/src/lib.rs
@@ -5,8 +5,8 @@
 #![forbid(unsafe_code)]
 
 mod decide;
-pub mod door;
 mod histogram;
+pub mod interner;
 mod shares;
 mod types;
 
--- a/crates/planner/src/types.rs
+++ b/crates/planner/src/types.rs
@@ -22,7 +22,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeats {
+pub enum RetrySafety {
     Repeatable,
     Keyed { scope: KeyScope, window: Span },
     Mutating,
@@ -33,7 +33,7 @@
     pub importance: f64,
     pub slo_time: Span,
     pub time_limit: Span,
-    pub repeats: Repeats,
+    pub retry_safety: RetrySafety,
     /// May only go to servers of the proxy's zone.
     pub zone_bound: bool,
     pub writes: bool,
@@ -62,12 +62,12 @@
     pub proxies: usize,
     pub planners: usize,
     /// The list must be asked for.
-    pub on_request: bool,
-    pub ask_within: Span,
+    pub list_on_request: bool,
+    pub list_request_interval: Span,
     /// What a crossing call costs, in parts of a call's worth.
-    pub crossing_price: f64,
+    pub cross_zone_cost: f64,
     /// Connections that the smallest servers accept, and how long an idle one is kept; 0 where not told.
-    pub conns_least: f64,
+    pub min_server_connections: f64,
     pub keep_alive: Span,
 }
 
@@ -76,63 +76,63 @@
 pub struct Slicing {
     pub slices: usize,
     pub exclusive: bool,
-    pub keeps_writing: Span,
-    pub lingers: Span,
+    pub write_stop_delay: Span,
+    pub write_linger: Span,
 }
 
 /// What the channel to the proxies takes.
 #[derive(Clone, Debug)]
-pub struct Channel {
-    pub head: f64,
-    pub most_waiting: f64,
+pub struct ChannelLimits {
+    pub message_overhead: f64,
+    pub max_queued_lines: f64,
     /// Messages to one proxy within `messages_over`.
-    pub messages_most: usize,
-    pub messages_over: Span,
+    pub max_messages: usize,
+    pub message_window: Span,
     pub lines_per_s: f64,
     /// From leaving the channel to reaching the proxy, at most.
-    pub longest_way: Span,
+    pub max_transit: Span,
 }
 
 /// The figures of the rules.
 #[derive(Clone, Debug)]
-pub struct Pledge {
+pub struct Contract {
     pub drain_grace: Span,
     /// Leaving the list binds as draining does.
-    pub removal_binds: bool,
-    pub cold_from: f64,
-    pub cold_for: Span,
+    pub removal_is_binding: bool,
+    pub cold_capacity: f64,
+    pub warmup: Span,
     /// A cold server falls when sent this many times what it can do.
     pub overload_factor: f64,
     /// For so long, that is.
-    pub fall: Span,
+    pub overload_time: Span,
 }
 
 /// What proxies and servers let the planner do and see.
 #[derive(Clone, Debug)]
-pub struct Reach {
+pub struct Capabilities {
     pub throttle: Throttle,
     pub probes: bool,
     /// Load reports come with probes only.
     pub load_on_probe: bool,
     /// Proxies keep away from servers that fail them several times in a row.
-    pub shuns: bool,
+    pub ejects_servers: bool,
     /// How many times the SLO time a try waits before another may follow.
-    pub first_wait: f64,
+    pub resend_wait_factor: f64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Listed {
+pub enum ListedState {
     Running,
     Stopping,
     Deleted,
 }
 
 #[derive(Clone, Debug)]
-pub struct Entry {
+pub struct ListEntry {
     pub server: ServerIx,
     pub zone: ZoneIx,
     pub cell: u64,
-    pub state: Listed,
+    pub state: ListedState,
     pub weight: f64,
     pub last_start: Option<Moment>,
 }
@@ -150,43 +150,43 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Load {
     pub util: Option<f64>,
-    pub in_hand: Option<f64>,
+    pub in_flight: Option<f64>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ProbeEnd {
+pub enum ProbeOutcome {
     Answered,
     /// Turned away: alive, but not at ease.
-    Refused,
+    Rejected,
     /// Answered with an error.
-    Erring,
+    Error,
     /// No answer in time: dead, cut off, or only busy.
-    Silent,
+    TimedOut,
     /// Nothing there to talk to.
-    Dead,
+    Unreachable,
 }
 
 #[derive(Clone, Debug)]
 pub enum Event {
     List {
         kind: ListKind,
-        entries: Vec<Entry>,
+        entries: Vec<ListEntry>,
     },
-    Joined {
+    ProxyJoined {
         proxy: ProxyIx,
         zone: ZoneIx,
         calls_per_s: f64,
     },
-    Left {
+    ProxyLeft {
         proxy: ProxyIx,
     },
-    Sums {
+    ServerStats {
         server: ServerIx,
         zone: ZoneIx,
         tries: f64,
         dropped: f64,
-        mean: Span,
-        over: Span,
+        mean_latency: Span,
+        period: Span,
         load: Load,
     },
     Arrivals {
@@ -194,28 +194,28 @@
         route: usize,
         calls: f64,
         dropped: f64,
-        over: Span,
+        period: Span,
     },
-    Probed {
+    ProbeEnded {
         server: ServerIx,
-        end: ProbeEnd,
+        outcome: ProbeOutcome,
         load: Load,
     },
     Applied {
         proxy: ProxyIx,
         mark: u64,
     },
-    SliceGiven {
+    SliceAssigned {
         slice: TableNo,
-        given: bool,
+        assigned: bool,
     },
     /// An operator lets in no more than this part of a route's calls; 1 takes that back.
-    Cap {
+    LimitRoute {
         route: usize,
         level: f64,
     },
     /// An operator holds all changes of tables but removals, or lets them go on.
-    Hold {
+    HoldChanges {
         on: bool,
     },
     SliceLine {
@@ -224,32 +224,32 @@
         weight: f64,
     },
     /// Calls per second at the proxies of all other planners; none: nobody knows.
-    Elsewhere {
-        calls: Option<f64>,
+    OtherPlannersRate {
+        calls_per_s: Option<f64>,
     },
     /// Of what all proxies may bring a cold server, the part that those of this planner may; none: nobody has parted it.
-    Share {
-        part: Option<f64>,
+    ColdShare {
+        share: Option<f64>,
     },
     /// Others saw a server do badly: it is to weigh less by this part, 0 takes that back.
-    Lighter {
+    ReduceWeight {
         server: ServerIx,
-        part: f64,
+        by: f64,
     },
     Tick,
 }
 
 /// When a proxy tries another server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Resend {
+pub enum ResendPolicy {
     Never,
-    OnProof,
+    IfNeverRan,
     Once,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Order {
-    Line {
+pub enum Action {
+    SetLine {
         table: TableNo,
         server: ServerIx,
         weight: f64,
@@ -259,11 +259,11 @@
         table: TableNo,
         routes: u64,
     },
-    Gate {
+    SetLevel {
         table: TableNo,
         routes: u64,
         level: f64,
-        resend: Resend,
+        resend: ResendPolicy,
     },
     Mark {
         mark: u64,
@@ -276,11 +276,11 @@
     },
     Subscribe,
     /// Nothing names this place any more: its server's name is given up, the next new one may have the place.
-    Forget {
+    ReleaseServer {
         server: ServerIx,
     },
     /// For the people on call.
-    Note {
+    Log {
         text: String,
     },
 }
@@ -568,7 +568,7 @@
     }
 
     /// Marks the messages of a turn, by what each proxy's costs, so that their arrival will be told.
-    pub fn mark_messages(&mut self, now: Moment, costs: &[f64], kept: Span) -> Option<Order> {
+    pub fn mark_messages(&mut self, now: Moment, costs: &[f64], kept: Span) -> Option<Action> {
         let mark = (self.mark + 1) % 65_536;
         let lines: f64 = costs.iter().sum();
         self.ordered.extend((lines > 0.0).then_some((now, lines)));
@@ -578,7 +578,7 @@
             proxy.told.retain(|told| now.since(*told) <= kept);
             proxy.told.push(now);
         }
-        (self.mark == mark).then_some(Order::Mark { mark })
+        (self.mark == mark).then_some(Action::Mark { mark })
     }
 
     /// Lines on their way to proxies, at most. While marks come back within the time a full channel takes to
@@ -671,18 +671,22 @@
     /// What needs no more than to be kept.
     pub fn note(&mut self, event: &Event) {
         match event {
-            Event::Joined { proxy, zone, calls_per_s } => self.join(*proxy, *zone, *calls_per_s),
-            Event::Left { proxy } => *self.proxy(*proxy) = Proxy::default(),
-            Event::Arrivals { proxy, route, calls, over, .. } => self.arrive(*proxy, *route, *calls, *over),
-            Event::Cap { route, level } => self.cap(*route, *level),
-            Event::Hold { on } => self.held = *on,
-            Event::Elsewhere { calls } => self.elsewhere = *calls,
-            Event::Share { part } => self.stirred |= std::mem::replace(&mut self.share, *part) != *part,
-            Event::Lighter { server, part } => {
+            Event::ProxyJoined { proxy, zone, calls_per_s } => self.join(*proxy, *zone, *calls_per_s),
+            Event::ProxyLeft { proxy } => *self.proxy(*proxy) = Proxy::default(),
+            Event::Arrivals { proxy, route, calls, period: over, .. } => {
+                self.arrive(*proxy, *route, *calls, *over)
+            }
+            Event::LimitRoute { route, level } => self.cap(*route, *level),
+            Event::HoldChanges { on } => self.held = *on,
+            Event::OtherPlannersRate { calls_per_s: calls } => self.elsewhere = *calls,
+            Event::ColdShare { share: part } => {
+                self.stirred |= std::mem::replace(&mut self.share, *part) != *part
+            }
+            Event::ReduceWeight { server, by: part } => {
                 let before = std::mem::replace(&mut self.server(*server).lighter, *part);
                 self.stirred |= before != *part;
             }
-            Event::SliceGiven { slice, given } => self.give_slice(*slice, *given),
+            Event::SliceAssigned { slice, assigned: given } => self.give_slice(*slice, *given),
             Event::SliceLine { slice, server, weight } => self.slice_line(*slice, *server, *weight),
             _ => {}
         }
@@ -760,9 +764,9 @@
     pub(crate) rng: fastrand::Rng,
     pub(crate) fleet: Fleet,
     pub(crate) routes: Vec<Route>,
-    pub(crate) channel: Channel,
-    pub(crate) pledge: Pledge,
-    pub(crate) reach: Reach,
+    pub(crate) channel: ChannelLimits,
+    pub(crate) contract: Contract,
+    pub(crate) capabilities: Capabilities,
     pub(crate) slicing: Slicing,
     pub(crate) state: State,
 }
@@ -774,13 +778,13 @@
         seed: u64,
         fleet: Fleet,
         routes: Vec<Route>,
-        channel: Channel,
-        pledge: Pledge,
-        reach: Reach,
+        channel: ChannelLimits,
+        contract: Contract,
+        capabilities: Capabilities,
         slicing: Slicing,
     ) -> Planner {
         let state = State { planned: now, reviewed: now, leveled: now, woken: now, ..State::default() };
         let rng = fastrand::Rng::with_seed(seed);
-        Planner { rng, fleet, routes, channel, pledge, reach, slicing, state }
+        Planner { rng, fleet, routes, channel, contract, capabilities, slicing, state }
     }
 }
--- a/crates/planner/tests/crowd.rs
+++ b/crates/planner/tests/crowd.rs
@@ -26,21 +26,21 @@
 }
 
 impl Wire {
-    fn write(&mut self, orders: &[Order]) {
+    fn write(&mut self, orders: &[Action]) {
         let mut changed: BTreeMap<usize, usize> = BTreeMap::new();
         let (mut bound, mut marked) = (BTreeSet::new(), None);
         for order in orders {
             match order {
-                Order::Line { table, server, weight } => {
+                Action::SetLine { table, server, weight } => {
                     let lines = self.tables.entry(*table).or_default();
                     let _ = if *weight > 0.0 { lines.insert(*server) } else { lines.remove(server) };
                     *changed.entry(*table).or_default() += 1;
                 }
-                Order::Bind { proxy, table, .. } => {
+                Action::Bind { proxy, table, .. } => {
                     self.follows.insert(*proxy, *table);
                     bound.insert(*proxy);
                 }
-                Order::Mark { mark } => marked = Some(*mark),
+                Action::Mark { mark } => marked = Some(*mark),
                 _ => {}
             }
         }
@@ -96,7 +96,7 @@
                 events.extend((first..first + 16).map(|proxy| joined(proxy, proxy % 3, asks(proxy))));
             }
             6_000 => {
-                let entries = drained.iter().map(|at| entry(*at, at % 3, Listed::Stopping, 1.0, None));
+                let entries = drained.iter().map(|at| entry(*at, at % 3, ListedState::Stopping, 1.0, None));
                 events.push(Event::List { kind: ListKind::Changes, entries: entries.collect() });
             }
             _ => {}
--- a/crates/planner/tests/stage/mod.rs
+++ b/crates/planner/tests/stage/mod.rs
@@ -29,11 +29,11 @@
     pub removal_binds: bool,
     pub slices: usize,
     pub exclusive: bool,
-    pub repeats: Vec<(f64, Repeats)>,
+    pub repeats: Vec<(f64, RetrySafety)>,
 }
 
 pub fn terms() -> Terms {
-    let repeats = vec![(1.0, Repeats::Repeatable), (3.0, Repeats::Mutating)];
+    let repeats = vec![(1.0, RetrySafety::Repeatable), (3.0, RetrySafety::Mutating)];
     Terms {
         zones: 2,
         proxies: 4,
@@ -60,13 +60,13 @@
 
 impl Stage {
     pub fn new(t: Terms) -> Stage {
-        let route = |(importance, repeats): &(f64, Repeats)| Route {
+        let route = |(importance, repeats): &(f64, RetrySafety)| Route {
             importance: *importance,
             slo_time: ms(1000),
             time_limit: ms(3000),
-            repeats: *repeats,
+            retry_safety: *repeats,
             zone_bound: false,
-            writes: *repeats == Repeats::Mutating,
+            writes: *repeats == RetrySafety::Mutating,
         };
         let planner = Planner::new(
             START,
@@ -75,37 +75,42 @@
                 zones: t.zones,
                 proxies: t.proxies,
                 planners: t.planners,
-                on_request: false,
-                ask_within: ms(0),
-                crossing_price: t.crossing_price,
-                conns_least: t.conns_least,
+                list_on_request: false,
+                list_request_interval: ms(0),
+                cross_zone_cost: t.crossing_price,
+                min_server_connections: t.conns_least,
                 keep_alive: ms(15_000),
             },
             t.repeats.iter().map(route).collect(),
-            Channel {
-                head: 3.0,
-                most_waiting: t.most_waiting,
-                messages_most: t.messages_most,
-                messages_over: ms(10_000),
+            ChannelLimits {
+                message_overhead: 3.0,
+                max_queued_lines: t.most_waiting,
+                max_messages: t.messages_most,
+                message_window: ms(10_000),
                 lines_per_s: 2000.0,
-                longest_way: t.longest_way,
+                max_transit: t.longest_way,
             },
-            Pledge {
+            Contract {
                 drain_grace: ms(2000),
-                removal_binds: t.removal_binds,
-                cold_from: 0.2,
-                cold_for: ms(16_000),
+                removal_is_binding: t.removal_binds,
+                cold_capacity: 0.2,
+                warmup: ms(16_000),
                 overload_factor: 3.0,
-                fall: ms(3000),
+                overload_time: ms(3000),
             },
-            Reach {
+            Capabilities {
                 throttle: t.throttle,
                 probes: true,
                 load_on_probe: false,
-                shuns: t.shuns,
-                first_wait: 1.0,
+                ejects_servers: t.shuns,
+                resend_wait_factor: 1.0,
+            },
+            Slicing {
+                slices: t.slices,
+                exclusive: t.exclusive,
+                write_stop_delay: ms(2500),
+                write_linger: ms(1500),
             },
-            Slicing { slices: t.slices, exclusive: t.exclusive, keeps_writing: ms(2500), lingers: ms(1500) },
         );
         Stage { planner, now: START, trace: String::new(), confirming: 0, marks: Vec::new() }
     }
@@ -117,14 +122,14 @@
         let applied = |mark: u64| (0..self.confirming).map(move |proxy| Event::Applied { proxy, mark });
         let events: Vec<Event> = marks.into_iter().flat_map(applied).chain(events.iter().cloned()).collect();
         for order in self.planner.turn(self.now, &events) {
-            if let Order::Mark { mark } = order {
+            if let Action::Mark { mark } = order {
                 self.marks.push(mark);
             }
             let line = match order {
-                Order::Wake { .. } => continue,
-                Order::Line { table, server, weight } => format!("line t{table} s{server} {weight:.3}"),
-                Order::Bind { proxy, table, routes } => format!("bind p{proxy} t{table} routes {routes}"),
-                Order::Gate { table, routes, level, resend } => {
+                Action::Wake { .. } => continue,
+                Action::SetLine { table, server, weight } => format!("line t{table} s{server} {weight:.3}"),
+                Action::Bind { proxy, table, routes } => format!("bind p{proxy} t{table} routes {routes}"),
+                Action::SetLevel { table, routes, level, resend } => {
                     format!("gate t{table} routes {routes} level {level} {resend:?}")
                 }
                 other => format!("{other:?}"),
@@ -145,30 +150,37 @@
     }
 }
 
-pub fn entry(server: usize, zone: usize, state: Listed, weight: f64, start_ms: Option<u64>) -> Entry {
+pub fn entry(
+    server: usize,
+    zone: usize,
+    state: ListedState,
+    weight: f64,
+    start_ms: Option<u64>,
+) -> ListEntry {
     let last_start = start_ms.map(|at| START + ms(at));
-    Entry { server, zone, cell: 0, state, weight, last_start }
+    ListEntry { server, zone, cell: 0, state, weight, last_start }
 }
 
 /// Servers by zone, all running and warm.
 pub fn kept(zones: &[usize]) -> Event {
-    let entries = zones.iter().enumerate().map(|(s, z)| entry(s, *z, Listed::Running, 1.0, None)).collect();
+    let entries =
+        zones.iter().enumerate().map(|(s, z)| entry(s, *z, ListedState::Running, 1.0, None)).collect();
     Event::List { kind: ListKind::Kept, entries }
 }
 
-pub fn change(entry: Entry) -> Event {
+pub fn change(entry: ListEntry) -> Event {
     Event::List { kind: ListKind::Changes, entries: vec![entry] }
 }
 
 pub fn joined(proxy: usize, zone: usize, calls_per_s: f64) -> Event {
-    Event::Joined { proxy, zone, calls_per_s }
+    Event::ProxyJoined { proxy, zone, calls_per_s }
 }
 
 pub fn sums(server: usize, tries: f64, dropped: f64, util: Option<f64>) -> Event {
-    let load = Load { util, in_hand: None };
-    Event::Sums { server, zone: 0, tries, dropped, mean: ms(100), over: ms(1000), load }
+    let load = Load { util, in_flight: None };
+    Event::ServerStats { server, zone: 0, tries, dropped, mean_latency: ms(100), period: ms(1000), load }
 }
 
-pub fn probed(server: usize, end: ProbeEnd) -> Event {
-    Event::Probed { server, end, load: Load::default() }
+pub fn probed(server: usize, end: ProbeOutcome) -> Event {
+    Event::ProbeEnded { server, outcome: end, load: Load::default() }
 }
--- a/crates/planner/tests/traces.rs
+++ b/crates/planner/tests/traces.rs
@@ -39,7 +39,8 @@
     let mut stage = Stage::new(Terms { crossing_price: 0.0, ..terms() });
     let weights = [1.0, 0.01, 0.9, 0.02];
     let entries = weights.iter().enumerate();
-    let entries = entries.map(|(s, w)| entry(s, usize::from(s == 3), Listed::Running, *w, None)).collect();
+    let entries =
+        entries.map(|(s, w)| entry(s, usize::from(s == 3), ListedState::Running, *w, None)).collect();
     stage.at(0, &[Event::List { kind: ListKind::Kept, entries }, joined(0, 0, 10.0)]);
     stage.note("server 1 is too thin; server 3 stands alone in its zone; weights keep three binary digits");
     insta::assert_snapshot!(stage.trace);
@@ -48,7 +49,7 @@
 #[test]
 fn a_drain_goes_in_the_same_turn() {
     let mut stage = settled(terms());
-    stage.at(1000, &[change(entry(1, 0, Listed::Stopping, 1.0, None))]);
+    stage.at(1000, &[change(entry(1, 0, ListedState::Stopping, 1.0, None))]);
     stage.pass(1500, 6000);
     insta::assert_snapshot!(stage.trace);
 }
@@ -57,7 +58,8 @@
 fn a_replacement_goes_ahead_of_the_last_removal() {
     let mut stage = Stage::new(terms());
     stage.at(0, &[kept(&[0]), joined(0, 0, 10.0)]);
-    let entries = vec![entry(0, 0, Listed::Stopping, 1.0, None), entry(1, 0, Listed::Running, 1.0, Some(0))];
+    let entries =
+        vec![entry(0, 0, ListedState::Stopping, 1.0, None), entry(1, 0, ListedState::Running, 1.0, Some(0))];
     stage.at(500, &[Event::List { kind: ListKind::Changes, entries }]);
     insta::assert_snapshot!(stage.trace);
 }
@@ -65,7 +67,7 @@
 #[test]
 fn a_restart_falls_to_the_entry_share_and_climbs_by_quarters() {
     let mut stage = settled(terms());
-    stage.at(1000, &[change(entry(2, 0, Listed::Running, 1.0, Some(900)))]);
+    stage.at(1000, &[change(entry(2, 0, ListedState::Running, 1.0, Some(900)))]);
     stage.pass(1500, 18_000);
     insta::assert_snapshot!(stage.trace);
 }
@@ -76,7 +78,7 @@
     let mut stage = settled(Terms { shuns: true, ..terms() });
     let overload: Vec<Event> = (0..6).map(|s| sums(s, 50.0, 20.0, Some(0.99))).collect();
     stage.at(1000, &overload);
-    stage.at(1100, &[change(entry(6, 0, Listed::Running, 1.0, Some(1000)))]);
+    stage.at(1100, &[change(entry(6, 0, ListedState::Running, 1.0, Some(1000)))]);
     insta::assert_snapshot!(stage.trace);
 }
 
@@ -87,12 +89,12 @@
     stage.at(1000, &others);
     stage.at(1100, &[sums(0, 5.0, 5.0, None)]);
     stage.note("a silent probe is half a proof, a second one shuts the server out");
-    stage.at(1400, &[probed(0, ProbeEnd::Silent)]);
-    stage.at(1700, &[probed(0, ProbeEnd::Silent)]);
+    stage.at(1400, &[probed(0, ProbeOutcome::TimedOut)]);
+    stage.at(1700, &[probed(0, ProbeOutcome::TimedOut)]);
     stage.pass(2000, 3000);
     stage.note("two answers let it in again as if just started");
-    stage.at(3100, &[probed(0, ProbeEnd::Answered)]);
-    stage.at(3900, &[probed(0, ProbeEnd::Answered)]);
+    stage.at(3100, &[probed(0, ProbeOutcome::Answered)]);
+    stage.at(3900, &[probed(0, ProbeOutcome::Answered)]);
     insta::assert_snapshot!(stage.trace);
 }
 
@@ -102,11 +104,11 @@
     let mut stage = settled(terms());
     let overload: Vec<Event> = (0..6).map(|s| sums(s, 50.0, 45.0, Some(0.99))).collect();
     stage.at(1000, &overload);
-    let silent: Vec<Event> = (0..6).map(|s| probed(s, ProbeEnd::Silent)).collect();
+    let silent: Vec<Event> = (0..6).map(|s| probed(s, ProbeOutcome::TimedOut)).collect();
     stage.at(1300, &silent);
     stage.at(1700, &silent);
     stage.note("only a server that is not there at all goes");
-    stage.at(1900, &[probed(4, ProbeEnd::Dead)]);
+    stage.at(1900, &[probed(4, ProbeOutcome::Unreachable)]);
     insta::assert_snapshot!(stage.trace);
 }
 
@@ -115,7 +117,7 @@
     let mut stage = settled(terms());
     let failing: Vec<Event> = (0..6).map(|s| sums(s, 5.0, 5.0, None)).collect();
     stage.at(1000, &failing);
-    let dead: Vec<Event> = (0..6).map(|s| probed(s, ProbeEnd::Dead)).collect();
+    let dead: Vec<Event> = (0..6).map(|s| probed(s, ProbeOutcome::Unreachable)).collect();
     stage.at(1300, &dead);
     insta::assert_snapshot!(stage.trace);
 }
@@ -166,9 +168,9 @@
     let mut stage = Stage::new(Terms { most_waiting: 120.0, ..terms() });
     stage.at(0, &[kept(&[0, 0, 0, 1, 1, 1]), joined(0, 0, 10.0), joined(1, 0, 5.0), joined(2, 1, 9.0)]);
     stage.note("nothing is confirmed: the new server's later steps wait, the drain does not");
-    stage.at(1000, &[change(entry(6, 0, Listed::Running, 1.0, Some(900)))]);
+    stage.at(1000, &[change(entry(6, 0, ListedState::Running, 1.0, Some(900)))]);
     stage.pass(1500, 6500);
-    stage.at(7000, &[change(entry(1, 0, Listed::Stopping, 1.0, None))]);
+    stage.at(7000, &[change(entry(1, 0, ListedState::Stopping, 1.0, None))]);
     insta::assert_snapshot!(stage.trace);
 }
 
@@ -176,7 +178,7 @@
 fn messages_to_one_proxy_keep_within_their_limit() {
     let mut stage = settled(Terms { messages_most: 4, ..terms() });
     for (at, server) in [(1000, 0), (1400, 1), (1800, 3), (2200, 4)] {
-        stage.at(at, &[change(entry(server, server / 3, Listed::Stopping, 1.0, None))]);
+        stage.at(at, &[change(entry(server, server / 3, ListedState::Stopping, 1.0, None))]);
     }
     stage.pass(2500, 11_500);
     let told = stage.trace.matches("Mark").count();
@@ -188,9 +190,9 @@
 fn slices_move_only_when_their_server_goes_and_exclusive_ones_pause_first() {
     let mut stage = Stage::new(Terms { slices: 2, exclusive: true, ..terms() });
     let line = |slice, server| Event::SliceLine { slice, server, weight: 1.0 };
-    let given = |slice| Event::SliceGiven { slice, given: true };
+    let given = |slice| Event::SliceAssigned { slice, assigned: true };
     stage.at(0, &[kept(&[0, 0, 1]), given(0), line(0, 0), given(1), line(1, 1)]);
-    stage.at(500, &[change(entry(0, 0, Listed::Stopping, 1.0, None))]);
+    stage.at(500, &[change(entry(0, 0, ListedState::Stopping, 1.0, None))]);
     stage.pass(1000, 5000);
     insta::assert_snapshot!(stage.trace);
 }
@@ -198,15 +200,24 @@
 #[test]
 fn odd_but_legal_events_are_borne() {
     let mut stage = Stage::new(terms());
-    stage.at(0, &[Event::Left { proxy: 9 }, Event::Applied { proxy: 4, mark: 3 }, sums(5, 0.0, 0.0, None)]);
-    stage.at(100, &[probed(8, ProbeEnd::Dead), Event::List { kind: ListKind::Failed, entries: vec![] }]);
-    stage.at(200, &[Event::Arrivals { proxy: 3, route: 7, calls: 0.0, dropped: 0.0, over: ms(0) }]);
+    stage.at(
+        0,
+        &[Event::ProxyLeft { proxy: 9 }, Event::Applied { proxy: 4, mark: 3 }, sums(5, 0.0, 0.0, None)],
+    );
+    stage.at(
+        100,
+        &[probed(8, ProbeOutcome::Unreachable), Event::List { kind: ListKind::Failed, entries: vec![] }],
+    );
+    stage.at(200, &[Event::Arrivals { proxy: 3, route: 7, calls: 0.0, dropped: 0.0, period: ms(0) }]);
     stage.at(300, &[joined(0, 0, 0.0), joined(0, 0, 0.0)]);
     stage.note("an empty list leaves nothing to bind; the first server is handed out at once");
     stage.at(400, &[Event::List { kind: ListKind::Complete, entries: vec![] }]);
     stage.at(
         500,
-        &[change(entry(0, 1, Listed::Running, 0.0, None)), Event::SliceGiven { slice: 3, given: true }],
+        &[
+            change(entry(0, 1, ListedState::Running, 0.0, None)),
+            Event::SliceAssigned { slice: 3, assigned: true },
+        ],
     );
     stage.pass(1000, 7000);
     insta::assert_snapshot!(stage.trace);
@@ -217,8 +228,8 @@
     // Found by a rule search: the last warm server drained and all calls fell on cold ones at once.
     let mut stage = Stage::new(terms());
     stage.at(0, &[kept(&[0]), joined(0, 0, 50.0)]);
-    stage.at(500, &[change(entry(1, 0, Listed::Running, 1.0, Some(400)))]);
-    stage.at(1000, &[change(entry(0, 0, Listed::Stopping, 1.0, None))]);
+    stage.at(500, &[change(entry(1, 0, ListedState::Running, 1.0, Some(400)))]);
+    stage.at(1000, &[change(entry(0, 0, ListedState::Stopping, 1.0, None))]);
     insta::assert_snapshot!(stage.trace);
 }
 
@@ -226,10 +237,14 @@
 fn unanswered_probes_hold_cold_servers_back_where_proxies_shun() {
     // Found by a rule search: a zone cut in a rolling deploy; sums told of it seconds after proxies had shunned.
     let mut stage = settled(Terms { shuns: true, ..terms() });
-    let cut = [probed(3, ProbeEnd::Dead), probed(4, ProbeEnd::Dead), probed(5, ProbeEnd::Dead)];
+    let cut = [
+        probed(3, ProbeOutcome::Unreachable),
+        probed(4, ProbeOutcome::Unreachable),
+        probed(5, ProbeOutcome::Unreachable),
+    ];
     stage.at(1000, &cut);
     stage.note("the zone behind the cut keeps a quarter each; the cold server of the other zone waits");
-    stage.at(1100, &[change(entry(6, 0, Listed::Running, 1.0, Some(1000)))]);
+    stage.at(1100, &[change(entry(6, 0, ListedState::Running, 1.0, Some(1000)))]);
     insta::assert_snapshot!(stage.trace);
 }
 
@@ -239,7 +254,7 @@
     let mut stage = settled(terms());
     let jam: Vec<Event> = (0..6).map(|s| sums(s, 50.0, 30.0, Some(0.99))).collect();
     stage.at(2600, &jam);
-    let entries = (0..6).map(|s| entry(s, s / 3, Listed::Running, 1.0, Some(2900))).collect();
+    let entries = (0..6).map(|s| entry(s, s / 3, ListedState::Running, 1.0, Some(2900))).collect();
     stage.at(3000, &[Event::List { kind: ListKind::Changes, entries }]);
     stage.note("all restarted, and idle from here on");
     let idle: Vec<Event> = (0..6).map(|s| sums(s, 50.0, 0.0, Some(0.3))).collect();
@@ -289,7 +304,7 @@
     // Seen at full size: proxies on a table that the grouping had left kept a draining server past the grace.
     let mut stage = grown();
     stage.trace.clear();
-    stage.at(500, &[change(entry(3, 0, Listed::Stopping, 1.0, None))]);
+    stage.at(500, &[change(entry(3, 0, ListedState::Stopping, 1.0, None))]);
     stage.trace = stage.trace.lines().filter(|l| l.contains("s3 ")).collect::<Vec<_>>().join("\n");
     insta::assert_snapshot!(stage.trace);
 }
@@ -298,16 +313,16 @@
 fn lists_that_do_not_bind_are_checked_by_probes() {
     // Seen on days with a wrong list: live servers listed as gone, and others listed that never were.
     let mut stage = settled(Terms { removal_binds: false, ..terms() });
-    stage.at(1000, &[change(entry(0, 0, Listed::Deleted, 1.0, None))]);
-    stage.at(1050, &[probed(0, ProbeEnd::Answered)]);
+    stage.at(1000, &[change(entry(0, 0, ListedState::Deleted, 1.0, None))]);
+    stage.at(1050, &[probed(0, ProbeOutcome::Answered)]);
     stage.note("a new one gets lines once it has answered");
-    stage.at(1100, &[change(entry(6, 0, Listed::Running, 1.0, Some(900)))]);
-    stage.at(1200, &[probed(6, ProbeEnd::Dead)]);
-    stage.at(2000, &[probed(6, ProbeEnd::Answered)]);
+    stage.at(1100, &[change(entry(6, 0, ListedState::Running, 1.0, Some(900)))]);
+    stage.at(1200, &[probed(6, ProbeOutcome::Unreachable)]);
+    stage.at(2000, &[probed(6, ProbeOutcome::Answered)]);
     stage.note("one that is told to drain goes at once, and one that is gone and dead when probes say so");
-    stage.at(3000, &[change(entry(1, 0, Listed::Stopping, 1.0, None))]);
-    stage.at(3100, &[change(entry(2, 0, Listed::Deleted, 1.0, None))]);
-    stage.at(3200, &[probed(2, ProbeEnd::Dead)]);
+    stage.at(3000, &[change(entry(1, 0, ListedState::Stopping, 1.0, None))]);
+    stage.at(3100, &[change(entry(2, 0, ListedState::Deleted, 1.0, None))]);
+    stage.at(3200, &[probed(2, ProbeOutcome::Unreachable)]);
     stage.trace = stage.trace.lines().filter(|l| !l.contains("Probe")).collect::<Vec<_>>().join("\n");
     insta::assert_snapshot!(stage.trace);
 }
@@ -316,10 +331,10 @@
 fn errors_on_probes_bear_out_sums_and_let_no_newcomer_in() {
     // Seen on days with a wrong list: servers of somebody else answered every call and probe with an error.
     let mut stage = settled(Terms { removal_binds: false, ..terms() });
-    stage.at(1000, &[change(entry(6, 0, Listed::Running, 1.0, None))]);
-    stage.at(1010, &[probed(6, ProbeEnd::Erring), sums(0, 5.0, 5.0, None)]);
-    stage.at(1100, &[probed(0, ProbeEnd::Erring)]);
-    stage.at(1500, &[probed(0, ProbeEnd::Erring)]);
+    stage.at(1000, &[change(entry(6, 0, ListedState::Running, 1.0, None))]);
+    stage.at(1010, &[probed(6, ProbeOutcome::Error), sums(0, 5.0, 5.0, None)]);
+    stage.at(1100, &[probed(0, ProbeOutcome::Error)]);
+    stage.at(1500, &[probed(0, ProbeOutcome::Error)]);
     stage.trace = stage.trace.lines().filter(|l| !l.contains("Probe")).collect::<Vec<_>>().join("\n");
     insta::assert_snapshot!(stage.trace);
 }
@@ -329,9 +344,9 @@
     // Found by a rule search (deploy on a slow channel): lines for cold servers kept a drain back for 8 s.
     let mut stage = grown();
     stage.trace.clear();
-    let cold = (40..80).map(|s| entry(s, 0, Listed::Running, 1.0, Some(400))).collect();
+    let cold = (40..80).map(|s| entry(s, 0, ListedState::Running, 1.0, Some(400))).collect();
     stage.at(500, &[Event::List { kind: ListKind::Changes, entries: cold }]);
-    let drains = (0..6).map(|s| entry(s, 0, Listed::Stopping, 1.0, None)).collect();
+    let drains = (0..6).map(|s| entry(s, 0, ListedState::Stopping, 1.0, None)).collect();
     let before = stage.trace.matches("line").count();
     stage.at(900, &[Event::List { kind: ListKind::Changes, entries: drains }]);
     let removals = stage.trace.matches(" 0.000").count();
@@ -346,7 +361,7 @@
     let mut stage = grown();
     let mine: Vec<usize> = (0..40).filter(|s| stage.trace.contains(&format!("line t1 s{s} "))).collect();
     stage.trace.clear();
-    let drains = mine.iter().map(|s| entry(*s, 0, Listed::Stopping, 1.0, None)).collect();
+    let drains = mine.iter().map(|s| entry(*s, 0, ListedState::Stopping, 1.0, None)).collect();
     stage.at(500, &[Event::List { kind: ListKind::Changes, entries: drains }]);
     let told: Vec<&str> = stage.trace.lines().filter(|l| l.contains("line t1 ")).collect();
     let removals = told.iter().filter(|line| line.ends_with(" 0.000")).count();
@@ -360,10 +375,10 @@
     let mut stage = settled(Terms { messages_most: 6, ..terms() });
     for after in 1..8 {
         let at = 1000 * after as u64;
-        stage.at(at, &[change(entry(5 + after, 0, Listed::Running, 1.0, Some(at)))]);
+        stage.at(at, &[change(entry(5 + after, 0, ListedState::Running, 1.0, Some(at)))]);
     }
     let early = stage.trace.matches("Mark").count();
-    stage.at(8500, &[change(entry(0, 0, Listed::Stopping, 1.0, None))]);
+    stage.at(8500, &[change(entry(0, 0, ListedState::Stopping, 1.0, None))]);
     let drained = stage.trace.contains("8500 line t0 s0 0.000");
     stage.trace = format!("{early} messages for cold servers, then the drain goes at once: {drained}");
     insta::assert_snapshot!(stage.trace);
@@ -375,8 +390,8 @@
     // lines for cold servers took the channel's room turn after turn.
     let mut stage = grown();
     let cold =
-        |from: usize| (from..from + 20).map(|s| entry(s, 0, Listed::Running, 1.0, Some(400))).collect();
-    stage.at(300, &(0..60).map(|proxy| Event::Left { proxy }).collect::<Vec<_>>());
+        |from: usize| (from..from + 20).map(|s| entry(s, 0, ListedState::Running, 1.0, Some(400))).collect();
+    stage.at(300, &(0..60).map(|proxy| Event::ProxyLeft { proxy }).collect::<Vec<_>>());
     stage.at(500, &[Event::List { kind: ListKind::Changes, entries: cold(40) }]);
     stage.trace.clear();
     stage.at(900, &(0..60).rev().map(|p| joined(p, 0, 2.0)).collect::<Vec<_>>());
@@ -454,7 +469,7 @@
         let joins =
             |proxies: std::ops::Range<usize>| proxies.map(|p| joined(p, 0, 3.0)).collect::<Vec<Event>>();
         stage.at(0, &[&[kept(&[0; 40])], joins(0..first).as_slice()].concat());
-        let cold = (40..100).map(|s| entry(s, 0, Listed::Running, 1.0, Some(400))).collect();
+        let cold = (40..100).map(|s| entry(s, 0, ListedState::Running, 1.0, Some(400))).collect();
         let list = [Event::List { kind: ListKind::Changes, entries: cold }];
         stage.at(400, &[&list, joins(first..80).as_slice()].concat());
         stage.pass(1_000, 1_500);
@@ -470,9 +485,9 @@
     let mut stage = grown();
     let mine: Vec<usize> = (0..40).filter(|s| stage.trace.contains(&format!("line t1 s{s} "))).collect();
     let restarted = mine[0];
-    stage.at(500, &[change(entry(restarted, 0, Listed::Running, 1.0, Some(450)))]);
+    stage.at(500, &[change(entry(restarted, 0, ListedState::Running, 1.0, Some(450)))]);
     stage.trace.clear();
-    let drains = mine[1..].iter().map(|s| entry(*s, 0, Listed::Stopping, 1.0, None)).collect();
+    let drains = mine[1..].iter().map(|s| entry(*s, 0, ListedState::Stopping, 1.0, None)).collect();
     stage.at(900, &[Event::List { kind: ListKind::Changes, entries: drains }]);
     let told: Vec<&str> = stage.trace.lines().filter(|l| l.contains("line t1 ")).collect();
     let removals = told.iter().filter(|line| line.ends_with(" 0.000")).count();
@@ -493,7 +508,7 @@
     let applied = |mark| (0..80).map(|proxy| Event::Applied { proxy, mark }).collect::<Vec<_>>();
     (1..8).for_each(|round| stage.at(300 * round, &applied(round)));
     stage.trace.clear();
-    let drains = (0..30).map(|s| entry(s, 0, Listed::Stopping, 1.0, None)).collect();
+    let drains = (0..30).map(|s| entry(s, 0, ListedState::Stopping, 1.0, None)).collect();
     stage.at(2_200, &[Event::List { kind: ListKind::Changes, entries: drains }]);
     stage.pass(2_300, 5_500);
     stage.trace = stage.trace.lines().filter(|l| l.contains("removals wait")).collect::<Vec<_>>().join("\n");
@@ -507,7 +522,7 @@
     let terms = Terms { zones: 1, proxies: 40, conns_least: 100.0, most_waiting: 1000.0, ..terms() };
     let mut stage = Stage::new(terms);
     let joins: Vec<Event> = (0..40).map(|p| joined(p, 0, 3.0)).collect();
-    let leave: Vec<Event> = (0..40).map(|proxy| Event::Left { proxy }).collect();
+    let leave: Vec<Event> = (0..40).map(|proxy| Event::ProxyLeft { proxy }).collect();
     stage.at(0, &[&[kept(&[0; 40])], joins.as_slice()].concat());
     for round in 1..4 {
         stage.at(200 * round, &leave);
@@ -535,7 +550,7 @@
         let eventful = at > 1_500;
         stage.confirming = if eventful { 39 } else { 40 };
         settled = if eventful { settled } else { stage.trace.len() };
-        let restarted = entry(round as usize % 16, 0, Listed::Running, 1.0, Some(at));
+        let restarted = entry(round as usize % 16, 0, ListedState::Running, 1.0, Some(at));
         let events = [change(restarted)];
         stage.at(at, if eventful && round % 2 == 0 { &events } else { &[Event::Tick] });
     }
@@ -567,7 +582,7 @@
     stage.trace.clear();
     // Zone 0 loses most of its servers, zone 1 a few, under a load that asks for levels.
     let drains =
-        (0..50).filter(|s| s % 2 == 0 || *s < 12).map(|s| entry(s, s % 2, Listed::Stopping, 1.0, None));
+        (0..50).filter(|s| s % 2 == 0 || *s < 12).map(|s| entry(s, s % 2, ListedState::Stopping, 1.0, None));
     let mut events = vec![Event::List { kind: ListKind::Changes, entries: drains.collect() }];
     events.extend((50..60).map(|server| sums(server, 20.0, 8.0, Some(1.0))));
     stage.at(2_600, &events);
@@ -602,7 +617,7 @@
     let (mut told, mut next, mut stands, mut most) = (Vec::new(), 0, 0.0, 0.0_f64);
     for round in 1..240 {
         let at = 2_500 + 150 * round;
-        let mut events = vec![change(entry(round as usize % 16, 0, Listed::Running, 1.0, Some(at)))];
+        let mut events = vec![change(entry(round as usize % 16, 0, ListedState::Running, 1.0, Some(at)))];
         if let Some((mark, cost)) = told.get(next / 40).copied() {
             events.push(Event::Applied { proxy: next % 40, mark });
             stands -= cost;
@@ -632,7 +647,7 @@
     stage.at(0, &[&[kept(&[0; 40])], at_ease.as_slice(), joins.as_slice()].concat());
     stage.confirming = 160;
     stage.pass(500, 3_000);
-    let restarted = (0..34).map(|server| entry(server, 0, Listed::Running, 1.0, Some(3_000))).collect();
+    let restarted = (0..34).map(|server| entry(server, 0, ListedState::Running, 1.0, Some(3_000))).collect();
     stage.at(3_100, &[Event::List { kind: ListKind::Changes, entries: restarted }]);
     stage.pass(3_500, 6_500);
     insta::assert_snapshot!(shape(&stage.trace));
@@ -643,11 +658,11 @@
     // Found by a rule search (a planner's crash in an overloaded fleet): a cold server that was to get nothing kept
     // its whole share for 1.8 s after its start was told, and was pushed over.
     let mut stage = settled(terms());
-    stage.at(900, &[change(entry(6, 0, Listed::Running, 1.0, None))]);
+    stage.at(900, &[change(entry(6, 0, ListedState::Running, 1.0, None))]);
     let overload: Vec<Event> = (0..6).map(|s| sums(s, 50.0, 45.0, Some(0.99))).collect();
     stage.at(1_000, &overload);
     stage.trace.clear();
-    stage.at(1_050, &[change(entry(2, 0, Listed::Running, 1.0, Some(1_020)))]);
+    stage.at(1_050, &[change(entry(2, 0, ListedState::Running, 1.0, Some(1_020)))]);
     stage.at(1_150, &[Event::Tick]);
     insta::assert_snapshot!(stage.trace);
 }
@@ -655,52 +670,56 @@
 #[test]
 fn a_place_is_given_up_once_nothing_names_it_and_what_returns_sooner_is_known() {
     let mut stage = settled(terms());
-    stage.at(1000, &[change(entry(1, 0, Listed::Deleted, 1.0, None))]);
+    stage.at(1000, &[change(entry(1, 0, ListedState::Deleted, 1.0, None))]);
     stage.pass(1500, 60_000);
     stage.trace.clear();
     stage.note("it returns within two minutes, and goes again");
-    stage.at(60_500, &[change(entry(1, 0, Listed::Running, 1.0, None))]);
-    stage.at(61_000, &[change(entry(1, 0, Listed::Deleted, 1.0, None))]);
+    stage.at(60_500, &[change(entry(1, 0, ListedState::Running, 1.0, None))]);
+    stage.at(61_000, &[change(entry(1, 0, ListedState::Deleted, 1.0, None))]);
     stage.pass(61_500, 179_000);
-    assert!(!stage.trace.contains("Forget"), "{}", stage.trace);
+    assert!(!stage.trace.contains("ReleaseServer"), "{}", stage.trace);
     stage.pass(179_500, 190_000);
     let trace = stage.trace.lines().filter(|line| !line.contains("Probe")).collect::<Vec<_>>().join("\n");
     insta::assert_snapshot!(trace);
     // A message that may name it is under way to one of the proxies: as long as it is, the place is held.
     let mut stage = settled(terms());
     stage.confirming = 1;
-    stage.at(1000, &[change(entry(1, 0, Listed::Deleted, 1.0, None))]);
+    stage.at(1000, &[change(entry(1, 0, ListedState::Deleted, 1.0, None))]);
     stage.pass(1500, 400_000);
-    assert!(!stage.trace.contains("Forget"), "held while proxy 1 has not confirmed");
-    stage.at(400_500, &[1, 2, 3].map(|proxy| Event::Left { proxy }));
+    assert!(!stage.trace.contains("ReleaseServer"), "held while proxy 1 has not confirmed");
+    stage.at(400_500, &[1, 2, 3].map(|proxy| Event::ProxyLeft { proxy }));
     stage.pass(401_000, 530_000);
-    assert!(stage.trace.contains("Forget { server: 1 }"), "given up after it left");
+    assert!(stage.trace.contains("ReleaseServer { server: 1 }"), "given up after it left");
 }
 
 #[test]
 fn a_hundred_thousand_replaced_servers_take_no_more_room_than_a_thousand() {
-    use pewtergap_planner::door::Door;
+    use pewtergap_planner::interner::Interner;
     let mut stage = Stage::new(terms());
-    let mut door: Door<u64> = Door::default();
+    let mut interner: Interner<u64> = Interner::default();
     stage.at(0, &[joined(0, 0, 10.0), joined(2, 1, 9.0)]);
     stage.confirming = 3;
     let mut peak = 0;
     for step in 0..10_000u64 {
-        let news = (step * 10..step * 10 + 10).map(|name| (name, Listed::Running));
-        let gone = (step.saturating_sub(1) * 10..step * 10).map(|name| (name, Listed::Deleted));
-        let entries: Vec<Entry> = gone
+        let news = (step * 10..step * 10 + 10).map(|name| (name, ListedState::Running));
+        let gone = (step.saturating_sub(1) * 10..step * 10).map(|name| (name, ListedState::Deleted));
+        let entries: Vec<ListEntry> = gone
             .chain(news)
-            .map(|(name, state)| entry(door.admit(&name), name as usize % 2, state, 1.0, None))
+            .map(|(name, state)| entry(interner.intern(&name), name as usize % 2, state, 1.0, None))
             .collect();
         stage.at(step * 3_000, &[Event::List { kind: ListKind::Changes, entries }]);
         for order in stage.trace.lines() {
-            if let Some(place) = order.split("Forget { server: ").nth(1) {
-                door.forget(place.trim_end_matches(" }").parse().expect("a place"));
+            if let Some(place) = order.split("ReleaseServer { server: ").nth(1) {
+                interner.release(place.trim_end_matches(" }").parse().expect("a place"));
             }
         }
         stage.trace.clear();
-        peak = if step == 100 { door.count() } else { peak };
-        assert!(step <= 100 || door.count() <= peak, "step {step}: {} places for {peak}", door.count());
+        peak = if step == 100 { interner.slots() } else { peak };
+        assert!(
+            step <= 100 || interner.slots() <= peak,
+            "step {step}: {} places for {peak}",
+            interner.slots()
+        );
     }
     assert!(peak < 600, "{peak} places");
 }
@@ -708,10 +727,10 @@
 #[test]
 fn an_operators_cap_bounds_a_route_at_every_step_and_is_taken_back() {
     let mut stage = settled(terms());
-    stage.at(1_000, &[Event::Cap { route: 1, level: 0.3 }]);
+    stage.at(1_000, &[Event::LimitRoute { route: 1, level: 0.3 }]);
     stage.note("more of the same cap changes nothing; then it goes");
-    stage.at(2_500, &[Event::Cap { route: 1, level: 0.3 }]);
-    stage.at(4_000, &[Event::Cap { route: 1, level: 1.0 }]);
+    stage.at(2_500, &[Event::LimitRoute { route: 1, level: 0.3 }]);
+    stage.at(4_000, &[Event::LimitRoute { route: 1, level: 1.0 }]);
     let trace = stage.trace.lines().filter(|line| !line.contains("Probe")).collect::<Vec<_>>().join("\n");
     insta::assert_snapshot!(trace);
 }
@@ -719,16 +738,17 @@
 #[test]
 fn an_operators_hold_keeps_all_back_but_removals_and_lines_for_a_table_without_a_warm_one() {
     let mut stage = settled(terms());
-    stage.at(1_000, &[Event::Hold { on: true }]);
+    stage.at(1_000, &[Event::HoldChanges { on: true }]);
     stage.note("a new server waits, a drain goes");
-    stage.at(2_000, &[change(entry(6, 0, Listed::Running, 1.0, None))]);
-    stage.at(3_000, &[change(entry(0, 0, Listed::Stopping, 1.0, None))]);
+    stage.at(2_000, &[change(entry(6, 0, ListedState::Running, 1.0, None))]);
+    stage.at(3_000, &[change(entry(0, 0, ListedState::Stopping, 1.0, None))]);
     stage.note("the last of the first zone drain: their proxies need a line all the same");
-    let last = vec![entry(1, 0, Listed::Stopping, 1.0, None), entry(2, 0, Listed::Stopping, 1.0, None)];
+    let last =
+        vec![entry(1, 0, ListedState::Stopping, 1.0, None), entry(2, 0, ListedState::Stopping, 1.0, None)];
     stage.at(4_000, &[Event::List { kind: ListKind::Changes, entries: last }]);
     stage.pass(4_500, 8_000);
     stage.note("and all goes on");
-    stage.at(8_500, &[Event::Hold { on: false }]);
+    stage.at(8_500, &[Event::HoldChanges { on: false }]);
     stage.pass(9_000, 13_000);
     let trace = stage.trace.lines().filter(|line| !line.contains("Probe")).collect::<Vec<_>>().join("\n");
     insta::assert_snapshot!(trace);
@@ -738,9 +758,9 @@
 fn a_cold_server_gets_no_more_than_our_part_of_what_all_may_bring_it() {
     let weight = |share: Option<f64>| {
         let mut stage = settled(terms());
-        stage.at(1_000, &[Event::Share { part: share }]);
+        stage.at(1_000, &[Event::ColdShare { share }]);
         // Half warm: thinner lines would be trimmed.
-        stage.at(10_000, &[change(entry(6, 0, Listed::Running, 1.0, Some(2_000)))]);
+        stage.at(10_000, &[change(entry(6, 0, ListedState::Running, 1.0, Some(2_000)))]);
         stage.pass(10_500, 12_000);
         let lines = stage.trace.lines().filter(|line| line.contains(" s6 "));
         let weights = lines.filter_map(|line| line.rsplit(' ').next()?.parse::<f64>().ok());
@@ -754,10 +774,10 @@
 #[test]
 fn a_server_that_others_saw_do_badly_weighs_less_until_that_is_taken_back() {
     let mut stage = settled(terms());
-    stage.at(1_000, &[Event::Lighter { server: 0, part: 0.5 }]);
+    stage.at(1_000, &[Event::ReduceWeight { server: 0, by: 0.5 }]);
     stage.pass(1_500, 5_000);
     stage.note("it is not shut out, and it is taken back");
-    stage.at(5_500, &[Event::Lighter { server: 0, part: 0.0 }]);
+    stage.at(5_500, &[Event::ReduceWeight { server: 0, by: 0.0 }]);
     stage.pass(6_000, 10_000);
     let trace = stage.trace.lines().filter(|line| !line.contains("Probe")).collect::<Vec<_>>().join("\n");
     insta::assert_snapshot!(trace);
@@ -767,10 +787,10 @@
 fn calls_elsewhere_take_the_place_of_the_guess_as_long_as_somebody_tells_them() {
     let mut stage = settled(terms());
     stage.note("far more is asked elsewhere: calls cross zones, since these do for the others too");
-    stage.at(1_000, &[Event::Elsewhere { calls: Some(500.0) }]);
+    stage.at(1_000, &[Event::OtherPlannersRate { calls_per_s: Some(500.0) }]);
     stage.pass(1_500, 6_000);
     stage.note("nobody tells any more");
-    stage.at(6_500, &[Event::Elsewhere { calls: None }]);
+    stage.at(6_500, &[Event::OtherPlannersRate { calls_per_s: None }]);
     stage.pass(7_000, 12_000);
     let trace = stage.trace.lines().filter(|line| !line.contains("Probe")).collect::<Vec<_>>().join("\n");
     insta::assert_snapshot!(trace);
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,7 +1,7 @@
 //! What the platform tells a planner at its start, by a file and a few variables.
 
 use crate::server_list::{Answer, Target};
-use pewtergap_start::Start;
+use pewtergap_start::StartConfig;
 use serde_json::Value;
 use std::net::SocketAddr;
 
@@ -20,7 +20,7 @@
     pub limits: Limits,
     /// The list as this planner last held it.
     pub known: (u64, Vec<Target>),
-    pub start: Start,
+    pub start: StartConfig,
 }
 
 /// Fewer and no planner can run: its proxies, collectors and calls need sockets, its lists memory.
@@ -85,7 +85,7 @@
             }
         };
         let settings = file.get("settings").ok_or("settings is missing")?;
-        let start = pewtergap_start::read(settings).map_err(|e| format!("settings: {e}"))?;
+        let start = pewtergap_start::parse(settings).map_err(|e| format!("settings: {e}"))?;
         if start.zone_names.is_empty() || start.fleet.proxies == 0 {
             return Err("settings: the zones or the number of proxies are missing".into());
         }
--- a/crates/platform/src/node.rs
+++ b/crates/platform/src/node.rs
@@ -9,8 +9,8 @@
 use pewtergap_control::probes::Probes;
 use pewtergap_control::Probing;
 use pewtergap_node::{Effect, Ended, Input, Level, Link, Node, Outbox};
-use pewtergap_planner::door::Door;
-use pewtergap_planner::{Entry, Event, ListKind, Listed, Load, Order, Planner, ProbeEnd};
+use pewtergap_planner::interner::Interner;
+use pewtergap_planner::{Action, Event, ListEntry, ListKind, ListedState, Load, Planner, ProbeOutcome};
 use pewtergap_resp::{nack, pong, read, Reader, Said, IN_HAND, UTIL};
 use pewtergap_time::{Moment, Span};
 use std::any::Any;
@@ -98,8 +98,8 @@
     /// A stream that leaves a message unanswered and says nothing for so long counts as left.
     unresponsive_after: Span,
     planner: Planner,
-    servers: Door<String>,
-    proxies: Door<u64>,
+    servers: Interner<String>,
+    proxies: Interner<u64>,
     /// Where each server is probed and when it started, by index.
     endpoints: Vec<Option<(SocketAddr, Option<Moment>)>>,
     server_list: ServerList,
@@ -131,12 +131,12 @@
         let Config { name, listen, discovery, seed, limits, known, start } = config;
         let most_proxies = start.fleet.proxies as u64;
         // Twice what a full channel takes to empty, and the way there and back.
-        let empties = start.channel.most_waiting / start.channel.lines_per_s;
+        let empties = start.channel.max_queued_lines / start.channel.lines_per_s;
         let empties = if empties.is_finite() { Span::of_seconds(empties) } else { LONGEST_EMPTIES };
         let unresponsive_after =
-            empties.min(LONGEST_EMPTIES).times(2.0) + start.channel.longest_way.times(2.0);
-        let drain_grace = start.pledge.drain_grace;
-        let planner = start.planner(now, seed);
+            empties.min(LONGEST_EMPTIES).times(2.0) + start.channel.max_transit.times(2.0);
+        let drain_grace = start.contract.drain_grace;
+        let planner = start.build_planner(now, seed);
         let probing = Probing {
             path: "/metrics/load".into(),
             within: PROBED,
@@ -153,8 +153,8 @@
             most_proxies,
             unresponsive_after,
             planner,
-            servers: Door::default(),
-            proxies: Door::default(),
+            servers: Interner::default(),
+            proxies: Interner::default(),
             endpoints: Vec::new(),
             server_list: ServerList::kept(now, known.0, known.1, drain_grace),
             discovery: Discovery::new(discovery),
@@ -290,14 +290,14 @@
                 self.log(now, Level::Warn, "list_entry_refused", fields, out);
                 continue;
             };
-            let server = self.servers.admit(&target.name);
+            let server = self.servers.intern(&target.name);
             if self.endpoints.len() <= server {
                 self.endpoints.resize(server + 1, None);
             }
-            let stays = target.state != Listed::Deleted;
+            let stays = target.state != ListedState::Deleted;
             self.endpoints[server] = stays.then_some((target.at, target.started));
             let (cell, state, weight) = (target.cell, target.state, target.weight);
-            entries.push(Entry { server, zone, cell, state, weight, last_start: target.started });
+            entries.push(ListEntry { server, zone, cell, state, weight, last_start: target.started });
             if kind == ListKind::Changes && shown.len() < SHOWN {
                 let started = target.started.map_or(String::new(), |at| format!("@{}", at.0 / 1_000_000));
                 shown.push(format!("{}={state:?}{started}", target.name));
@@ -349,27 +349,27 @@
         let orders = self.planner.turn(now, &events);
         for order in &orders {
             match order {
-                Order::Probe { server } => self.probes.ask(*server),
-                Order::Wake { at } => {
+                Action::Probe { server } => self.probes.ask(*server),
+                Action::Wake { at } => {
                     self.woken = Some(*at);
                     out.wake(timer::WOKEN, *at);
                 }
-                Order::Note { text } => {
+                Action::Log { text } => {
                     self.log(now, Level::Info, "planner", vec![("text", text.clone())], out)
                 }
-                Order::Forget { server } => {
+                Action::ReleaseServer { server } => {
                     if let Some(link) = self.probes.forget(*server) {
                         out.cut(link);
                     }
                     self.tally.tries.remove(server);
-                    self.servers.forget(*server);
+                    self.servers.release(*server);
                 }
                 // Discovery is watched all the time; nothing has to be asked for.
-                Order::Subscribe
-                | Order::Line { .. }
-                | Order::Bind { .. }
-                | Order::Gate { .. }
-                | Order::Mark { .. } => {}
+                Action::Subscribe
+                | Action::SetLine { .. }
+                | Action::Bind { .. }
+                | Action::SetLevel { .. }
+                | Action::Mark { .. } => {}
             }
         }
         let (mark, messages) = self.tables.carry_out(&orders, &self.servers, &self.routes);
@@ -377,7 +377,7 @@
             let lines: usize = messages.iter().map(|message| message.lines).sum();
             self.tally.messages += messages.len() as u64;
             self.tally.lines += lines as u64;
-            let binds = orders.iter().filter(|order| matches!(order, Order::Bind { .. })).count();
+            let binds = orders.iter().filter(|order| matches!(order, Action::Bind { .. })).count();
             let fields = vec![
                 ("events", events.len().to_string()),
                 ("messages", messages.len().to_string()),
@@ -411,21 +411,21 @@
         }
     }
 
-    fn probed(&mut self, now: Moment, (server, end, load): (usize, ProbeEnd, Load), out: &mut Outbox) {
+    fn probed(&mut self, now: Moment, (server, end, load): (usize, ProbeOutcome, Load), out: &mut Outbox) {
         let word = match end {
-            ProbeEnd::Answered => "answered",
-            ProbeEnd::Refused => "refused",
-            ProbeEnd::Erring => "erring",
-            ProbeEnd::Silent => "silent",
-            ProbeEnd::Dead => "dead",
+            ProbeOutcome::Answered => "answered",
+            ProbeOutcome::Rejected => "refused",
+            ProbeOutcome::Error => "erring",
+            ProbeOutcome::TimedOut => "silent",
+            ProbeOutcome::Unreachable => "dead",
         };
         *self.tally.probes.entry(word).or_default() += 1;
         self.tally.probe_reports += u64::from(load.util.is_some());
-        if matches!(end, ProbeEnd::Erring | ProbeEnd::Silent | ProbeEnd::Dead) {
+        if matches!(end, ProbeOutcome::Error | ProbeOutcome::TimedOut | ProbeOutcome::Unreachable) {
             let fields = vec![("server", self.servers.name(server).clone()), ("end", word.into())];
             self.log(now, Level::Info, "probe", fields, out);
         }
-        self.event(now, Event::Probed { server, end, load }, out);
+        self.event(now, Event::ProbeEnded { server, outcome: end, load }, out);
         self.ask_next(now, out);
     }
 
@@ -438,7 +438,7 @@
     fn late_probes(&mut self, now: Moment, out: &mut Outbox) {
         for (link, server) in self.probes.late(now) {
             out.cut(link);
-            self.probed(now, (server, ProbeEnd::Silent, Load::default()), out);
+            self.probed(now, (server, ProbeOutcome::TimedOut, Load::default()), out);
         }
     }
 
--- a/crates/platform/src/node/streams.rs
+++ b/crates/platform/src/node/streams.rs
@@ -47,7 +47,7 @@
             }
             self.tables.forget(peer.proxy);
             self.tally.leaves += 1;
-            self.event(now, Event::Left { proxy: peer.proxy }, out);
+            self.event(now, Event::ProxyLeft { proxy: peer.proxy }, out);
         }
     }
 
@@ -109,7 +109,7 @@
         if std::mem::take(&mut stream.silent) {
             let (zone, calls_per_s) = (stream.zone, stream.calls_per_s);
             self.tally.joins += 1;
-            self.event(now, Event::Joined { proxy, zone, calls_per_s }, out);
+            self.event(now, Event::ProxyJoined { proxy, zone, calls_per_s }, out);
         }
     }
 
@@ -127,7 +127,7 @@
             self.tables.forget(proxy);
             self.tally.leaves += 1;
             self.log(now, Level::Warn, "silent", vec![("proxy", self.proxies.name(proxy).to_string())], out);
-            self.event(now, Event::Left { proxy }, out);
+            self.event(now, Event::ProxyLeft { proxy }, out);
         }
     }
 
@@ -152,8 +152,8 @@
                 vec![("proxy", self.proxies.name(proxy).to_string())],
                 out,
             );
-            self.event(now, Event::Left { proxy }, out);
-            self.event(now, Event::Joined { proxy, zone, calls_per_s }, out);
+            self.event(now, Event::ProxyLeft { proxy }, out);
+            self.event(now, Event::ProxyJoined { proxy, zone, calls_per_s }, out);
         }
     }
 
@@ -218,7 +218,7 @@
             return Err("sidecar: the proxy does not exist".into());
         }
         let zone = self.zones.iter().position(|known| known == zone).ok_or("az: the zone does not exist")?;
-        let proxy = self.proxies.admit(&number);
+        let proxy = self.proxies.intern(&number);
         // The end of the stream it had may be seen later; it changes nothing any more.
         if let Some(old) = self.peers.streams.get(&proxy).map(|stream| stream.link) {
             if let Some(former) = self.peers.all.get_mut(&old) {
@@ -245,7 +245,7 @@
             ("bare", bare.to_string()),
         ];
         out.log(Level::Debug, "joined", fields);
-        self.event(now, Event::Joined { proxy, zone, calls_per_s }, out);
+        self.event(now, Event::ProxyJoined { proxy, zone, calls_per_s }, out);
         Ok(proxy)
     }
 
@@ -262,17 +262,25 @@
             Said::Sums(sums) => {
                 let zone = self.zones.iter().position(|known| known == sums.zone);
                 let zone = zone.ok_or("the zone does not exist")?;
-                let server = self.servers.find(&sums.server.to_string()).ok_or("the server is not known")?;
+                let server = self.servers.get(&sums.server.to_string()).ok_or("the server is not known")?;
                 self.tally.sums += 1;
                 self.tally.reports += u64::from(sums.util.is_some());
                 let tries = self.tally.tries.entry(server).or_default();
                 *tries = (tries.0 + sums.tries, tries.1 + sums.dropped);
-                let load = Load { util: sums.util, in_hand: sums.in_hand };
+                let load = Load { util: sums.util, in_flight: sums.in_hand };
                 let (tries, dropped) = (sums.tries as f64, sums.dropped as f64);
-                Event::Sums { server, zone, tries, dropped, mean: sums.mean, over: sums.over, load }
+                Event::ServerStats {
+                    server,
+                    zone,
+                    tries,
+                    dropped,
+                    mean_latency: sums.mean,
+                    period: sums.over,
+                    load,
+                }
             }
             Said::Arrivals { proxy: number, route, calls, dropped, over } => {
-                let proxy = self.proxies.find(&number).filter(|at| self.joined(*at));
+                let proxy = self.proxies.get(&number).filter(|at| self.joined(*at));
                 let proxy = proxy.ok_or("the proxy has not joined")?;
                 if stand == Stand::Proxy && proxy != own {
                     return Err("the proxy is another");
@@ -280,10 +288,10 @@
                 let route = self.routes.iter().position(|known| known == route);
                 let route = route.ok_or("the route does not exist")?;
                 self.tally.arrivals += 1;
-                Event::Arrivals { proxy, route, calls: calls as f64, dropped: dropped as f64, over }
+                Event::Arrivals { proxy, route, calls: calls as f64, dropped: dropped as f64, period: over }
             }
             Said::Applied { proxy: number, mark, after } => {
-                if self.proxies.find(&number) != Some(own) {
+                if self.proxies.get(&number) != Some(own) {
                     return Err("the proxy is another");
                 }
                 let stream = self.peers.streams.get_mut(&own).ok_or("the proxy has not joined")?;
--- a/crates/platform/src/server_list.rs
+++ b/crates/platform/src/server_list.rs
@@ -1,6 +1,6 @@
 //! The servers as discovery lists them, and what of an answer is news.
 
-use pewtergap_planner::Listed;
+use pewtergap_planner::ListedState;
 use pewtergap_time::{Moment, Span};
 use serde::Deserialize;
 use serde_json::Value;
@@ -14,7 +14,7 @@
     pub at: SocketAddr,
     pub zone: String,
     pub cell: u64,
-    pub state: Listed,
+    pub state: ListedState,
     pub weight: f64,
     pub started: Option<Moment>,
 }
@@ -64,9 +64,9 @@
     }
     let at = row.endpoint.parse().map_err(|_| format!("endpoint '{}' is no address", row.endpoint))?;
     let state = match row.state.as_str() {
-        "Ready" => Listed::Running,
-        "Terminating" => Listed::Stopping,
-        "Gone" => Listed::Deleted,
+        "Ready" => ListedState::Running,
+        "Terminating" => ListedState::Stopping,
+        "Gone" => ListedState::Deleted,
         other => return Err(format!("state '{other}' is not known")),
     };
     let weight = row.capacity_hint.unwrap_or(1.0);
@@ -126,9 +126,9 @@
 impl ServerList {
     /// As held before a start: what it says is told now.
     pub fn kept(now: Moment, version: u64, known: Vec<Target>, grace: Span) -> ServerList {
-        let listed = known.into_iter().filter(|t| t.state != Listed::Deleted);
+        let listed = known.into_iter().filter(|t| t.state != ListedState::Deleted);
         let listed: BTreeMap<String, Target> = listed.map(|t| (t.name.clone(), t)).collect();
-        let left = listed.values().any(|target| target.state != Listed::Running).then_some(now);
+        let left = listed.values().any(|target| target.state != ListedState::Running).then_some(now);
         ServerList { version, listed, complete: false, grace, left, back: None }
     }
 
@@ -174,13 +174,14 @@
             }
         }
         if answer.whole {
-            told.retain(|_, target| target.state != Listed::Deleted);
+            told.retain(|_, target| target.state != ListedState::Deleted);
             for target in unread.iter().filter_map(|name| self.listed.get(name)) {
                 told.entry(target.name.clone()).or_insert(target.clone());
             }
-            let stays = |name: &String| told.get(name).is_some_and(|target| target.state == Listed::Running);
+            let stays =
+                |name: &String| told.get(name).is_some_and(|target| target.state == ListedState::Running);
             let ends =
-                self.listed.iter().any(|(name, target)| target.state == Listed::Running && !stays(name));
+                self.listed.iter().any(|(name, target)| target.state == ListedState::Running && !stays(name));
             self.left = if ends { Some(now) } else { self.left };
             let same = self.complete && told == self.listed;
             self.complete = true;
@@ -188,11 +189,11 @@
             return if same { News::Nothing } else { News::Complete(self.known().cloned().collect()) };
         }
         told.retain(|name, target| self.listed.get(name) != Some(target));
-        let ends = told.values().any(|target| target.state != Listed::Running);
+        let ends = told.values().any(|target| target.state != ListedState::Running);
         self.left = if ends { Some(now) } else { self.left };
         for (name, target) in &told {
             match target.state {
-                Listed::Deleted => drop(self.listed.remove(name)),
+                ListedState::Deleted => drop(self.listed.remove(name)),
                 _ => drop(self.listed.insert(name.clone(), target.clone())),
             }
         }
--- a/crates/platform/src/tables.rs
+++ b/crates/platform/src/tables.rs
@@ -1,7 +1,7 @@
 //! What each table holds, which of them each stream follows, and what a turn's orders write to whom.
 
-use pewtergap_planner::door::Door;
-use pewtergap_planner::{Order, Resend};
+use pewtergap_planner::interner::Interner;
+use pewtergap_planner::{Action, ResendPolicy};
 use pewtergap_resp::Part;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -49,15 +49,15 @@
     /// Takes the orders of one turn. Proxies of one table are written the same bytes.
     pub fn carry_out(
         &mut self,
-        orders: &[Order],
-        servers: &Door<String>,
+        orders: &[Action],
+        servers: &Interner<String>,
         routes: &[String],
     ) -> (Option<u64>, Vec<Message>) {
         let mut mark = None;
         let mut bound: BTreeMap<usize, Vec<u64>> = BTreeMap::new();
         for order in orders {
             match order {
-                Order::Line { table, server, weight } => {
+                Action::SetLine { table, server, weight } => {
                     let standing = self.tables.entry(*table).or_default();
                     standing.touched.insert(*server);
                     if *weight > 0.0 {
@@ -66,11 +66,11 @@
                         standing.lines.remove(server);
                     }
                 }
-                Order::Gate { table, routes, level, resend } => {
+                Action::SetLevel { table, routes, level, resend } => {
                     let how = match resend {
-                        Resend::Never => 0,
-                        Resend::OnProof => 1,
-                        Resend::Once => 2,
+                        ResendPolicy::Never => 0,
+                        ResendPolicy::IfNeverRan => 1,
+                        ResendPolicy::Once => 2,
                     };
                     let standing = self.tables.entry(*table).or_default();
                     for gates in [&mut standing.gates, &mut standing.gated] {
@@ -78,13 +78,13 @@
                         gates.push((*routes, *level, how));
                     }
                 }
-                Order::Bind { proxy, table, routes } => {
+                Action::Bind { proxy, table, routes } => {
                     let follows = self.follows.entry(*proxy).or_default();
                     follows.retain(|known| *routes != 0 && known.0 != *routes);
                     follows.push((*routes, *table));
                     bound.entry(*proxy).or_default().push(*routes);
                 }
-                Order::Mark { mark: ordered } => mark = Some(*ordered),
+                Action::Mark { mark: ordered } => mark = Some(*ordered),
                 _ => {}
             }
         }
@@ -136,7 +136,14 @@
 }
 
 impl Standing {
-    fn parts(&self, mask: u64, whole: bool, servers: &Door<String>, routes: &[String], into: &mut Vec<Part>) {
+    fn parts(
+        &self,
+        mask: u64,
+        whole: bool,
+        servers: &Interner<String>,
+        routes: &[String],
+        into: &mut Vec<Part>,
+    ) {
         let names = |mask: u64| -> Vec<String> {
             let named = routes.iter().enumerate().filter(|(at, _)| mask >> (*at).min(63) & 1 == 1);
             named.map(|(_, name)| name.clone()).collect()
--- a/crates/settings/src/files.rs
+++ b/crates/settings/src/files.rs
@@ -10,7 +10,7 @@
 use pewtergap_member::{slice_names, Duties, Post, Receiver, Shares, Together, MOST_MEMBERS, MOST_OBSERVERS};
 use pewtergap_node::Node;
 use pewtergap_planner::{
-    Channel, Fleet, KeyScope, Planner, Pledge, Reach, Repeats, Route, Slicing, Throttle,
+    Capabilities, ChannelLimits, Contract, Fleet, KeyScope, Planner, RetrySafety, Route, Slicing, Throttle,
 };
 use pewtergap_proxy::{Front, Home, Proxy, Shunning};
 use pewtergap_record::{BOOKS, CLEANING, OBSERVERS, RELEASE};
@@ -31,9 +31,9 @@
     pub source: Source,
     pub fleet: Fleet,
     pub routes: Vec<Route>,
-    pub channel: Channel,
-    pub pledge: Pledge,
-    pub reach: Reach,
+    pub channel: ChannelLimits,
+    pub contract: Contract,
+    pub capabilities: Capabilities,
     pub slicing: Slicing,
     pub reports: Reports,
     pub probing: Probing,
@@ -83,18 +83,18 @@
     let window: Option<Span> = part.maybe("window");
     let scope =
         part.word("key_scope", &[("all", KeyScope::All), ("zone", KeyScope::Zone), ("cell", KeyScope::Cell)]);
-    let repeats = match part.word("repeats", &[("mutating", 0), ("repeatable", 1), ("keyed", 2)]) {
-        0 => Repeats::Mutating,
-        1 => Repeats::Repeatable,
+    let retry_safety = match part.word("repeats", &[("mutating", 0), ("repeatable", 1), ("keyed", 2)]) {
+        0 => RetrySafety::Mutating,
+        1 => RetrySafety::Repeatable,
         _ => {
             if window.is_none() {
                 part.fault("window", "is missing: how long are repeats of a keyed call dropped?");
             }
-            Repeats::Keyed { scope, window: window.unwrap_or_default() }
+            RetrySafety::Keyed { scope, window: window.unwrap_or_default() }
         }
     };
     let resend = part.word("retries", &[("never", 0), ("on proof", 1), ("once", 2)]);
-    let mutating = repeats != Repeats::Repeatable;
+    let mutating = retry_safety != RetrySafety::Repeatable;
     if resend == 2 && mutating {
         part.fault(
             "retries",
@@ -105,9 +105,9 @@
         importance: part.or("importance", 1.0),
         slo_time,
         time_limit,
-        repeats,
+        retry_safety,
         zone_bound: part.or("zone_bound", false),
-        writes: part.or("writes", repeats == Repeats::Mutating),
+        writes: part.or("writes", retry_safety == RetrySafety::Mutating),
     };
     let served = pewtergap_proxy::Route { name: name.clone(), time_limit, mutating, resend };
     RouteFile { name, planned, served }
@@ -141,29 +141,29 @@
 }
 
 /// The figures of the rules, and the time for which a proxy may lack a line.
-pub fn rules(part: &Section) -> (Pledge, Span) {
-    let pledge = Pledge {
+pub fn rules(part: &Section) -> (Contract, Span) {
+    let contract = Contract {
         drain_grace: part.need("drain_grace"),
-        removal_binds: part.or("removal_binds", true),
-        cold_from: part.or("cold_from", Share(0.2)).0,
-        cold_for: part.need("cold_for"),
+        removal_is_binding: part.or("removal_binds", true),
+        cold_capacity: part.or("cold_from", Share(0.2)).0,
+        warmup: part.need("cold_for"),
         overload_factor: part.or("overload", 3.0),
-        fall: part.or("fall", Span::millis(2_000)),
+        overload_time: part.or("fall", Span::millis(2_000)),
     };
-    if pledge.overload_factor < 1.0 {
+    if contract.overload_factor < 1.0 {
         part.fault("overload", "a server is not pushed over by less than it can do, 1 or more was expected");
     }
-    (pledge, part.or("no_line", Span::millis(2_000)))
+    (contract, part.or("no_line", Span::millis(2_000)))
 }
 
-pub fn channel(part: &Section) -> Channel {
-    Channel {
-        head: part.or("head", 3.0),
-        most_waiting: part.need("most_waiting"),
-        messages_most: part.or("messages", usize::MAX),
-        messages_over: part.or("messages_over", Span::millis(10_000)),
+pub fn channel(part: &Section) -> ChannelLimits {
+    ChannelLimits {
+        message_overhead: part.or("head", 3.0),
+        max_queued_lines: part.need("most_waiting"),
+        max_messages: part.or("messages", usize::MAX),
+        message_window: part.or("messages_over", Span::millis(10_000)),
         lines_per_s: part.need("lines_per_s"),
-        longest_way: part.or("longest_way", Span::millis(250)),
+        max_transit: part.or("longest_way", Span::millis(250)),
     }
 }
 
@@ -247,7 +247,7 @@
 }
 
 /// What planners share; left out, they share nothing.
-fn sharing(part: &Section, fleet: &Fleet, reports: &Reports, pledge: &Pledge, drift: f64) -> Shares {
+fn sharing(part: &Section, fleet: &Fleet, reports: &Reports, contract: &Contract, drift: f64) -> Shares {
     let every = part.or("every", Span::millis(500));
     let fresh = part.or("fresh", Span::millis(3_000));
     if every < Span::millis(50) {
@@ -259,7 +259,7 @@
     let terms = Terms {
         holds: part.or("holds", Span::millis(30_000)),
         // A server that was cold under a planner's last tables is warm by then, wherever these still are.
-        lingers: pledge.cold_for + pledge.drain_grace,
+        lingers: contract.warmup + contract.drain_grace,
         drift,
         planners: fleet.planners as u64,
     };
@@ -357,28 +357,28 @@
             zones: zones.len(),
             proxies: part.need("proxies"),
             planners: part.or("planners", 1),
-            on_request: false,
-            ask_within: Span::millis(0),
-            crossing_price: part.or("crossing_price", Share(0.05)).0,
-            conns_least: part.or("smallest_connections", f64::INFINITY),
+            list_on_request: false,
+            list_request_interval: Span::millis(0),
+            cross_zone_cost: part.or("crossing_price", Share(0.05)).0,
+            min_server_connections: part.or("smallest_connections", f64::INFINITY),
             keep_alive: part.or("keep_alive", Span::millis(15_000)),
         });
         let channel = part.within("channel", "channel", channel);
-        let pledge = part.within("rules", "rules", rules).0;
+        let contract = part.within("rules", "rules", rules).0;
         // One removal has to reach all proxies of the fleet, should the other planners be gone.
-        let leaves = fleet.proxies as f64 * (channel.head + 2.0) / channel.lines_per_s.max(1e-9);
-        let removal = Span::of_seconds(channel.longest_way.seconds() + leaves);
-        if removal > pledge.drain_grace {
+        let leaves = fleet.proxies as f64 * (channel.message_overhead + 2.0) / channel.lines_per_s.max(1e-9);
+        let removal = Span::of_seconds(channel.max_transit.seconds() + leaves);
+        if removal > contract.drain_grace {
             let what = format!(
                 "a removal to {} proxies takes {removal}, the drain grace is {}",
-                fleet.proxies, pledge.drain_grace
+                fleet.proxies, contract.drain_grace
             );
             part.clash("channel", what);
         }
-        if channel.most_waiting < fleet.proxies as f64 * (channel.head + 2.0) {
+        if channel.max_queued_lines < fleet.proxies as f64 * (channel.message_overhead + 2.0) {
             let what = format!(
                 "{} waiting lines do not hold a removal to {} proxies",
-                channel.most_waiting, fleet.proxies
+                channel.max_queued_lines, fleet.proxies
             );
             part.clash("channel", what);
         }
@@ -391,12 +391,12 @@
             };
             (part.or("on", true), part.or("carry_load", false), probing)
         });
-        let reach = Reach {
+        let capabilities = Capabilities {
             throttle: part.word("levels", &[("fraction", Throttle::Fraction), ("off", Throttle::Off)]),
             probes: probing.0,
             load_on_probe: probing.1,
-            shuns: part.or("proxies_shun", false),
-            first_wait: 0.0,
+            ejects_servers: part.or("proxies_shun", false),
+            resend_wait_factor: 0.0,
         };
         let reports = part.within("reports", "reports", |part| Reports {
             every: part.or("every", Span::millis(1_000)),
@@ -422,7 +422,7 @@
         });
         let drift = duties.as_ref().map_or(0.0, |duties| duties.0.lease.drift);
         let shares =
-            part.maybe_part("sharing", "sharing", |part| sharing(part, &fleet, &reports, &pledge, drift));
+            part.maybe_part("sharing", "sharing", |part| sharing(part, &fleet, &reports, &contract, drift));
         if shares.is_some() && duties.is_none() {
             part.fault("sharing", "duties() is missing: its leases say who may use which part of a budget");
         }
@@ -445,7 +445,7 @@
             part.fault("watch", what);
         }
         let watch = watch.map(|watch| WatchTargetConfig { planner: name.clone(), source_ip: doors.from, ..watch });
-        let deaf_after = Span(pledge.drain_grace.0.saturating_mul(4).max(Span::millis(5_000).0));
+        let deaf_after = Span(contract.drain_grace.0.saturating_mul(4).max(Span::millis(5_000).0));
         ServiceFile {
             charge: Charge {
                 name: name.clone(),
@@ -460,9 +460,9 @@
             fleet,
             routes: routes.into_iter().map(|route| route.planned).collect(),
             channel,
-            pledge,
-            reach,
-            slicing: Slicing { slices: 0, exclusive: false, keeps_writing: Span(0), lingers: Span(0) },
+            contract,
+            capabilities,
+            slicing: Slicing { slices: 0, exclusive: false, write_stop_delay: Span(0), write_linger: Span(0) },
             reports,
             probing: probing.2,
             post: Post { name: name.clone(), from: doors.from, duties, receiver, shares, slices, ..post },
@@ -508,7 +508,7 @@
 impl ServiceFile {
     /// The planner that this file describes: the service and the member beside it.
     pub fn planner(self, now: Moment, seed: u64) -> Together {
-        let (grace, post) = (self.pledge.drain_grace, Post { seed, ..self.post.clone() });
+        let (grace, post) = (self.contract.drain_grace, Post { seed, ..self.post.clone() });
         Together::new(self.service(now, seed), post, grace)
     }
 
@@ -526,9 +526,14 @@
     /// The service that this file describes.
     pub fn service(self, now: Moment, seed: u64) -> Service {
         let seed = self.seed.unwrap_or(seed);
-        let queue = Queue::new(self.channel.lines_per_s, self.channel.head, self.channel.most_waiting);
+        let queue = Queue::new(
+            self.channel.lines_per_s,
+            self.channel.message_overhead,
+            self.channel.max_queued_lines,
+        );
         let (fleet, routes, channel) = (self.fleet, self.routes, self.channel);
-        let planner = Planner::new(now, seed, fleet, routes, channel, self.pledge, self.reach, self.slicing);
+        let planner =
+            Planner::new(now, seed, fleet, routes, channel, self.contract, self.capabilities, self.slicing);
         Service::new(now, self.charge, self.doors, self.source, planner, queue, self.reports, self.probing)
     }
 }
--- a/crates/start/src/lib.rs
+++ b/crates/start/src/lib.rs
@@ -3,35 +3,37 @@
 //! The simulator's first message and the platform's configuration carry the same object: one reader for both.
 #![forbid(unsafe_code)]
 
-use pewtergap_planner::{Channel, Fleet, KeyScope, Moment, Planner, Pledge, Reach, Repeats, Route, Slicing};
+use pewtergap_planner::{
+    Capabilities, ChannelLimits, Contract, Fleet, KeyScope, Moment, Planner, RetrySafety, Route, Slicing,
+};
 use pewtergap_planner::{Span, Throttle};
 use serde_json::Value;
 
 /// Orders name routes as a sum of 2^k; one more was taken for the first.
 const MOST_ROUTES: usize = 64;
 
-pub struct Start {
+pub struct StartConfig {
     pub fleet: Fleet,
     pub routes: Vec<Route>,
-    pub channel: Channel,
-    pub pledge: Pledge,
-    pub reach: Reach,
+    pub channel: ChannelLimits,
+    pub contract: Contract,
+    pub capabilities: Capabilities,
     pub slicing: Slicing,
     pub zone_names: Vec<String>,
     pub route_names: Vec<String>,
 }
 
-impl Start {
+impl StartConfig {
     /// The module as it is told to start; chance comes from the seed alone.
-    pub fn planner(&self, now: Moment, seed: u64) -> Planner {
+    pub fn build_planner(&self, now: Moment, seed: u64) -> Planner {
         Planner::new(
             now,
             seed,
             self.fleet.clone(),
             self.routes.clone(),
             self.channel.clone(),
-            self.pledge.clone(),
-            self.reach.clone(),
+            self.contract.clone(),
+            self.capabilities.clone(),
             self.slicing.clone(),
         )
     }
@@ -90,9 +92,9 @@
 
 fn route(profile: &Value, zone_bound: bool, writes: bool) -> Result<(String, Route), String> {
     let name = profile.get("Name").and_then(Value::as_str).ok_or("Profiles.Name is missing")?;
-    let repeats = match word(profile, "Semantics")? {
-        "free" => Repeats::Repeatable,
-        "guarded" => Repeats::Keyed {
+    let retry_safety = match word(profile, "Semantics")? {
+        "free" => RetrySafety::Repeatable,
+        "guarded" => RetrySafety::Keyed {
             scope: match word(profile, "KeyScope")? {
                 "all" => KeyScope::All,
                 "zone" => KeyScope::Zone,
@@ -100,21 +102,21 @@
             },
             window: span(profile, "WindowNs")?,
         },
-        "single_shot" => Repeats::Mutating,
+        "single_shot" => RetrySafety::Mutating,
         other => return Err(format!("Profiles.Semantics is '{other}'")),
     };
     let route = Route {
         importance: number(profile, "Credit")?,
         slo_time: span(profile, "SloNs")?,
         time_limit: span(profile, "DeadlineNs")?,
-        repeats,
+        retry_safety,
         zone_bound,
         writes,
     };
     Ok((name.to_string(), route))
 }
 
-pub fn read(text: &Value) -> Result<Start, String> {
+pub fn parse(text: &Value) -> Result<StartConfig, String> {
     if !text.is_object() {
         return Err("not an object".into());
     }
@@ -136,35 +138,35 @@
         return Err(format!("Profiles holds {}, and an order can name {MOST_ROUTES}", routes.len()));
     }
     let zone_names = names(text, "Zones")?;
-    Ok(Start {
+    Ok(StartConfig {
         fleet: Fleet {
             zones: zone_names.len(),
             proxies: number(text, "FamilyInfo.DataPlaneSize")? as usize,
             planners: number(text, "Balancers")? as usize,
-            on_request: word(text, "Discovery")? == "on_request",
-            ask_within: span(text, "Contract.AskWithinNs")?,
-            crossing_price: number(text, "Deductions.CrossZone")?,
-            conns_least: limit(text, "FamilyInfo.SmallestConnTable")?,
+            list_on_request: word(text, "Discovery")? == "on_request",
+            list_request_interval: span(text, "Contract.AskWithinNs")?,
+            cross_zone_cost: number(text, "Deductions.CrossZone")?,
+            min_server_connections: limit(text, "FamilyInfo.SmallestConnTable")?,
             keep_alive: Span(limit(text, "Permissions.KeepaliveNs")? as u64),
         },
         routes,
-        channel: Channel {
-            head: number(text, "FamilyInfo.Head")?,
-            most_waiting: limit(text, "FamilyInfo.PendingMax")?,
-            messages_most: limit(text, "FamilyInfo.ReloadsMax")? as usize,
-            messages_over: span(text, "FamilyInfo.ReloadSpanNs")?,
+        channel: ChannelLimits {
+            message_overhead: number(text, "FamilyInfo.Head")?,
+            max_queued_lines: limit(text, "FamilyInfo.PendingMax")?,
+            max_messages: limit(text, "FamilyInfo.ReloadsMax")? as usize,
+            message_window: span(text, "FamilyInfo.ReloadSpanNs")?,
             lines_per_s: limit(text, "FamilyInfo.EgressPerS")?,
-            longest_way: span(text, "FamilyInfo.TransitMaxNs")?,
+            max_transit: span(text, "FamilyInfo.TransitMaxNs")?,
         },
-        pledge: Pledge {
+        contract: Contract {
             drain_grace: span(text, "Contract.DrainGraceNs")?,
-            removal_binds: !flag(text, "Contract.RemovalNotBinding")?,
-            cold_from: number(text, "Contract.ColdFrom")?,
-            cold_for: span(text, "Contract.ColdNs")?,
-            fall: span(text, "Contract.FallNs")?,
+            removal_is_binding: !flag(text, "Contract.RemovalNotBinding")?,
+            cold_capacity: number(text, "Contract.ColdFrom")?,
+            warmup: span(text, "Contract.ColdNs")?,
+            overload_time: span(text, "Contract.FallNs")?,
             overload_factor: number(text, "Contract.OverloadFactor")?,
         },
-        reach: Reach {
+        capabilities: Capabilities {
             throttle: match word(text, "FamilyInfo.ThrottleBy")? {
                 "fraction" => Throttle::Fraction,
                 "per_second" => Throttle::PerSecond,
@@ -172,14 +174,14 @@
             },
             probes: flag(text, "Permissions.Probes")?,
             load_on_probe: word(text, "Feedback.How")? == "on_probe",
-            shuns: number(text, "FamilyInfo.FailsToEject")? > 0.0,
-            first_wait: number(text, "FamilyInfo.FirstWait")?,
+            ejects_servers: number(text, "FamilyInfo.FailsToEject")? > 0.0,
+            resend_wait_factor: number(text, "FamilyInfo.FirstWait")?,
         },
         slicing: Slicing {
             slices: number(text, "FamilyInfo.PartitionsN")? as usize,
             exclusive: flag(text, "FamilyInfo.Exclusive")?,
-            keeps_writing: span(text, "FamilyInfo.KeepsWritingNs")?,
-            lingers: span(text, "FamilyInfo.LingersNs")?,
+            write_stop_delay: span(text, "FamilyInfo.KeepsWritingNs")?,
+            write_linger: span(text, "FamilyInfo.LingersNs")?,
         },
         zone_names,
         route_names,
