--- a/crates/agree/src/ballot.rs
+++ b/crates/agree/src/ballot.rs
@@ -1,10 +1,10 @@
 //! Elections: a trial first, so that a member which hears nobody does not raise terms for ever.
 
-use crate::machine::Agree;
-use crate::{Id, Index, Role, Say, Term};
+use crate::machine::RaftNode;
+use crate::{Id, Index, Payload, Role, Term};
 use pewtergap_time::Moment;
 
-impl Agree {
+impl RaftNode {
     /// No leader was heard for its time: ask whether one would be voted for.
     pub(crate) fn stand(&mut self, now: Moment) {
         self.rest(now);
@@ -24,8 +24,11 @@
         let others: Vec<Id> = self.others().collect();
         for id in others {
             // In the term it would be; ours stays as it is.
-            let message = crate::Message { term: self.log.term + 1, say: Say::Trial { last } };
-            self.out.push(crate::Effect::Send { to: id, message });
+            let message = crate::Message {
+                term: self.log.term + 1,
+                payload: Payload::PreVoteRequest { last_log: last },
+            };
+            self.out.push(crate::Action::Send { to: id, message });
         }
     }
 
@@ -41,7 +44,7 @@
         let last = self.log.last();
         let others: Vec<Id> = self.others().collect();
         for id in others {
-            self.say(id, Say::Ask { last, handed });
+            self.say(id, Payload::VoteRequest { last_log: last, leader_transfer: handed });
         }
         // Its own vote is counted by `synced`.
         self.hand_over_rows();
@@ -54,7 +57,9 @@
     /// A leader is heard: an election now would only disturb it.
     fn holds_on(&self, now: Moment) -> bool {
         let leads = self.role == Role::Leader;
-        leads || self.leader.is_some() && self.heard.is_some_and(|at| now.since(at) < self.times.election)
+        leads
+            || self.leader.is_some()
+                && self.heard.is_some_and(|at| now.since(at) < self.times.election_timeout)
     }
 
     fn newer_or_same(&self, last: (Term, Index)) -> bool {
@@ -63,7 +68,7 @@
 
     /// By the newest entry. No disk that observes ever votes later, so whoever asks it goes by members that never were.
     fn observes(&self) -> bool {
-        self.log.members.1.observes(self.id)
+        self.log.members.1.is_observer(self.id)
     }
 
     pub(crate) fn weigh_trial(&mut self, now: Moment, from: Id, term: Term, last: (Term, Index)) {
@@ -74,8 +79,8 @@
             && !self.observes();
         // A grant speaks of the term it is for, a refusal of ours: so that one far behind learns of it.
         let term = if granted { term } else { self.log.term };
-        let message = crate::Message { term, say: Say::Trialled { granted } };
-        self.out.push(crate::Effect::Send { to: from, message });
+        let message = crate::Message { term, payload: Payload::PreVoteResponse { granted } };
+        self.out.push(crate::Action::Send { to: from, message });
     }
 
     pub(crate) fn count_trial(&mut self, now: Moment, from: Id, term: Term, granted: bool) {
@@ -91,25 +96,25 @@
     }
 
     /// Whether a vote in a newer term may be asked of us at all.
-    pub(crate) fn weighs(&self, now: Moment, say: &Say) -> bool {
-        let handed = matches!(say, Say::Ask { handed: true, .. });
+    pub(crate) fn weighs(&self, now: Moment, say: &Payload) -> bool {
+        let handed = matches!(say, Payload::VoteRequest { leader_transfer: true, .. });
         handed || !self.holds_on(now)
     }
 
     pub(crate) fn weigh(&mut self, now: Moment, from: Id, last: (Term, Index)) {
-        let free = self.log.vote == 0 || self.log.vote == from;
+        let free = self.log.voted_for == 0 || self.log.voted_for == from;
         let granted = self.role == Role::Follower
             && free
             && self.newer_or_same(last)
             && now >= self.hushed
             && !self.observes();
         if granted {
-            if self.log.vote == 0 {
+            if self.log.voted_for == 0 {
                 self.vote_for(from);
             }
             self.rest(now);
         }
-        self.say(from, Say::Vote { granted });
+        self.say(from, Payload::VoteResponse { granted });
     }
 
     pub(crate) fn count(&mut self, now: Moment, from: Id, granted: bool) {
@@ -121,7 +126,7 @@
     fn won(&mut self, from: Id, granted: bool) -> bool {
         self.votes.insert(from, granted);
         let members = &self.log.members.1;
-        let yes = self.votes.iter().filter(|(id, yes)| **yes && members.votes(**id)).count();
+        let yes = self.votes.iter().filter(|(id, yes)| **yes && members.is_voter(**id)).count();
         yes >= members.majority()
     }
 }
--- a/crates/agree/src/leader.rs
+++ b/crates/agree/src/leader.rs
@@ -1,8 +1,8 @@
 //! A leader's work: entries to all, what is committed, reads, hand-over, changes of members.
 
 use crate::log::Snapshot;
-use crate::machine::Agree;
-use crate::{Body, Effect, Id, Index, Member, Members, Refusal, Role, Say, Term};
+use crate::machine::RaftNode;
+use crate::{Action, Body, Id, Index, Member, Members, Payload, RaftError, Role, Term};
 use pewtergap_time::Moment;
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -54,7 +54,7 @@
     first: Index,
 }
 
-impl Agree {
+impl RaftNode {
     pub(crate) fn begin(&mut self, now: Moment) {
         self.turn(Role::Leader, Some(self.id));
         self.lead = Lead { beat_at: now, since: now, ..Lead::default() };
@@ -83,14 +83,14 @@
 
     pub(crate) fn resign(&mut self) {
         let reads = std::mem::take(&mut self.lead.reads);
-        self.out.extend(reads.into_iter().map(|read| Effect::Unreadable { token: read.0 }));
+        self.out.extend(reads.into_iter().map(|read| Action::ReadFailed { token: read.0 }));
         self.lead = Lead::default();
     }
 
     /// Members of whom something was heard within an election's time, this one among them.
     fn hears_majority(&self, now: Moment) -> bool {
         let members = &self.log.members.1;
-        let span = self.times.election;
+        let span = self.times.election_timeout;
         let hears =
             |id: &Id| *id == self.id || self.lead.members.get(id).is_some_and(|m| now.since(m.heard) < span);
         members.voters().filter(hears).count() >= members.majority()
@@ -98,14 +98,14 @@
 
     pub(crate) fn beat(&mut self, now: Moment) {
         // Heard by nobody, it would serve old news; and others may not dare to stand while they hear it.
-        if now.since(self.lead.since) >= self.times.election && !self.hears_majority(now) {
+        if now.since(self.lead.since) >= self.times.election_timeout && !self.hears_majority(now) {
             self.turn(Role::Follower, None);
             return self.rest(now);
         }
         if self.lead.handing.is_some_and(|handing| now >= handing.1) {
             self.lead.handing = None;
         }
-        self.lead.beat_at = now + self.times.beat;
+        self.lead.beat_at = now + self.times.heartbeat_interval;
         self.lead.round += 1;
         let ids: Vec<Id> = self.lead.members.keys().copied().collect();
         for id in ids {
@@ -122,7 +122,8 @@
 
     /// Sends a member what it lacks, as far as it may be under way. `beat`: at least a sign of life.
     fn speak(&mut self, now: Moment, id: Id, beat: bool) {
-        let (base, last, commit, round) = (self.log.base(), self.log.last().1, self.commit, self.lead.round);
+        let (base, last, commit, round) =
+            (self.log.base(), self.log.last().1, self.commit_index, self.lead.round);
         let Some(member) = self.lead.members.get_mut(&id) else { return };
         if member.next <= base && !matches!(member.feeding, Feeding::Pieces(..)) {
             let Some(snapshot) = &self.log.snapshot else { return };
@@ -133,19 +134,23 @@
         match &member.feeding {
             Feeding::Pieces(snapshot, at) => {
                 // Again at each beat: a piece may have been lost with its connection.
-                if member.under_way == 0 || beat && now.since(member.spoken) >= self.times.election {
+                if member.under_way == 0 || beat && now.since(member.spoken) >= self.times.election_timeout {
                     let from = *at as usize;
                     let upto = (from + PIECE).min(snapshot.data.len());
                     let data = snapshot.data[from..upto].to_vec();
                     let (index, term, members) = (snapshot.index, snapshot.term, snapshot.members.clone());
                     let piece = Snapshot { index, term, members, data };
-                    says.push(Say::Piece { snapshot: piece, at: *at, total: snapshot.data.len() as u64 });
+                    says.push(Payload::SnapshotChunk {
+                        snapshot: piece,
+                        offset: *at,
+                        total_bytes: snapshot.data.len() as u64,
+                    });
                     member.under_way = 1;
                     member.spoken = now;
                 }
                 if beat {
                     let prev = (self.log.term_at(base).unwrap_or(0), base);
-                    says.push(Say::Append { prev, entries: Vec::new(), commit: 0, round });
+                    says.push(Payload::AppendEntries { prev, entries: Vec::new(), commit: 0, round });
                 }
             }
             feeding => {
@@ -154,7 +159,7 @@
                     _ => (1, false),
                 };
                 // A connection that broke took what was under way with it: begin again from what is known.
-                if beat && member.under_way > 0 && now.since(member.heard) >= self.times.election {
+                if beat && member.under_way > 0 && now.since(member.heard) >= self.times.election_timeout {
                     (member.under_way, member.next) = (0, member.matched + 1);
                     member.feeding = Feeding::Seeking;
                 }
@@ -162,13 +167,13 @@
                 while member.next <= last && member.under_way < window {
                     let prev = member.next - 1;
                     let Some(term) = self.log.term_at(prev) else { break };
-                    let entries = self.log.from(member.next, MOST_BYTES);
+                    let entries = self.log.entries_from(member.next, MOST_BYTES);
                     if streaming {
                         member.next += entries.len() as Index;
                     }
                     member.under_way += 1;
                     (spoke, member.spoken) = (true, now);
-                    says.push(Say::Append { prev: (term, prev), entries, commit, round });
+                    says.push(Payload::AppendEntries { prev: (term, prev), entries, commit, round });
                     if !streaming {
                         break;
                     }
@@ -176,7 +181,7 @@
                 if beat && !spoke {
                     let prev = member.next.min(last + 1) - 1;
                     let prev = (self.log.term_at(prev).unwrap_or(0), prev);
-                    says.push(Say::Append { prev, entries: Vec::new(), commit, round });
+                    says.push(Payload::AppendEntries { prev, entries: Vec::new(), commit, round });
                 }
             }
         }
@@ -191,7 +196,7 @@
         member.under_way = member.under_way.saturating_sub(1);
         if refused {
             if matched < member.matched {
-                self.out.push(Effect::WentBack { id: from });
+                self.out.push(Action::LogRegressed { id: from });
                 return;
             }
             member.next = (matched + 1).min(last + 1).max(member.matched + 1);
@@ -234,14 +239,14 @@
         let mut held: Vec<Index> = members.voters().map(has).collect();
         held.sort_unstable_by(|a, b| b.cmp(a));
         let Some(index) = held.get(members.majority() - 1).copied() else { return };
-        if index > self.commit && self.log.term_at(index) == Some(self.log.term) {
-            let before = self.commit;
-            self.commit = index;
+        if index > self.commit_index && self.log.term_at(index) == Some(self.log.term) {
+            let before = self.commit_index;
+            self.commit_index = index;
             if before < self.lead.first && index >= self.lead.first {
                 self.confirm(now);
             }
             // Who is no voter any more leads no longer, once that is committed.
-            if self.log.members.0 <= index && !self.log.members.1.votes(self.id) {
+            if self.log.members.0 <= index && !self.log.members.1.is_voter(self.id) {
                 self.turn(Role::Follower, None);
                 self.rest(now);
             }
@@ -251,16 +256,16 @@
     // ---- reads
 
     /// Asks for an index up to which a fresh read has to have applied.
-    pub fn read(&mut self, now: Moment, token: u64) -> Result<(), Refusal> {
+    pub fn request_read(&mut self, now: Moment, token: u64) -> Result<(), RaftError> {
         if self.role != Role::Leader {
-            return Err(Refusal::NotLeader);
+            return Err(RaftError::NotLeader);
         }
         if self.lead.reads.len() >= MOST_READS {
-            return Err(Refusal::Full);
+            return Err(RaftError::QueueFull);
         }
         // Of a round that begins after the read was asked for.
         let round = self.lead.round + 1;
-        self.lead.reads.push_back((token, round, self.commit));
+        self.lead.reads.push_back((token, round, self.commit_index));
         if self.lead.reads.len() == 1 {
             self.beat(now);
         }
@@ -271,7 +276,7 @@
     /// Reads whose round a majority has answered. Before its first entry is committed a leader does not know what
     /// is.
     fn confirm(&mut self, now: Moment) {
-        if self.commit < self.lead.first || self.role != Role::Leader {
+        if self.commit_index < self.lead.first || self.role != Role::Leader {
             return;
         }
         let members = &self.log.members.1;
@@ -286,7 +291,7 @@
         while self.lead.reads.front().is_some_and(|read| read.1 <= confirmed) {
             let Some((token, _, index)) = self.lead.reads.pop_front() else { break };
             done = true;
-            self.out.push(Effect::Readable { token, index: index.max(self.lead.first) });
+            self.out.push(Action::ReadReady { token, index: index.max(self.lead.first) });
         }
         if done && !self.lead.reads.is_empty() {
             self.beat(now);
@@ -296,7 +301,7 @@
     // ---- hand-over
 
     /// Hands leadership to the member that lacks least; takes no commands meanwhile. True if there is one.
-    pub fn hand_over(&mut self, now: Moment) -> bool {
+    pub fn transfer_leadership(&mut self, now: Moment) -> bool {
         if self.role != Role::Leader {
             return false;
         }
@@ -305,9 +310,9 @@
             .lead
             .members
             .iter()
-            .filter(|(id, m)| members.votes(**id) && now.since(m.heard) < self.times.election);
+            .filter(|(id, m)| members.is_voter(**id) && now.since(m.heard) < self.times.election_timeout);
         let Some(to) = fit.max_by_key(|(_, member)| member.matched).map(|fit| *fit.0) else { return false };
-        self.lead.handing = Some((to, now + self.times.election));
+        self.lead.handing = Some((to, now + self.times.election_timeout));
         self.hand_now(to);
         true
     }
@@ -315,14 +320,14 @@
     fn hand_now(&mut self, id: Id) {
         let ready = self.lead.members.get(&id).is_some_and(|m| m.matched == self.log.last().1);
         if self.lead.handing.is_some_and(|handing| handing.0 == id) && ready {
-            self.say_now(id, Say::Stand);
+            self.say_now(id, Payload::TimeoutNow);
         }
     }
 
     // ---- members
 
     /// A connection to a member broke: what was under way may be lost.
-    pub fn lost(&mut self, id: Id) {
+    pub fn on_connection_lost(&mut self, id: Id) {
         if let Some(member) = self.lead.members.get_mut(&id) {
             member.under_way = 0;
             member.next = member.matched + 1;
@@ -338,29 +343,31 @@
     }
 
     /// Whether a learner has so little left to learn that its vote would not hold others up.
-    pub fn caught_up(&self, id: Id) -> bool {
+    pub fn is_caught_up(&self, id: Id) -> bool {
         let close = |member: &Progress| member.matched > 0 && member.matched + CLOSE >= self.log.last().1;
         self.lead.members.get(&id).is_some_and(close)
     }
 
     /// Proposes who belongs from here on. One voter more or less at a time: any two majorities then share a member.
-    pub fn change(&mut self, now: Moment, members: Members) -> Result<(Term, Index), Refusal> {
+    pub fn change_members(&mut self, now: Moment, members: Members) -> Result<(Term, Index), RaftError> {
         if self.role != Role::Leader || self.lead.handing.is_some() {
-            return Err(Refusal::NotLeader);
+            return Err(RaftError::NotLeader);
         }
         // An earlier leader's change may not be committed, but may yet be: with ours it could be two at once.
-        if self.commit < self.lead.first || self.log.members.0 > self.commit {
-            return Err(Refusal::NotYet);
+        if self.commit_index < self.lead.first || self.log.members.0 > self.commit_index {
+            return Err(RaftError::ChangePending);
         }
         let before: Vec<Id> = self.log.members.1.voters().collect();
         let after: Vec<Id> = members.voters().collect();
         let changed = before.iter().filter(|id| !after.contains(id)).count()
             + after.iter().filter(|id| !before.contains(id)).count();
         let known = &self.log.members.1;
-        let raised =
-            members.list.iter().any(|member| member.votes && (member.observes || known.observes(member.id)));
+        let raised = members
+            .list
+            .iter()
+            .any(|member| member.is_voter && (member.is_observer || known.is_observer(member.id)));
         if changed > 1 || after.is_empty() || after.contains(&0) || raised {
-            return Err(Refusal::Leap);
+            return Err(RaftError::InvalidChange);
         }
         let index = self.extend(Body::Members(members));
         self.meet(now);
@@ -373,7 +380,7 @@
 
     /// When this member last heard enough of the others to know what is committed: a leader a majority, others
     /// the leader.
-    pub fn heard_at(&self, now: Moment) -> Option<Moment> {
+    pub fn last_quorum_contact(&self, now: Moment) -> Option<Moment> {
         if self.role != Role::Leader {
             return self.heard;
         }
@@ -389,7 +396,7 @@
         heard.get(self.log.members.1.majority() - 1).copied()
     }
 
-    pub fn leads_since(&self) -> Option<(Moment, Term)> {
+    pub fn leading_since(&self) -> Option<(Moment, Term)> {
         (self.role == Role::Leader).then_some((self.lead.since, self.log.term))
     }
 }
--- a/crates/agree/src/lib.rs
+++ b/crates/agree/src/lib.rs
@@ -21,7 +21,7 @@
 mod machine;
 
 pub use log::{Log, Snapshot};
-pub use machine::Agree;
+pub use machine::RaftNode;
 
 use pewtergap_time::Span;
 
@@ -43,32 +43,32 @@
     /// 0 while it is expected and its disk is not known.
     pub id: Id,
     pub name: String,
-    pub at: String,
-    pub votes: bool,
+    pub address: String,
+    pub is_voter: bool,
     /// It is fed like all others and never gets a vote: no majority counts it, it grants nobody one and never stands. Its
     /// disk stays an observer for good; to vote, its place has to be given up and another disk to come.
-    pub observes: bool,
+    pub is_observer: bool,
 }
 
 impl Members {
     pub fn voters(&self) -> impl Iterator<Item = Id> + '_ {
-        self.list.iter().filter(|member| member.votes).map(|member| member.id)
+        self.list.iter().filter(|member| member.is_voter).map(|member| member.id)
     }
 
     pub fn find(&self, id: Id) -> Option<&Member> {
         self.list.iter().find(|member| member.id == id && id != 0)
     }
 
-    pub fn named(&self, name: &str) -> Option<&Member> {
+    pub fn find_by_name(&self, name: &str) -> Option<&Member> {
         self.list.iter().find(|member| member.name == name)
     }
 
-    pub fn votes(&self, id: Id) -> bool {
-        self.find(id).is_some_and(|member| member.votes)
+    pub fn is_voter(&self, id: Id) -> bool {
+        self.find(id).is_some_and(|member| member.is_voter)
     }
 
-    pub fn observes(&self, id: Id) -> bool {
-        self.find(id).is_some_and(|member| member.observes)
+    pub fn is_observer(&self, id: Id) -> bool {
+        self.find(id).is_some_and(|member| member.is_observer)
     }
 
     /// More than half of the voters.
@@ -94,8 +94,8 @@
 /// What a member keeps on its disk, in order; the last of a kind counts, and an entry replaces the one of its index
 /// and all that follow it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Row {
-    Hard { term: Term, vote: Id },
+pub enum WalRecord {
+    HardState { term: Term, vote: Id },
     Entry { index: Index, entry: Entry },
     Snapshot(Snapshot),
 }
@@ -103,27 +103,27 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
     pub term: Term,
-    pub say: Say,
+    pub payload: Payload,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Say {
+pub enum Payload {
     /// Would you vote for me in this term? Changes nothing at either end.
-    Trial {
-        last: (Term, Index),
+    PreVoteRequest {
+        last_log: (Term, Index),
     },
-    Trialled {
+    PreVoteResponse {
         granted: bool,
     },
     /// `handed`: the leader itself asked for it, so nobody holds on to that leader.
-    Ask {
-        last: (Term, Index),
-        handed: bool,
+    VoteRequest {
+        last_log: (Term, Index),
+        leader_transfer: bool,
     },
-    Vote {
+    VoteResponse {
         granted: bool,
     },
-    Append {
+    AppendEntries {
         prev: (Term, Index),
         entries: Vec<Entry>,
         commit: Index,
@@ -131,27 +131,27 @@
     },
     /// Up to `matched` the logs are the same and on the member's disk, or `refused`: it has nothing of that kind
     /// beyond `matched`.
-    Took {
-        refused: bool,
-        matched: Index,
+    AppendResponse {
+        rejected: bool,
+        match_index: Index,
         round: u64,
     },
-    Piece {
+    SnapshotChunk {
         snapshot: Snapshot,
-        at: u64,
-        total: u64,
+        offset: u64,
+        total_bytes: u64,
     },
     /// So many bytes of the snapshot of this index are here.
-    Got {
+    SnapshotChunkAck {
         index: Index,
-        bytes: u64,
+        bytes_received: u64,
     },
     /// Stand for election at once.
-    Stand,
+    TimeoutNow,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Action {
     Send {
         to: Id,
         message: Message,
@@ -160,8 +160,8 @@
     /// replaced by these rows.
     Save {
         ticket: u64,
-        rows: Vec<Row>,
-        anew: bool,
+        records: Vec<WalRecord>,
+        replace_all: bool,
     },
     /// In the order of the log, each once.
     Commit {
@@ -171,20 +171,20 @@
     /// All that was committed so far is replaced by this.
     Restore(Snapshot),
     /// A read that was asked for may be answered once all up to `index` is applied.
-    Readable {
+    ReadReady {
         token: u64,
         index: Index,
     },
     /// Leadership was lost before it could be confirmed.
-    Unreadable {
+    ReadFailed {
         token: u64,
     },
     /// A member's log is shorter than what it acknowledged: its disk is an old copy.
-    WentBack {
+    LogRegressed {
         id: Id,
     },
     /// Who leads has changed, or the role of this one.
-    Turned,
+    RoleChanged,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -198,20 +198,20 @@
 
 /// Why nothing was taken in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refusal {
+pub enum RaftError {
     NotLeader,
     /// Nothing of its own term is committed yet, or another change of members is under way.
-    NotYet,
+    ChangePending,
     /// It is no change of one voter, or leaves none; or it gives an observer a vote.
-    Leap,
+    InvalidChange,
     /// Too much waits.
-    Full,
+    QueueFull,
 }
 
 #[derive(Clone, Copy, Debug)]
-pub struct Times {
+pub struct RaftConfig {
     /// A leader speaks to each member at least this often.
-    pub beat: Span,
+    pub heartbeat_interval: Span,
     /// Silence of a leader that makes a member stand, at least; up to twice that by chance.
-    pub election: Span,
+    pub election_timeout: Span,
 }
--- a/crates/agree/src/log.rs
+++ b/crates/agree/src/log.rs
@@ -1,6 +1,6 @@
 //! The log in memory: entries after a base, and who belongs by the newest entry that says so.
 
-use crate::{Body, Entry, Id, Index, Members, Row, Term};
+use crate::{Body, Entry, Id, Index, Members, Term, WalRecord};
 use std::collections::VecDeque;
 
 /// All that entries up to an index led to.
@@ -15,7 +15,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Log {
     pub term: Term,
-    pub vote: Id,
+    pub voted_for: Id,
     /// The entry before the first that is held.
     base: (Term, Index),
     entries: VecDeque<Entry>,
@@ -27,20 +27,20 @@
 impl Log {
     /// From what a disk holds, in its order. Rows that cannot follow what was before are an error: the store has
     /// checked that they are whole, so this would be a fault of the program.
-    pub fn read(rows: impl IntoIterator<Item = Row>) -> Result<Log, String> {
+    pub fn from_records(rows: impl IntoIterator<Item = WalRecord>) -> Result<Log, String> {
         let mut log = Log::default();
         for row in rows {
             match row {
-                Row::Hard { term, vote } if term < log.term => {
+                WalRecord::HardState { term, vote } if term < log.term => {
                     return Err(format!("term {term} (vote {vote}) after term {}", log.term));
                 }
-                Row::Hard { term, vote } => (log.term, log.vote) = (term, vote),
-                Row::Snapshot(snapshot) => log.restore(snapshot),
-                Row::Entry { index, entry } => {
+                WalRecord::HardState { term, vote } => (log.term, log.voted_for) = (term, vote),
+                WalRecord::Snapshot(snapshot) => log.restore(snapshot),
+                WalRecord::Entry { index, entry } => {
                     if index <= log.base.1 || index > log.last().1 + 1 {
                         return Err(format!("entry {index} after entry {}", log.last().1));
                     }
-                    log.cut(index);
+                    log.truncate_from(index);
                     log.push(entry);
                 }
             }
@@ -57,7 +57,7 @@
         self.base.1
     }
 
-    pub fn held(&self) -> usize {
+    pub fn entry_count(&self) -> usize {
         self.entries.len()
     }
 
@@ -74,7 +74,7 @@
     }
 
     /// Entries from an index on, as many as the bytes allow, one at least.
-    pub fn from(&self, index: Index, most: usize) -> Vec<Entry> {
+    pub fn entries_from(&self, index: Index, most: usize) -> Vec<Entry> {
         let mut bytes = 0;
         let from = (index - self.base.1 - 1) as usize;
         let fits = |entry: &&Entry| {
@@ -94,15 +94,15 @@
     }
 
     /// Drops the entry of this index and all after it.
-    pub fn cut(&mut self, index: Index) {
+    pub fn truncate_from(&mut self, index: Index) {
         self.entries.truncate((index - self.base.1 - 1) as usize);
         if self.members.0 >= index {
-            self.members = self.settled(index - 1);
+            self.members = self.members_at(index - 1);
         }
     }
 
     /// Who belongs by the entries up to an index.
-    pub fn settled(&self, upto: Index) -> (Index, Members) {
+    pub fn members_at(&self, upto: Index) -> (Index, Members) {
         let from_snapshot = self.snapshot.as_ref().map(|snapshot| (snapshot.index, snapshot.members.clone()));
         let held = (self.base.1 + 1..=upto).rev().find_map(|index| match &self.get(index)?.body {
             Body::Members(members) => Some((index, members.clone())),
@@ -131,12 +131,13 @@
     }
 
     /// All that has to be on a disk, shortest first.
-    pub fn rows(&self) -> Vec<Row> {
+    pub fn to_records(&self) -> Vec<WalRecord> {
         let from = self.snapshot.as_ref().map_or(self.base.1, |snapshot| snapshot.index);
-        let mut rows: Vec<Row> = self.snapshot.iter().cloned().map(Row::Snapshot).collect();
-        rows.push(Row::Hard { term: self.term, vote: self.vote });
-        let entries = (from + 1..=self.last().1)
-            .filter_map(|index| self.get(index).map(|entry| Row::Entry { index, entry: entry.clone() }));
+        let mut rows: Vec<WalRecord> = self.snapshot.iter().cloned().map(WalRecord::Snapshot).collect();
+        rows.push(WalRecord::HardState { term: self.term, vote: self.voted_for });
+        let entries = (from + 1..=self.last().1).filter_map(|index| {
+            self.get(index).map(|entry| WalRecord::Entry { index, entry: entry.clone() })
+        });
         rows.extend(entries);
         rows
     }
@@ -148,7 +149,7 @@
         16 + match &self.body {
             Body::Empty => 0,
             Body::Command(bytes) => bytes.len(),
-            Body::Members(members) => members.list.iter().map(|m| 24 + m.name.len() + m.at.len()).sum(),
+            Body::Members(members) => members.list.iter().map(|m| 24 + m.name.len() + m.address.len()).sum(),
         }
     }
 }
--- a/crates/agree/tests/schedules.rs
+++ b/crates/agree/tests/schedules.rs
@@ -2,7 +2,7 @@
 
 mod stage;
 
-use pewtergap_agree::{Refusal, Role};
+use pewtergap_agree::{RaftError, Role};
 use proptest::prelude::*;
 use stage::*;
 
@@ -48,20 +48,20 @@
             27 => stage.drop_link((id, other)),
             28 => {
                 stage.with(id, |agree, _| {
-                    let at = agree.applied();
+                    let at = agree.applied_index();
                     agree.compact(at, at.to_be_bytes().to_vec(), u64::from(*much) % 8);
                 });
             }
             29 => stage.read(id),
-            30 => drop(stage.with(id, |agree, now| agree.hand_over(now))),
+            30 => drop(stage.with(id, |agree, now| agree.transfer_leadership(now))),
             _ => {
                 // A voter less, or the same one again as a learner and then as a voter.
                 stage.with(id, |agree, now| {
                     let mut members = agree.members().clone();
                     if let Some(member) = members.list.iter_mut().find(|member| member.id == other) {
-                        member.votes = !member.votes;
+                        member.is_voter = !member.is_voter;
                     }
-                    agree.change(now, members)
+                    agree.change_members(now, members)
                 });
             }
         }
@@ -113,7 +113,7 @@
         let stage = play_on(Stage::with_observers(voters, observers, Plant::Nothing), &steps, Plant::Nothing);
         prop_assert_eq!(&stage.wrong, &None);
         // All faults have passed: whoever observes has what is committed.
-        let applied = |id| stage.agree(id).map(|agree| agree.applied());
+        let applied = |id| stage.agree(id).map(|agree| agree.applied_index());
         let leader = stage.leader().and_then(applied);
         for id in voters + 1..=voters + observers {
             prop_assert_eq!(applied(id), leader, "observer {}", id);
@@ -129,8 +129,11 @@
     let propose = |stage: &mut Stage| stage.with(leader, |agree, _| agree.propose(b"x".to_vec()));
     propose(&mut stage).expect("running").expect("taken in");
     stage.settle(500);
-    let kept = stage.agree(leader).expect("running").commit();
-    assert!((4..=7).all(|id| stage.agree(id).expect("running").applied() == kept), "all observers have it");
+    let kept = stage.agree(leader).expect("running").commit_index();
+    assert!(
+        (4..=7).all(|id| stage.agree(id).expect("running").applied_index() == kept),
+        "all observers have it"
+    );
     // Four of seven hear the leader, none of them a voter.
     for voter in (1..=3).filter(|id| *id != leader) {
         stage.set_cut(leader, voter, true);
@@ -141,7 +144,7 @@
     stage.read(leader);
     stage.settle(200);
     assert_eq!(stage.agree(4).expect("running").last().1, index, "observers have it on disk");
-    assert_eq!(stage.agree(leader).expect("running").commit(), kept, "and nobody counts them");
+    assert_eq!(stage.agree(leader).expect("running").commit_index(), kept, "and nobody counts them");
     assert_eq!(stage.read, reads, "nor for a read");
     stage.settle(2_000);
     assert_ne!(stage.leader(), Some(leader), "it gave up, the other two go on");
@@ -161,22 +164,22 @@
         stage.settle(20);
     }
     stage.with(leader, |agree, _| {
-        let at = agree.applied();
+        let at = agree.applied_index();
         agree.compact(at, at.to_be_bytes().to_vec(), 0);
     });
     stage.start(4);
     stage.settle(2_000);
     let (has, wanted) = (stage.agree(4).expect("running"), stage.agree(leader).expect("running"));
-    assert_eq!((has.applied(), has.role()), (wanted.applied(), Role::Follower));
+    assert_eq!((has.applied_index(), has.role()), (wanted.applied_index(), Role::Follower));
     assert!(has.entry(10).is_none(), "it came by a snapshot");
     let leader = stage.leader().expect("a leader");
     let mut raised = stage.agree(leader).expect("running").members().clone();
     for observes in [true, false] {
         let seat = raised.list.iter_mut().find(|member| member.id == 4).expect("it belongs");
-        (seat.votes, seat.observes) = (true, observes);
+        (seat.is_voter, seat.is_observer) = (true, observes);
         let members = raised.clone();
-        let refused = stage.with(leader, |agree, now| agree.change(now, members)).expect("running");
-        assert_eq!(refused, Err(Refusal::Leap), "observes stays {observes}");
+        let refused = stage.with(leader, |agree, now| agree.change_members(now, members)).expect("running");
+        assert_eq!(refused, Err(RaftError::InvalidChange), "observes stays {observes}");
     }
     assert_eq!(stage.wrong, None);
 }
--- a/crates/agree/tests/stage/mod.rs
+++ b/crates/agree/tests/stage/mod.rs
@@ -6,7 +6,8 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 pub const START: Moment = Moment(1_000_000_000_000);
-pub const TIMES: Times = Times { beat: Span::millis(50), election: Span::millis(300) };
+pub const TIMES: RaftConfig =
+    RaftConfig { heartbeat_interval: Span::millis(50), election_timeout: Span::millis(300) };
 
 /// What goes wrong on purpose, so that the checks are seen to find it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -20,10 +21,10 @@
 
 #[derive(Clone, Debug)]
 struct Place {
-    agree: Option<Agree>,
-    disk: Vec<Row>,
+    agree: Option<RaftNode>,
+    disk: Vec<WalRecord>,
     /// Saved and not synced: ticket, rows, whether they replace all.
-    waiting: VecDeque<(u64, Vec<Row>, bool)>,
+    waiting: VecDeque<(u64, Vec<WalRecord>, bool)>,
     /// What it was told is committed, by index; a restart tells again.
     applied: BTreeMap<Index, Entry>,
     starts: u64,
@@ -51,7 +52,13 @@
 }
 
 pub fn founders(count: u64) -> Members {
-    let member = |id| Member { id, name: format!("m{id}"), at: String::new(), votes: true, observes: false };
+    let member = |id| Member {
+        id,
+        name: format!("m{id}"),
+        address: String::new(),
+        is_voter: true,
+        is_observer: false,
+    };
     Members { list: (1..=count).map(member).collect(), retired: Vec::new() }
 }
 
@@ -78,15 +85,15 @@
             wrong: None,
         };
         let mut members = founders(count + observers);
-        members.list.iter_mut().for_each(|m| (m.votes, m.observes) = (m.id <= count, m.id > count));
-        let first = Row::Snapshot(Snapshot { members, ..Snapshot::default() });
+        members.list.iter_mut().for_each(|m| (m.is_voter, m.is_observer) = (m.id <= count, m.id > count));
+        let first = WalRecord::Snapshot(Snapshot { members, ..Snapshot::default() });
         for id in 1..=count + observers {
             stage.admit(id, vec![first.clone()]);
         }
         stage
     }
 
-    pub fn admit(&mut self, id: Id, disk: Vec<Row>) {
+    pub fn admit(&mut self, id: Id, disk: Vec<WalRecord>) {
         let place =
             Place { agree: None, disk, waiting: VecDeque::new(), applied: BTreeMap::new(), starts: 0 };
         self.places.insert(id, place);
@@ -101,10 +108,10 @@
         let now = self.now;
         let Some(place) = self.places.get_mut(&id).filter(|place| place.agree.is_none()) else { return };
         place.starts += 1;
-        match Log::read(place.disk.iter().cloned()) {
+        match Log::from_records(place.disk.iter().cloned()) {
             Ok(log) => {
                 place.applied.clear();
-                place.agree = Some(Agree::new(now, id, TIMES, id * 1000 + place.starts, log, 0));
+                place.agree = Some(RaftNode::new(now, id, TIMES, id * 1000 + place.starts, log, 0));
             }
             Err(why) => self.wrong = Some(format!("member {id} cannot read its disk: {why}")),
         }
@@ -124,7 +131,7 @@
         let others: Vec<Id> = self.ids();
         for other in others {
             if let Some(agree) = self.places.get_mut(&other).and_then(|place| place.agree.as_mut()) {
-                agree.lost(id);
+                agree.on_connection_lost(id);
             }
         }
     }
@@ -136,19 +143,19 @@
             .map_or((false, false), |place| (!place.waiting.is_empty(), place.agree.is_some()))
     }
 
-    pub fn disk(&self, id: Id) -> Vec<Row> {
+    pub fn disk(&self, id: Id) -> Vec<WalRecord> {
         self.places.get(&id).map_or(Vec::new(), |place| place.disk.clone())
     }
 
     /// The machine is lost with its disk; with another disk it is another member, unless the plant says otherwise.
-    pub fn wipe(&mut self, id: Id, disk: Vec<Row>) {
+    pub fn wipe(&mut self, id: Id, disk: Vec<WalRecord>) {
         self.kill(id, 0);
         if let Some(place) = self.places.get_mut(&id) {
             place.disk = disk;
         }
     }
 
-    fn write(disk: &mut Vec<Row>, (_, rows, anew): (u64, Vec<Row>, bool)) {
+    fn write(disk: &mut Vec<WalRecord>, (_, rows, anew): (u64, Vec<WalRecord>, bool)) {
         if anew {
             disk.clear();
         }
@@ -162,19 +169,19 @@
         let ticket = save.0;
         Stage::write(&mut place.disk, save);
         if let Some(agree) = &mut place.agree {
-            agree.synced(now, ticket);
+            agree.on_synced(now, ticket);
         }
         self.carry_out(id);
     }
 
-    pub fn with<T>(&mut self, id: Id, act: impl FnOnce(&mut Agree, Moment) -> T) -> Option<T> {
+    pub fn with<T>(&mut self, id: Id, act: impl FnOnce(&mut RaftNode, Moment) -> T) -> Option<T> {
         let now = self.now;
         let done = self.places.get_mut(&id)?.agree.as_mut().map(|agree| act(agree, now));
         self.carry_out(id);
         done
     }
 
-    pub fn agree(&self, id: Id) -> Option<&Agree> {
+    pub fn agree(&self, id: Id) -> Option<&RaftNode> {
         self.places.get(&id)?.agree.as_ref()
     }
 
@@ -189,7 +196,7 @@
         let token = self.tokens;
         let known = self.committed.keys().next_back().copied().unwrap_or(0);
         self.reads.insert((id, token), known);
-        if !matches!(self.with(id, |agree, now| agree.read(now, token)), Some(Ok(()))) {
+        if !matches!(self.with(id, |agree, now| agree.request_read(now, token)), Some(Ok(()))) {
             self.reads.remove(&(id, token));
         }
     }
@@ -214,13 +221,13 @@
 
     pub fn deliver(&mut self, link: (Id, Id)) {
         let Some(message) = self.links.get_mut(&link).and_then(VecDeque::pop_front) else { return };
-        self.with(link.1, |agree, now| agree.hear(now, link.0, message));
+        self.with(link.1, |agree, now| agree.receive(now, link.0, message));
     }
 
     /// A connection breaks: what was under way is gone.
     pub fn drop_link(&mut self, link: (Id, Id)) {
         self.links.remove(&link);
-        self.with(link.0, |agree, _| agree.lost(link.1));
+        self.with(link.0, |agree, _| agree.on_connection_lost(link.1));
     }
 
     pub fn tick(&mut self, id: Id) {
@@ -252,51 +259,53 @@
         loop {
             let Some(place) = self.places.get_mut(&id) else { return };
             let Some(agree) = &mut place.agree else { return };
-            let effects = agree.take(now);
+            let effects = agree.take_actions(now);
             if effects.is_empty() {
                 break;
             }
             for effect in effects {
                 match effect {
-                    Effect::Send { to, message } => {
+                    Action::Send { to, message } => {
                         let gives = matches!(
-                            message.say,
-                            Say::Vote { granted: true } | Say::Trialled { granted: true } | Say::Ask { .. }
+                            message.payload,
+                            Payload::VoteResponse { granted: true }
+                                | Payload::PreVoteResponse { granted: true }
+                                | Payload::VoteRequest { .. }
                         );
                         if gives && id >= self.observers {
-                            self.wrong = Some(format!("observer {id} says {:?}", message.say));
+                            self.wrong = Some(format!("observer {id} says {:?}", message.payload));
                         }
                         self.links.entry((id, to)).or_default().push_back(message);
                     }
-                    Effect::Save { ticket, rows, anew } => {
+                    Action::Save { ticket, records: rows, replace_all: anew } => {
                         place.waiting.push_back((ticket, rows, anew));
                         if lies {
-                            agree.synced(now, ticket);
+                            agree.on_synced(now, ticket);
                         }
                     }
-                    Effect::Commit { index, entry } => {
+                    Action::Commit { index, entry } => {
                         let known = self.committed.entry(index).or_insert(entry.clone());
                         if *known != entry {
                             self.wrong = Some(format!("entry {index} committed twice, at {id} another one"));
                         }
                         place.applied.insert(index, entry);
                     }
-                    Effect::Restore(snapshot) => {
+                    Action::Restore(snapshot) => {
                         // The data names the index it stands for: a snapshot never is of another state.
                         if snapshot.data != snapshot.index.to_be_bytes() {
                             self.wrong = Some(format!("snapshot {} holds something else", snapshot.index));
                         }
                     }
-                    Effect::Readable { token, index } => {
+                    Action::ReadReady { token, index } => {
                         let known = self.reads.remove(&(id, token)).unwrap_or(0);
                         self.read += 1;
                         if index < known {
                             self.wrong = Some(format!("a read at {id} up to {index}, committed was {known}"));
                         }
                     }
-                    Effect::Unreadable { token } => drop(self.reads.remove(&(id, token))),
-                    Effect::WentBack { id } => self.went_back.push(id),
-                    Effect::Turned => {}
+                    Action::ReadFailed { token } => drop(self.reads.remove(&(id, token))),
+                    Action::LogRegressed { id } => self.went_back.push(id),
+                    Action::RoleChanged => {}
                 }
             }
             if id >= self.observers && agree.role() != Role::Follower {
@@ -327,7 +336,7 @@
                 return 0;
             }
         }
-        let applied = self.agree(leader).map_or(0, |agree| agree.applied());
+        let applied = self.agree(leader).map_or(0, |agree| agree.applied_index());
         if applied < self.committed.keys().next_back().copied().unwrap_or(0) {
             self.wrong = Some("the leader has not applied what was committed".into());
         }
--- a/crates/capacity/src/roles.rs
+++ b/crates/capacity/src/roles.rs
@@ -6,7 +6,7 @@
 
 const DAY_S: f64 = 86_400.0;
 const SCOPE: &str = "services_a_planner";
-/// Beyond these a planner tells nothing (`MOST_KEYS` of counts).
+/// Beyond these a planner tells nothing (`MAX_KEYS` of counts).
 const MOST_FIGURES: f64 = 1_024.0;
 
 const LIST: &str = "list, whole at every planner";
--- a/crates/counts/src/lib.rs
+++ b/crates/counts/src/lib.rs
@@ -14,40 +14,40 @@
 mod others;
 mod own;
 
-pub use others::{Figure, Others};
-pub use own::Own;
+pub use others::{CountEstimate, PeerCounts};
+pub use own::LocalCounts;
 
 /// Counts that a part may have; more are left out, and told as left out.
-pub const MOST_KEYS: usize = 1_024;
+pub const MAX_KEYS: usize = 1_024;
 /// Planners whose parts are kept.
-pub const MOST_PARTS: usize = 64;
+pub const MAX_PEERS: usize = 64;
 
 /// A count in a part: what it is, and within what it was since the part before.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Row {
+pub struct CountEntry {
     pub key: String,
     pub value: f64,
-    pub least: f64,
-    pub most: f64,
+    pub min: f64,
+    pub max: f64,
 }
 
 /// What a planner says of itself when it asks for a part: what it has, of which start, and a number that comes back with the
 /// answer. Without that a late answer would be taken for one that was made after the question.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ask {
+pub struct ReportRequest {
     pub token: u64,
     pub start: u64,
-    pub number: u64,
+    pub last_sequence: u64,
 }
 
 /// What one planner tells another. Rows whose count did not change since the part before are left out.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Part {
+pub struct CountReport {
     pub token: u64,
     /// Which start of its planner.
     pub start: u64,
-    pub number: u64,
+    pub sequence: u64,
     /// The part after which its windows begin; 0: it is whole, and says nothing of the time before.
-    pub after: u64,
-    pub rows: Vec<Row>,
+    pub base_sequence: u64,
+    pub entries: Vec<CountEntry>,
 }
--- a/crates/counts/src/others.rs
+++ b/crates/counts/src/others.rs
@@ -1,6 +1,6 @@
 //! What others told of their counts, and what it comes to.
 
-use crate::{Ask, Part, MOST_KEYS, MOST_PARTS};
+use crate::{CountReport, ReportRequest, MAX_KEYS, MAX_PEERS};
 use pewtergap_time::{Moment, Span};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -9,13 +9,13 @@
 
 /// A count of all planners together. `least` to `most` holds what it was so long ago; none: it may be anything.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Figure {
+pub struct CountEstimate {
     pub value: f64,
     pub age: Span,
-    pub least: f64,
-    pub most: Option<f64>,
+    pub min: f64,
+    pub max: Option<f64>,
     /// Planners that belong and are not heard.
-    pub unheard: usize,
+    pub missing_peers: usize,
 }
 
 /// From when at the earliest to when at the latest a window reaches, and within what counts were that changed.
@@ -40,50 +40,50 @@
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Others {
+pub struct PeerCounts {
     heard: BTreeMap<u64, Heard>,
     /// Under way, by planner: when its part was asked for, under which number.
     asked: BTreeMap<u64, (Moment, u64)>,
     tokens: u64,
 }
 
-impl Others {
+impl PeerCounts {
     /// A part may be asked for: what is to be said. None: one is under way. A second question would be answered by the whole,
     /// and the time before it be unknown.
-    pub fn ask(&mut self, now: Moment, of: u64) -> Option<Ask> {
+    pub fn request_report(&mut self, now: Moment, of: u64) -> Option<ReportRequest> {
         if self.asked.contains_key(&of) {
             return None;
         }
         self.tokens += 1;
         self.asked.insert(of, (now, self.tokens));
         let (start, number) = self.heard.get(&of).map_or((0, 0), |heard| (heard.start, heard.number));
-        Some(Ask { token: self.tokens, start, number })
+        Some(ReportRequest { token: self.tokens, start, last_sequence: number })
     }
 
     /// The way to that one broke, or it took too long: what was asked for does not come, or is not taken when it does.
-    pub fn lost(&mut self, of: u64) {
+    pub fn cancel_request(&mut self, of: u64) {
         self.asked.remove(&of);
     }
 
     /// Questions that have stood for so long.
-    pub fn late(&mut self, now: Moment, within: Span) {
+    pub fn expire_requests(&mut self, now: Moment, within: Span) {
         self.asked.retain(|_, asked| now.since(asked.0) <= within);
     }
 
-    pub fn know(&mut self, belong: &[u64]) {
+    pub fn set_members(&mut self, belong: &[u64]) {
         self.heard.retain(|id, _| belong.contains(id));
         self.asked.retain(|id, _| belong.contains(id));
     }
 
     /// A part came. False: it is old, or says nothing that was asked for.
-    pub fn told(&mut self, now: Moment, from: u64, part: &Part) -> bool {
+    pub fn receive(&mut self, now: Moment, from: u64, part: &CountReport) -> bool {
         let asked = self.asked.get(&from).filter(|asked| asked.1 == part.token);
         let Some(asked) = asked.map(|asked| asked.0) else { return false };
         let known = self.heard.get(&from).map(|heard| (heard.start, heard.number));
-        if known.is_some_and(|known| (part.start, part.number) <= known)
-            || self.heard.len() >= MOST_PARTS && known.is_none()
-            || part.rows.len() > MOST_KEYS
-            || part.rows.iter().any(|row| !(row.least <= row.value && row.value <= row.most))
+        if known.is_some_and(|known| (part.start, part.sequence) <= known)
+            || self.heard.len() >= MAX_PEERS && known.is_none()
+            || part.entries.len() > MAX_KEYS
+            || part.entries.iter().any(|row| !(row.min <= row.value && row.value <= row.max))
         {
             return false;
         }
@@ -97,26 +97,27 @@
             windows: VecDeque::new(),
         };
         let heard = self.heard.entry(from).or_insert(new.clone());
-        let follows = part.after > 0 && (heard.start, heard.number) == (part.start, part.after);
+        let follows =
+            part.base_sequence > 0 && (heard.start, heard.number) == (part.start, part.base_sequence);
         if !follows {
             // Whole: nothing is known of the time before, and of another start nothing may stay.
             *heard = new;
         }
-        let rows = part.rows.iter().map(|row| (row.key.clone(), (row.least, row.most))).collect();
+        let rows = part.entries.iter().map(|row| (row.key.clone(), (row.min, row.max))).collect();
         // A whole part is of one moment, at the latest of now; what follows it begins there.
         let (from, sure) = if follows { (heard.asked, heard.came) } else { (now, now) };
         heard.windows.push_back(Window { from, to: now, sure, rows });
         if heard.windows.len() > MOST_WINDOWS {
             heard.windows.pop_front();
         }
-        for row in &part.rows {
+        for row in &part.entries {
             if row.value == 0.0 {
                 heard.values.remove(&row.key);
-            } else if heard.values.len() < MOST_KEYS || heard.values.contains_key(&row.key) {
+            } else if heard.values.len() < MAX_KEYS || heard.values.contains_key(&row.key) {
                 heard.values.insert(row.key.clone(), row.value);
             }
         }
-        (heard.number, heard.asked, heard.came) = (part.number, asked, now);
+        (heard.number, heard.asked, heard.came) = (part.sequence, asked, now);
         true
     }
 
@@ -130,29 +131,42 @@
     }
 
     /// Everything a planner told, and of which start.
-    pub fn all(&self, of: u64) -> Option<(u64, &BTreeMap<String, f64>)> {
+    pub fn values(&self, of: u64) -> Option<(u64, &BTreeMap<String, f64>)> {
         self.heard.get(&of).map(|heard| (heard.start, &heard.values))
     }
 
     /// A count over all who belong, ourselves left out. `fresh`: whoever was not heard for longer counts as unheard, for
     /// nothing at least and for `each` at most.
-    pub fn read(&self, now: Moment, key: &str, belong: &[u64], fresh: Span, each: Option<f64>) -> Figure {
+    pub fn estimate(
+        &self,
+        now: Moment,
+        key: &str,
+        belong: &[u64],
+        fresh: Span,
+        each: Option<f64>,
+    ) -> CountEstimate {
         let hears = |id: &&u64| self.heard.get(id).is_some_and(|heard| now.since(heard.asked) <= fresh);
         let heard: Vec<&Heard> = belong.iter().filter(hears).filter_map(|id| self.heard.get(id)).collect();
         let at = heard.iter().map(|heard| heard.asked).min().unwrap_or(now);
         let unheard = belong.len() - heard.len();
-        let mut figure = Figure { value: 0.0, age: now.since(at), least: 0.0, most: Some(0.0), unheard };
+        let mut figure = CountEstimate {
+            value: 0.0,
+            age: now.since(at),
+            min: 0.0,
+            max: Some(0.0),
+            missing_peers: unheard,
+        };
         for one in heard {
             let value = one.values.get(key).copied().unwrap_or(0.0);
             let (least, most) = one.within(key, value, at);
             figure.value += value;
-            figure.least += least;
-            figure.most = figure.most.zip(most).map(|(sum, most)| sum + most);
+            figure.min += least;
+            figure.max = figure.max.zip(most).map(|(sum, most)| sum + most);
         }
         for id in belong.iter().filter(|id| !hears(id)) {
             // The last that it said, as the guess; the interval does not believe in it.
             figure.value += self.value(*id, key);
-            figure.most = figure.most.zip(each).map(|(sum, each)| sum + each);
+            figure.max = figure.max.zip(each).map(|(sum, each)| sum + each);
         }
         figure
     }
--- a/crates/counts/src/own.rs
+++ b/crates/counts/src/own.rs
@@ -1,6 +1,6 @@
 //! A planner's own counts, and the windows since what each other planner has.
 
-use crate::{Ask, Part, Row, MOST_KEYS, MOST_PARTS};
+use crate::{CountEntry, CountReport, ReportRequest, MAX_KEYS, MAX_PEERS};
 use std::collections::BTreeMap;
 
 /// Least and most of counts that changed.
@@ -16,18 +16,18 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Own {
+pub struct LocalCounts {
     start: u64,
     values: BTreeMap<String, f64>,
     receivers: BTreeMap<u64, Receiver>,
     number: u64,
     /// Counts that found no room.
-    pub left_out: u64,
+    pub omitted_keys: u64,
 }
 
-impl Own {
-    pub fn new(start: u64) -> Own {
-        Own { start, values: BTreeMap::new(), receivers: BTreeMap::new(), number: 0, left_out: 0 }
+impl LocalCounts {
+    pub fn new(start: u64) -> LocalCounts {
+        LocalCounts { start, values: BTreeMap::new(), receivers: BTreeMap::new(), number: 0, omitted_keys: 0 }
     }
 
     pub fn value(&self, key: &str) -> f64 {
@@ -44,8 +44,8 @@
         if value == before || !value.is_finite() {
             return;
         }
-        if !self.values.contains_key(key) && self.values.len() >= MOST_KEYS {
-            self.left_out += 1;
+        if !self.values.contains_key(key) && self.values.len() >= MAX_KEYS {
+            self.omitted_keys += 1;
             return;
         }
         self.values.insert(key.into(), value);
@@ -58,7 +58,7 @@
     }
 
     /// Counts of this kind that are no longer told of go to nothing, and are forgotten once all have heard so.
-    pub fn only(&mut self, prefix: &str, keys: &BTreeMap<String, f64>) {
+    pub fn set_group(&mut self, prefix: &str, keys: &BTreeMap<String, f64>) {
         let gone: Vec<String> = self
             .values
             .keys()
@@ -73,28 +73,28 @@
     }
 
     /// Whoever no longer belongs is told nothing any more.
-    pub fn know(&mut self, belong: &[u64]) {
+    pub fn set_members(&mut self, belong: &[u64]) {
         self.receivers.retain(|id, _| belong.contains(id));
     }
 
     /// A part for one that asks. None: too many ask.
-    pub fn part(&mut self, to: u64, has: Ask) -> Option<Part> {
-        if !self.receivers.contains_key(&to) && self.receivers.len() >= MOST_PARTS {
+    pub fn make_report(&mut self, to: u64, has: ReportRequest) -> Option<CountReport> {
+        if !self.receivers.contains_key(&to) && self.receivers.len() >= MAX_PEERS {
             return None;
         }
         self.number += 1;
         let receiver = self.receivers.entry(to).or_default();
-        let ours = has.start == self.start && has.number > 0;
-        if ours && has.number == receiver.sent {
+        let ours = has.start == self.start && has.last_sequence > 0;
+        if ours && has.last_sequence == receiver.sent {
             receiver.has = receiver.sent;
             receiver.since_had = std::mem::take(&mut receiver.since_sent);
-        } else if !ours || has.number != receiver.has {
+        } else if !ours || has.last_sequence != receiver.has {
             // It has nothing that we remember: it begins with the whole.
             (receiver.has, receiver.since_had) = (0, Window::new());
         }
         let row = |key: &String, value: f64, window: Option<&(f64, f64)>| {
             let (least, most) = window.copied().unwrap_or((value, value));
-            Row { key: key.clone(), value, least, most }
+            CountEntry { key: key.clone(), value, min: least, max: most }
         };
         let rows = match receiver.has {
             0 => self.values.iter().map(|(key, value)| row(key, *value, None)).collect(),
@@ -104,6 +104,12 @@
             }
         };
         (receiver.sent, receiver.since_sent) = (self.number, Window::new());
-        Some(Part { token: has.token, start: self.start, number: self.number, after: receiver.has, rows })
+        Some(CountReport {
+            token: has.token,
+            start: self.start,
+            sequence: self.number,
+            base_sequence: receiver.has,
+            entries: rows,
+        })
     }
 }
--- a/crates/counts/tests/schedules.rs
+++ b/crates/counts/tests/schedules.rs
@@ -1,7 +1,7 @@
 //! Planners whose counts change all the time, whose parts come late, in part or never, that are killed and come back: the
 //! interval holds what the sum truly was, at every read. And the breaks this has to find.
 
-use pewtergap_counts::{Ask, Others, Own, Part};
+use pewtergap_counts::{CountReport, LocalCounts, PeerCounts, ReportRequest};
 use pewtergap_time::{Moment, Span};
 use proptest::prelude::*;
 use std::collections::VecDeque;
@@ -27,19 +27,19 @@
 /// A part under way: from whom, what it is in answer to.
 struct Way {
     from: usize,
-    part: Part,
+    part: CountReport,
 }
 
 struct World {
     now: u64,
     values: Vec<f64>,
-    own: Vec<Option<Own>>,
+    own: Vec<Option<LocalCounts>>,
     starts: Vec<u64>,
     /// The token of the last question to each.
     last: Vec<u64>,
-    others: Others,
+    others: PeerCounts,
     /// What planner 0 has asked: of whom, and what it said that it has.
-    asks: VecDeque<(usize, Ask)>,
+    asks: VecDeque<(usize, ReportRequest)>,
     ways: VecDeque<Way>,
     /// The true sum of the others, from each moment on.
     truth: Vec<(u64, f64)>,
@@ -53,10 +53,10 @@
         World {
             now: 1_000,
             values: vec![0.0; PLANNERS],
-            own: (0..PLANNERS).map(|_| Some(Own::new(1))).collect(),
+            own: (0..PLANNERS).map(|_| Some(LocalCounts::new(1))).collect(),
             starts: vec![1; PLANNERS],
             last: vec![0; PLANNERS],
-            others: Others::default(),
+            others: PeerCounts::default(),
             asks: VecDeque::new(),
             ways: VecDeque::new(),
             truth: vec![(0, 0.0)],
@@ -81,21 +81,21 @@
     fn read(&mut self, planted: Planted) {
         let belong: Vec<u64> = (1..PLANNERS as u64).collect();
         let now = self.moment();
-        let mut figure = self.others.read(now, KEY, &belong, FRESH, Some(MOST));
-        if planted == Planted::Believed && figure.unheard > 0 {
-            (figure.least, figure.most) = (figure.value, Some(figure.value));
+        let mut figure = self.others.estimate(now, KEY, &belong, FRESH, Some(MOST));
+        if planted == Planted::Believed && figure.missing_peers > 0 {
+            (figure.min, figure.max) = (figure.value, Some(figure.value));
         }
         let at = (now - figure.age).0 / 1_000_000;
         self.reads += 1;
-        let Some(most) = figure.most else { return };
+        let Some(most) = figure.max else { return };
         // All values the sum had within that millisecond count as what it was then.
         let before = self.truth.iter().rev().find(|t| t.0 < at).map(|t| t.1);
         let within = self.truth.iter().filter(|t| t.0 == at).map(|t| t.1);
         let mut any = before.into_iter().chain(within);
-        if !any.any(|sum| figure.least <= sum && sum <= most) {
+        if !any.any(|sum| figure.min <= sum && sum <= most) {
             self.wrong = Some(format!("at {at} it was none of {figure:?}"));
         }
-        self.tight += usize::from(most - figure.least < MOST);
+        self.tight += usize::from(most - figure.min < MOST);
     }
 }
 
@@ -110,7 +110,7 @@
                 }
             }
             6..=10 => {
-                let has = world.others.ask(world.moment(), at as u64);
+                let has = world.others.request_report(world.moment(), at as u64);
                 world.last[at] = has.map_or(world.last[at], |has| has.token);
                 world.asks.extend(has.map(|has| (at, has)));
             }
@@ -119,12 +119,16 @@
                     if let Some(own) = &mut world.own[at] {
                         if planted == Planted::FromSent {
                             // As if whatever was sent had come.
-                            let sent = own.part(0, has).map_or(0, |part| part.number);
-                            let part = own.part(0, Ask { start: world.starts[at], number: sent, ..has });
-                            let part = part.map(|part| Part { after: has.number, ..part });
+                            let sent = own.make_report(0, has).map_or(0, |part| part.sequence);
+                            let part = own.make_report(
+                                0,
+                                ReportRequest { start: world.starts[at], last_sequence: sent, ..has },
+                            );
+                            let part =
+                                part.map(|part| CountReport { base_sequence: has.last_sequence, ..part });
                             world.ways.extend(part.map(|part| Way { from: at, part }));
                         } else {
-                            let part = own.part(0, has);
+                            let part = own.make_report(0, has);
                             world.ways.extend(part.map(|part| Way { from: at, part }));
                         }
                     }
@@ -138,9 +142,9 @@
                         if planted == Planted::AnyAnswer {
                             way.part.token = world.last[way.from];
                         }
-                        world.others.told(now, way.from as u64, &way.part);
+                        world.others.receive(now, way.from as u64, &way.part);
                         // Again: it changes nothing.
-                        world.others.told(now, way.from as u64, &way.part);
+                        world.others.receive(now, way.from as u64, &way.part);
                     }
                 }
             }
@@ -150,7 +154,7 @@
                     world.ways.retain(|way| way.from != at);
                     world.asks.retain(|ask| ask.0 != at);
                 }
-                world.others.lost(at as u64);
+                world.others.cancel_request(at as u64);
             }
             20 => {
                 if much % 4 == 0 && world.own[at].is_some() {
@@ -162,7 +166,7 @@
                 if world.own[at].is_none() {
                     world.starts[at] += 1;
                     let start = if planted == Planted::Twice { 1 } else { world.starts[at] };
-                    world.own[at] = Some(Own::new(start));
+                    world.own[at] = Some(LocalCounts::new(start));
                 }
             }
             _ => world.read(planted),
--- a/crates/duty/src/desk.rs
+++ b/crates/duty/src/desk.rs
@@ -1,18 +1,18 @@
 //! A planner's own duties: what it holds by the record, and whether it may act on it now.
 
-use crate::{Lease, MOST_DUTIES};
+use crate::{LeaseConfig, MAX_DUTIES};
 use pewtergap_time::{Moment, Span};
 use std::collections::BTreeMap;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
+pub enum DutyState {
     /// Somebody else's, or nobody's.
-    Candidate,
-    Holder,
+    NotHeld,
+    Active,
     /// The record says it is ours, our clock says that the lease may have ended.
-    Doubt,
+    Uncertain,
     /// We have stopped and say so; it is ours no more whatever the record still says.
-    Handing,
+    Releasing,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -29,62 +29,62 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Does {
+pub enum DutyAction {
     Nothing,
-    Begin,
+    Start,
     /// No effect any more, until it goes on.
-    Rest,
-    GoOn,
+    Pause,
+    Resume,
     /// Stopped; the record has to be told.
-    HandOn,
+    Release,
     Stop,
 }
 
-use Does::*;
-use State::*;
+use DutyAction::*;
+use DutyState::*;
 
 /// State, input, next state, effect. What is not in it changes nothing.
 #[rustfmt::skip]
-const STEPS: &[(State, Input, State, Does)] = &[
-    (Candidate, Input::Given,   Doubt,     Nothing),
-    (Doubt,     Input::Good,    Holder,    Begin),
-    (Doubt,     Input::NotOurs, Candidate, Stop),
-    (Doubt,     Input::Hand,    Handing,   HandOn),
-    (Doubt,     Input::Given,   Doubt,     Stop),
-    (Holder,    Input::Over,    Doubt,     Rest),
-    (Holder,    Input::NotOurs, Candidate, Stop),
-    (Holder,    Input::Hand,    Handing,   HandOn),
+const STEPS: &[(DutyState, Input, DutyState, DutyAction)] = &[
+    (NotHeld, Input::Given,   Uncertain,     Nothing),
+    (Uncertain,     Input::Good,    Active,    Start),
+    (Uncertain,     Input::NotOurs, NotHeld, Stop),
+    (Uncertain,     Input::Hand,    Releasing,   Release),
+    (Uncertain,     Input::Given,   Uncertain,     Stop),
+    (Active,    Input::Over,    Uncertain,     Pause),
+    (Active,    Input::NotOurs, NotHeld, Stop),
+    (Active,    Input::Hand,    Releasing,   Release),
     // Given anew without having been handed on: what was begun under the old number has ended.
-    (Holder,    Input::Given,   Doubt,     Stop),
-    (Handing,   Input::NotOurs, Candidate, Nothing),
-    (Handing,   Input::Given,   Doubt,     Nothing),
+    (Active,    Input::Given,   Uncertain,     Stop),
+    (Releasing,   Input::NotOurs, NotHeld, Nothing),
+    (Releasing,   Input::Given,   Uncertain,     Nothing),
 ];
 
 #[derive(Clone, Copy, Debug)]
 struct Post {
-    state: State,
+    state: DutyState,
     number: u64,
     /// Begun under this number: going on is no beginning.
     begun: bool,
 }
 
 #[derive(Clone, Debug)]
-pub struct Desk {
-    lease: Lease,
+pub struct HeldDuties {
+    lease: LeaseConfig,
     /// Our own clock's end of the lease.
     until: Moment,
     posts: BTreeMap<String, Post>,
-    done: Vec<(String, u64, Does)>,
+    done: Vec<(String, u64, DutyAction)>,
 }
 
-impl Desk {
-    pub fn new(lease: Lease) -> Desk {
-        Desk { lease, until: Moment(0), posts: BTreeMap::new(), done: Vec::new() }
+impl HeldDuties {
+    pub fn new(lease: LeaseConfig) -> HeldDuties {
+        HeldDuties { lease, until: Moment(0), posts: BTreeMap::new(), done: Vec::new() }
     }
 
     /// Leases are so long from here on: what is believed already stays.
-    pub fn length(&mut self, length: Span) {
-        self.lease.length = length;
+    pub fn set_lease_duration(&mut self, length: Span) {
+        self.lease.duration = length;
     }
 
     fn step(&mut self, duty: &str, input: Input) {
@@ -92,7 +92,7 @@
         let Some(row) = STEPS.iter().find(|row| row.0 == post.state && row.1 == input) else { return };
         post.state = row.2;
         let does = match row.3 {
-            Begin if std::mem::replace(&mut post.begun, true) => GoOn,
+            Start if std::mem::replace(&mut post.begun, true) => Resume,
             // What never began has nothing to stop.
             Stop if !post.begun => Nothing,
             does => does,
@@ -106,17 +106,17 @@
         let input = if now < self.until { Input::Good } else { Input::Over };
         let duties: Vec<String> = self.posts.keys().cloned().collect();
         duties.iter().for_each(|duty| self.step(duty, input));
-        self.posts.retain(|_, post| post.state != Candidate);
+        self.posts.retain(|_, post| post.state != NotHeld);
     }
 
     /// What the record says that we hold, and under which numbers.
-    pub fn hold<'a>(&mut self, now: Moment, ours: impl Iterator<Item = (&'a str, u64)>) {
-        let ours: BTreeMap<&str, u64> = ours.take(MOST_DUTIES).collect();
+    pub fn update_assignments<'a>(&mut self, now: Moment, ours: impl Iterator<Item = (&'a str, u64)>) {
+        let ours: BTreeMap<&str, u64> = ours.take(MAX_DUTIES).collect();
         let gone: Vec<String> =
             self.posts.keys().filter(|duty| !ours.contains_key(duty.as_str())).cloned().collect();
         gone.iter().for_each(|duty| self.step(duty, Input::NotOurs));
         for (duty, number) in ours {
-            let new = Post { state: Candidate, number: 0, begun: false };
+            let new = Post { state: NotHeld, number: 0, begun: false };
             if self.posts.entry(duty.into()).or_insert(new).number < number {
                 self.step(duty, Input::Given);
                 if let Some(post) = self.posts.get_mut(duty) {
@@ -128,8 +128,8 @@
     }
 
     /// A renewal was confirmed; it had been asked for at this moment, before the request left.
-    pub fn renewed(&mut self, now: Moment, asked: Moment) {
-        self.until = self.until.max(asked + self.lease.believed());
+    pub fn on_renewed(&mut self, now: Moment, asked: Moment) {
+        self.until = self.until.max(asked + self.lease.holder_validity());
         self.settle(now);
     }
 
@@ -138,30 +138,30 @@
     }
 
     /// Asked to hand it on; all of them with none.
-    pub fn hand(&mut self, duty: Option<&str>) {
+    pub fn release(&mut self, duty: Option<&str>) {
         let duties: Vec<String> =
             self.posts.keys().filter(|held| duty.is_none_or(|duty| duty == held.as_str())).cloned().collect();
         duties.iter().for_each(|duty| self.step(duty, Input::Hand));
     }
 
     /// To be asked at the effect, not at the decision: the number under which it may be done now.
-    pub fn may(&self, now: Moment, duty: &str) -> Option<u64> {
-        let post = self.posts.get(duty).filter(|post| post.state == Holder && now < self.until)?;
+    pub fn fencing_token(&self, now: Moment, duty: &str) -> Option<u64> {
+        let post = self.posts.get(duty).filter(|post| post.state == Active && now < self.until)?;
         Some(post.number)
     }
 
     /// Handed on and not yet seen to be so in the record.
-    pub fn handing(&self) -> Vec<(String, u64)> {
-        let handing = self.posts.iter().filter(|post| post.1.state == Handing);
+    pub fn releasing(&self) -> Vec<(String, u64)> {
+        let handing = self.posts.iter().filter(|post| post.1.state == Releasing);
         handing.map(|(duty, post)| (duty.clone(), post.number)).collect()
     }
 
-    pub fn held(&self) -> impl Iterator<Item = (&str, u64, State)> + '_ {
+    pub fn held(&self) -> impl Iterator<Item = (&str, u64, DutyState)> + '_ {
         self.posts.iter().map(|(duty, post)| (duty.as_str(), post.number, post.state))
     }
 
     /// What has begun, rests, goes on or has stopped since the last look.
-    pub fn take(&mut self) -> Vec<(String, u64, Does)> {
+    pub fn take_actions(&mut self) -> Vec<(String, u64, DutyAction)> {
         std::mem::take(&mut self.done)
     }
 }
--- a/crates/duty/src/giver.rs
+++ b/crates/duty/src/giver.rs
@@ -6,18 +6,18 @@
 //! - One duty moves at a time, from the fullest to the emptiest, while they differ by more than one.
 //! - Whoever comes back gets nothing until it has been heard without a gap for the time told.
 
-use crate::Lease;
+use crate::LeaseConfig;
 use pewtergap_time::{Moment, Span};
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64;
 
 /// As the record has it; holder 0: nobody's.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Held {
+pub struct DutyAssignment {
     pub holder: u64,
-    pub number: u64,
+    pub fencing_token: u64,
     /// An operator wants it there.
-    pub wanted: Option<u64>,
+    pub pinned_to: Option<u64>,
 }
 
 /// Who may hold duties.
@@ -30,9 +30,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Move {
     /// To the record: given to this one, if it still has this number.
-    Give { duty: String, to: u64, number: u64 },
+    Assign { duty: String, to: u64, expected_fencing_token: u64 },
     /// To the holder: hand it on.
-    Ask { duty: String, holder: u64, number: u64 },
+    RequestRelease { duty: String, holder: u64, fencing_token: u64 },
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -43,8 +43,8 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Giver {
-    lease: Lease,
+pub struct DutyAssigner {
+    lease: LeaseConfig,
     steady: Span,
     leads_since: Moment,
     known: BTreeMap<u64, Known>,
@@ -52,19 +52,19 @@
     last: BTreeMap<u64, Moment>,
 }
 
-impl Giver {
+impl DutyAssigner {
     /// One that begins to lead knows of no renewal: every holder has a whole lease from here.
-    pub fn new(now: Moment, lease: Lease, steady: Span) -> Giver {
-        Giver { lease, steady, leads_since: now, known: BTreeMap::new(), last: BTreeMap::new() }
+    pub fn new(now: Moment, lease: LeaseConfig, steady: Span) -> DutyAssigner {
+        DutyAssigner { lease, steady, leads_since: now, known: BTreeMap::new(), last: BTreeMap::new() }
     }
 
     /// Leases are so long from here on.
-    pub fn length(&mut self, length: Span) {
-        self.lease.length = length;
+    pub fn set_lease_duration(&mut self, length: Span) {
+        self.lease.duration = length;
     }
 
     /// A request to renew came.
-    pub fn renews(&mut self, now: Moment, planner: u64) {
+    pub fn on_renewal(&mut self, now: Moment, planner: u64) {
         let gap = self.gap();
         self.last.insert(planner, now);
         let known = self.known.entry(planner).or_insert(Known { heard: now, since: now });
@@ -75,19 +75,19 @@
     }
 
     /// It says that it takes no more: its end, or it is slow.
-    pub fn leaves(&mut self, planner: u64) {
+    pub fn on_leaving(&mut self, planner: u64) {
         self.known.remove(&planner);
     }
 
     /// Two renewals that did not come are a gap.
     fn gap(&self) -> Span {
-        self.lease.renew.times(2.5)
+        self.lease.renew_interval.times(2.5)
     }
 
     /// Its lease is over, by whatever clock.
-    pub fn over(&self, now: Moment, planner: u64) -> bool {
+    pub fn lease_expired(&self, now: Moment, planner: u64) -> bool {
         let heard = self.last.get(&planner).map_or(self.leads_since, |heard| (*heard).max(self.leads_since));
-        now.since(heard) > self.lease.waited()
+        now.since(heard) > self.lease.assigner_wait()
     }
 
     fn heard(&self, now: Moment, planner: u64) -> bool {
@@ -105,14 +105,14 @@
         &mut self,
         now: Moment,
         wanted: &[String],
-        held: &BTreeMap<String, Held>,
+        held: &BTreeMap<String, DutyAssignment>,
         planners: &[Planner],
         frozen: bool,
     ) -> Vec<Move> {
         let belongs = |id: &u64| planners.iter().any(|planner| planner.id == *id);
         self.known.retain(|id, _| belongs(id));
         // Those that left keep what they may still believe in.
-        let lease = self.lease.waited();
+        let lease = self.lease.assigner_wait();
         self.last.retain(|id, heard| belongs(id) || now.since(*heard) <= lease);
         let holder = |duty: &String| held.get(duty).map_or(0, |held| held.holder);
         // Whoever holds something has been steady once; a new leader does not make it wait again.
@@ -135,26 +135,30 @@
             let holder = holder(duty);
             if let Some(count) = counts.get_mut(&holder) {
                 *count += 1;
-            } else if holder == 0 || self.over(now, holder) {
+            } else if holder == 0 || self.lease_expired(now, holder) {
                 free.push(duty);
             }
         }
         let liking = |duty: &str, planner: &Planner| xxh3_64(format!("{duty}\n{}", planner.name).as_bytes());
         let mut moves = Vec::new();
         for duty in free {
-            let number = held.get(duty).map_or(0, |held| held.number);
-            let asked = held.get(duty).and_then(|held| held.wanted).filter(|id| counts.contains_key(id));
+            let number = held.get(duty).map_or(0, |held| held.fencing_token);
+            let asked = held.get(duty).and_then(|held| held.pinned_to).filter(|id| counts.contains_key(id));
             let least = fit.iter().min_by_key(|p| (counts[&p.id], std::cmp::Reverse(liking(duty, p))));
             let Some(to) = asked.or(least.map(|planner| planner.id)) else { continue };
             *counts.entry(to).or_default() += 1;
-            moves.push(Move::Give { duty: duty.clone(), to, number });
+            moves.push(Move::Assign { duty: duty.clone(), to, expected_fencing_token: number });
         }
         for duty in wanted {
             let Some(held) = held.get(duty).filter(|held| counts.contains_key(&held.holder)) else {
                 continue;
             };
-            if held.wanted.is_some_and(|to| to != held.holder && counts.contains_key(&to)) {
-                moves.push(Move::Ask { duty: duty.clone(), holder: held.holder, number: held.number });
+            if held.pinned_to.is_some_and(|to| to != held.holder && counts.contains_key(&to)) {
+                moves.push(Move::RequestRelease {
+                    duty: duty.clone(),
+                    holder: held.holder,
+                    fencing_token: held.fencing_token,
+                });
             }
         }
         if moves.is_empty() && !frozen {
@@ -167,7 +171,7 @@
     fn even_out(
         &self,
         wanted: &[String],
-        held: &BTreeMap<String, Held>,
+        held: &BTreeMap<String, DutyAssignment>,
         counts: &BTreeMap<u64, usize>,
         fit: &[&Planner],
     ) -> Option<Move> {
@@ -179,9 +183,13 @@
         // What an operator has put there stays.
         let movable = wanted.iter().filter_map(|duty| Some((duty, held.get(duty)?)));
         let movable =
-            movable.filter(|(_, held)| held.holder == fullest.id && held.wanted != Some(fullest.id));
+            movable.filter(|(_, held)| held.holder == fullest.id && held.pinned_to != Some(fullest.id));
         let hash = |duty: &str| xxh3_64(format!("{duty}\n{}", emptiest.name).as_bytes());
         let (duty, held) = movable.max_by_key(|(duty, _)| hash(duty))?;
-        Some(Move::Ask { duty: duty.clone(), holder: held.holder, number: held.number })
+        Some(Move::RequestRelease {
+            duty: duty.clone(),
+            holder: held.holder,
+            fencing_token: held.fencing_token,
+        })
     }
 }
--- a/crates/duty/src/lib.rs
+++ b/crates/duty/src/lib.rs
@@ -15,56 +15,56 @@
 mod fence;
 mod giver;
 
-pub use desk::{Desk, Does, State};
+pub use desk::{DutyAction, DutyState, HeldDuties};
 pub use fence::Fence;
-pub use giver::{Giver, Held, Move, Planner};
+pub use giver::{DutyAssigner, DutyAssignment, Move, Planner};
 
 use pewtergap_time::Span;
 
 /// Duties of one cluster.
-pub const MOST_DUTIES: usize = 1_024;
+pub const MAX_DUTIES: usize = 1_024;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Lease {
-    pub length: Span,
+pub struct LeaseConfig {
+    pub duration: Span,
     /// Between two renewals.
-    pub renew: Span,
+    pub renew_interval: Span,
     /// The largest pause of a planner, or of the way to the leader, that costs it nothing.
-    pub pause: Span,
+    pub max_pause: Span,
     /// By which part of it a clock may be fast or slow.
-    pub drift: f64,
+    pub max_clock_drift: f64,
 }
 
-impl Lease {
+impl LeaseConfig {
     /// What does not fit together, if anything.
-    pub fn check(&self) -> Result<(), String> {
-        if !(0.0..0.2).contains(&self.drift) {
-            return Err(format!("drift {} is not a part between 0 and 0.2", self.drift));
+    pub fn validate(&self) -> Result<(), String> {
+        if !(0.0..0.2).contains(&self.max_clock_drift) {
+            return Err(format!("drift {} is not a part between 0 and 0.2", self.max_clock_drift));
         }
-        if self.renew.0 == 0 {
+        if self.renew_interval.0 == 0 {
             return Err("renew: a span above 0 was expected".into());
         }
-        let needed = self.renew + self.renew + self.pause;
-        if needed > self.believed() {
+        let needed = self.renew_interval + self.renew_interval + self.max_pause;
+        if needed > self.holder_validity() {
             return Err(format!(
                 "length {} holds for {} by a clock that may be off by {}%: less than two renewals of {} and a pause of {}",
-                self.length,
-                self.believed(),
-                self.drift * 100.0,
-                self.renew,
-                self.pause
+                self.duration,
+                self.holder_validity(),
+                self.max_clock_drift * 100.0,
+                self.renew_interval,
+                self.max_pause
             ));
         }
         Ok(())
     }
 
     /// By the holder's clock, from before its request left: a slow clock takes at most `length` over it.
-    pub fn believed(&self) -> Span {
-        self.length.times(1.0 - self.drift)
+    pub fn holder_validity(&self) -> Span {
+        self.duration.times(1.0 - self.max_clock_drift)
     }
 
     /// By the giver's clock, from when it heard the request: a fast clock takes at least `length` over it.
-    pub fn waited(&self) -> Span {
-        self.length.times(1.0 + self.drift)
+    pub fn assigner_wait(&self) -> Span {
+        self.duration.times(1.0 + self.max_clock_drift)
     }
 }
--- a/crates/duty/tests/schedules.rs
+++ b/crates/duty/tests/schedules.rs
@@ -1,15 +1,19 @@
 //! Planners with clocks that are fast and slow, a leader that changes, messages that are late or lost, planners that are
 //! paused at any step: at no moment may two of them act on one duty. And the breaks that this has to find.
 
-use pewtergap_duty::{Desk, Giver, Held, Lease, Move, Planner};
+use pewtergap_duty::{DutyAssigner, DutyAssignment, HeldDuties, LeaseConfig, Move, Planner};
 use pewtergap_time::{Moment, Span};
 use proptest::prelude::*;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
 const MS: u64 = 1_000_000;
-const LEASE: Lease =
-    Lease { length: Span::millis(600), renew: Span::millis(100), pause: Span::millis(200), drift: 0.02 };
+const LEASE: LeaseConfig = LeaseConfig {
+    duration: Span::millis(600),
+    renew_interval: Span::millis(100),
+    max_pause: Span::millis(200),
+    max_clock_drift: 0.02,
+};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Planted {
@@ -59,8 +63,8 @@
 }
 
 struct One {
-    desk: Desk,
-    giver: Option<(Giver, u64)>,
+    desk: HeldDuties,
+    giver: Option<(DutyAssigner, u64)>,
     rate: f64,
     seen: usize,
     giving: BTreeMap<String, Option<usize>>,
@@ -72,9 +76,9 @@
         let mut rng = fastrand::Rng::with_seed(seed);
         let count = rng.usize(2..6);
         let one = |rng: &mut fastrand::Rng| One {
-            desk: Desk::new(LEASE),
+            desk: HeldDuties::new(LEASE),
             giver: None,
-            rate: 1.0 + LEASE.drift * (rng.f64() * 2.0 - 1.0),
+            rate: 1.0 + LEASE.max_clock_drift * (rng.f64() * 2.0 - 1.0),
             seen: 0,
             giving: BTreeMap::new(),
             paused: None,
@@ -125,8 +129,8 @@
         one.seen = one.seen.max(index);
         let state = &self.log[one.seen];
         let ours = state.iter().filter(|held| held.1 .0 == Some(at));
-        one.desk.hold(now, ours.map(|(duty, held)| (duty.as_str(), held.1)));
-        one.desk.take();
+        one.desk.update_assignments(now, ours.map(|(duty, held)| (duty.as_str(), held.1)));
+        one.desk.take_actions();
     }
 
     fn whose(event: &Event) -> Option<usize> {
@@ -158,14 +162,14 @@
                 self.sees(at, index as usize);
                 let now = self.clock(at);
                 let asked = if self.planted == Planted::FromAnswer { now } else { Moment(asked) };
-                self.planners[at].desk.renewed(now, asked);
+                self.planners[at].desk.on_renewed(now, asked);
             }
             Event::Commit { term, duty, to, number } => self.commit(term, duty, to, number),
             Event::Applied(at, index) => self.sees(at, index as usize),
             Event::Asked(at, duty, number) => {
                 let one = &mut self.planners[at];
                 if one.desk.held().any(|held| held.0 == duty && held.1 == number) {
-                    one.desk.hand(Some(&duty));
+                    one.desk.release(Some(&duty));
                 }
             }
             Event::Elect => {
@@ -197,7 +201,7 @@
                 if self.rng.u8(0..6) == 0 { self.rng.usize(0..self.planners.len()) } else { self.leader };
             self.sent(Event::Renew(at, now.0, leader));
         }
-        for (duty, number) in self.planners[at].desk.handing() {
+        for (duty, number) in self.planners[at].desk.releasing() {
             let term = self.term;
             self.sent(Event::Commit { term, duty, to: None, number });
         }
@@ -211,10 +215,10 @@
         let term = self.term;
         if self.planners[at].giver.as_ref().is_none_or(|giver| giver.1 != term) {
             let patience = match self.planted {
-                Planted::Impatient => Lease { length: Span::millis(300), ..LEASE },
+                Planted::Impatient => LeaseConfig { duration: Span::millis(300), ..LEASE },
                 _ => LEASE,
             };
-            self.planners[at].giver = Some((Giver::new(now, patience, Span::millis(200)), term));
+            self.planners[at].giver = Some((DutyAssigner::new(now, patience, Span::millis(200)), term));
             self.planners[at].giving.clear();
             // Its first entry is committed: it knows all that was.
             let last = self.log.len() - 1;
@@ -227,9 +231,9 @@
         }
         let held = state.iter().map(|(duty, (holder, number))| {
             let holder = holder.map_or(0, |holder| holder as u64 + 1);
-            (duty.clone(), Held { holder, number: *number, wanted: None })
+            (duty.clone(), DutyAssignment { holder, fencing_token: *number, pinned_to: None })
         });
-        let held: BTreeMap<String, Held> = held.collect();
+        let held: BTreeMap<String, DutyAssignment> = held.collect();
         let all: Vec<Planner> = (0..self.planners.len())
             .map(|id| Planner { id: id as u64 + 1, name: format!("p{id}") })
             .collect();
@@ -237,7 +241,7 @@
         let Some((giver, _)) = &mut self.planners[at].giver else { return };
         for one in giver.plan(now, &duties, &held, &all, false) {
             match one {
-                Move::Give { duty, to, number } => {
+                Move::Assign { duty, to, expected_fencing_token: number } => {
                     let from = held.get(&duty).map_or(0, |held| held.holder);
                     self.planners[at]
                         .giving
@@ -246,7 +250,7 @@
                     let ms = self.rng.u64(0..60);
                     self.after(ms, Event::Commit { term, duty, to, number });
                 }
-                Move::Ask { duty, holder, number } => {
+                Move::RequestRelease { duty, holder, fencing_token: number } => {
                     self.sent(Event::Asked(holder as usize - 1, duty, number));
                 }
             }
@@ -265,7 +269,7 @@
         {
             return;
         }
-        giver.renews(now, from as u64 + 1);
+        giver.on_renewal(now, from as u64 + 1);
         if mine == term && self.leader == to {
             let ms = self.rng.u64(0..30);
             self.after(ms, Event::Confirm(from, asked, to, term, index));
@@ -300,7 +304,7 @@
     fn two(&mut self) -> Option<String> {
         for duty in &self.duties {
             let acting: Vec<(usize, u64)> = (0..self.planners.len())
-                .filter_map(|at| Some((at, self.planners[at].desk.may(self.clock(at), duty)?)))
+                .filter_map(|at| Some((at, self.planners[at].desk.fencing_token(self.clock(at), duty)?)))
                 .collect();
             self.acted += acting.len();
             if acting.len() > 1 {
--- a/crates/evidence/src/lib.rs
+++ b/crates/evidence/src/lib.rs
@@ -18,8 +18,8 @@
 use std::collections::BTreeMap;
 
 /// A server loses so much of its weight by hearsay, and a zone so much of all its servers' together.
-pub const LIGHTER: f64 = 0.5;
-pub const OF_A_ZONE: f64 = 0.15;
+pub const MAX_SERVER_REDUCTION: f64 = 0.5;
+pub const MAX_ZONE_REDUCTION: f64 = 0.15;
 const HALVES: Span = Span::millis(4_000);
 /// Tries that say something, and the part of them dropped from which a server is held for bad.
 const ENOUGH: f64 = 12.0;
@@ -31,14 +31,14 @@
 /// Weights are lightened by steps.
 const STEP: f64 = 0.125;
 /// Servers asked about by hearsay within a look, and rows kept of one planner.
-pub const MOST_ASKED: usize = 4;
-pub const MOST_SEEN: usize = 256;
+pub const MAX_PROBES: usize = 4;
+pub const MAX_OBSERVATIONS: usize = 256;
 /// Servers that our own sums are kept of.
 const MOST_OWN: usize = 16_384;
 
 /// What one planner saw of one server, lately.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Seen {
+pub struct ServerObservation {
     pub server: String,
     pub tries: f64,
     pub dropped: f64,
@@ -47,13 +47,13 @@
 
 /// All that a planner tells at once: what it saw of servers that look bad, and what these are among.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Told {
+pub struct PeerReport {
     pub start: u64,
-    pub number: u64,
-    pub seen: Vec<Seen>,
+    pub sequence: u64,
+    pub observations: Vec<ServerObservation>,
     /// Servers it tried enough to say something, and those of them that are bad.
-    pub tried: u64,
-    pub bad: u64,
+    pub servers_tried: u64,
+    pub servers_bad: u64,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -85,9 +85,9 @@
 
 /// What is to be done now, by server: lighter by which part, 0 again to what it was; and whom to ask.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Says {
-    pub lighter: Vec<(String, f64)>,
-    pub ask: Vec<String>,
+pub struct Recommendations {
+    pub weight_reductions: Vec<(String, f64)>,
+    pub probe: Vec<String>,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -96,10 +96,10 @@
     number: u64,
     own: BTreeMap<String, Sum>,
     tellers: BTreeMap<u64, Teller>,
-    light: BTreeMap<String, f64>,
+    weight_reductions: BTreeMap<String, f64>,
     asked: BTreeMap<String, Moment>,
     /// Rows of others that were old, repeated or no numbers.
-    pub refused: u64,
+    pub rejected: u64,
 }
 
 fn judged((tries, dropped): (f64, f64)) -> Option<bool> {
@@ -112,7 +112,7 @@
     }
 
     /// What proxies here met at a server.
-    pub fn saw(&mut self, now: Moment, server: &str, tries: f64, dropped: f64) {
+    pub fn record_tries(&mut self, now: Moment, server: &str, tries: f64, dropped: f64) {
         if !self.own.contains_key(server) && self.own.len() >= MOST_OWN {
             return;
         }
@@ -126,35 +126,47 @@
     }
 
     /// What the others are told: only what looks bad, the worst first.
-    pub fn tell(&mut self, now: Moment) -> Told {
+    pub fn make_report(&mut self, now: Moment) -> PeerReport {
         self.own.retain(|_, sum| sum.now(now).0 >= 0.5);
         self.number += 1;
         let (tried, bad) = self.bad_part(now);
-        let mut seen: Vec<Seen> = self
+        let mut seen: Vec<ServerObservation> = self
             .own
             .iter()
             .map(|(server, sum)| (server, sum.now(now)))
             .filter(|(_, sum)| judged(*sum) == Some(true))
-            .map(|(server, (tries, dropped))| Seen { server: server.clone(), tries, dropped, age: Span(0) })
+            .map(|(server, (tries, dropped))| ServerObservation {
+                server: server.clone(),
+                tries,
+                dropped,
+                age: Span(0),
+            })
             .collect();
         seen.sort_by(|a, b| b.dropped.total_cmp(&a.dropped));
-        seen.truncate(MOST_SEEN);
-        Told { start: self.start, number: self.number, seen, tried, bad }
+        seen.truncate(MAX_OBSERVATIONS);
+        PeerReport {
+            start: self.start,
+            sequence: self.number,
+            observations: seen,
+            servers_tried: tried,
+            servers_bad: bad,
+        }
     }
 
     /// What another tells takes the place of what it told before; older words change nothing.
-    pub fn told(&mut self, now: Moment, from: u64, told: &Told) -> bool {
+    pub fn receive_report(&mut self, now: Moment, from: u64, told: &PeerReport) -> bool {
         let known = self.tellers.get(&from).map(|teller| (teller.start, teller.number));
-        if known.is_some_and(|known| (told.start, told.number) <= known) {
-            self.refused += 1;
+        if known.is_some_and(|known| (told.start, told.sequence) <= known) {
+            self.rejected += 1;
             return false;
         }
-        let mut teller = Teller { start: told.start, number: told.number, ..Teller::default() };
-        teller.broken = told.bad as f64 > BROKEN * told.tried.max(1) as f64 && told.bad > 1;
-        for seen in told.seen.iter().take(MOST_SEEN) {
+        let mut teller = Teller { start: told.start, number: told.sequence, ..Teller::default() };
+        teller.broken =
+            told.servers_bad as f64 > BROKEN * told.servers_tried.max(1) as f64 && told.servers_bad > 1;
+        for seen in told.observations.iter().take(MAX_OBSERVATIONS) {
             let sound = seen.tries.is_finite() && seen.dropped.is_finite();
             if !sound || seen.dropped < 0.0 || seen.dropped > seen.tries {
-                self.refused += 1;
+                self.rejected += 1;
                 continue;
             }
             let at = now - seen.age;
@@ -165,17 +177,17 @@
     }
 
     /// Only who belongs is believed.
-    pub fn know(&mut self, belong: &[u64]) {
+    pub fn set_members(&mut self, belong: &[u64]) {
         self.tellers.retain(|id, _| belong.contains(id));
     }
 
     /// What of all this counts now. `zone`: where a server is and its weight, none: it is not listed.
-    pub fn look(
+    pub fn evaluate(
         &mut self,
         now: Moment,
         zone: impl Fn(&str) -> Option<(String, f64)>,
         zones: &BTreeMap<String, f64>,
-    ) -> Says {
+    ) -> Recommendations {
         let (tried, bad) = self.bad_part(now);
         let fine_here = bad as f64 <= BROKEN * tried.max(1) as f64;
         let mut sums: BTreeMap<&str, (f64, f64)> = BTreeMap::new();
@@ -198,11 +210,11 @@
             };
             // As sure as it is many: at ENOUGH tries half of what hearsay may take.
             let sure = sum.0 / (sum.0 + ENOUGH);
-            heard.push((server.into(), zone, weight, LIGHTER * sure * sum.1 / sum.0));
+            heard.push((server.into(), zone, weight, MAX_SERVER_REDUCTION * sure * sum.1 / sum.0));
         }
         heard.sort_by(|a, b| b.3.total_cmp(&a.3).then(a.0.cmp(&b.0)));
         let mut left: BTreeMap<&String, f64> =
-            zones.iter().map(|(zone, all)| (zone, OF_A_ZONE * all)).collect();
+            zones.iter().map(|(zone, all)| (zone, MAX_ZONE_REDUCTION * all)).collect();
         let mut light: BTreeMap<String, f64> = BTreeMap::new();
         for (server, zone, weight, part) in &heard {
             let Some(room) = left.get_mut(zone) else { continue };
@@ -214,38 +226,38 @@
                 light.insert(server.clone(), part);
             }
         }
-        let mut says = Says::default();
+        let mut says = Recommendations::default();
         let gone: Vec<String> =
-            self.light.keys().filter(|server| !light.contains_key(*server)).cloned().collect();
-        says.lighter.extend(gone.into_iter().map(|server| (server, 0.0)));
+            self.weight_reductions.keys().filter(|server| !light.contains_key(*server)).cloned().collect();
+        says.weight_reductions.extend(gone.into_iter().map(|server| (server, 0.0)));
         for (server, part) in &light {
-            if self.light.get(server) != Some(part) {
-                says.lighter.push((server.clone(), *part));
+            if self.weight_reductions.get(server) != Some(part) {
+                says.weight_reductions.push((server.clone(), *part));
             }
         }
-        for (server, part) in &says.lighter {
+        for (server, part) in &says.weight_reductions {
             match *part {
-                0.0 => drop(self.light.remove(server)),
-                part => drop(self.light.insert(server.clone(), part)),
+                0.0 => drop(self.weight_reductions.remove(server)),
+                part => drop(self.weight_reductions.insert(server.clone(), part)),
             }
         }
         self.asked.retain(|_, at| now.since(*at) < HALVES);
-        for (server, ..) in heard.iter().take(MOST_ASKED) {
+        for (server, ..) in heard.iter().take(MAX_PROBES) {
             if !self.asked.contains_key(server) {
                 self.asked.insert(server.clone(), now);
-                says.ask.push(server.clone());
+                says.probe.push(server.clone());
             }
         }
         says
     }
 
     /// What is lighter now, and by how much.
-    pub fn light(&self) -> &BTreeMap<String, f64> {
-        &self.light
+    pub fn weight_reductions(&self) -> &BTreeMap<String, f64> {
+        &self.weight_reductions
     }
 
     /// Tellers whose own way is held for broken.
-    pub fn broken(&self) -> usize {
+    pub fn unreliable_peers(&self) -> usize {
         self.tellers.values().filter(|teller| teller.broken).count()
     }
 }
--- a/crates/evidence/tests/bounds.rs
+++ b/crates/evidence/tests/bounds.rs
@@ -1,6 +1,6 @@
 //! What hearsay may do, row by row, and that its bounds hold whatever is told.
 
-use pewtergap_evidence::{Evidence, Seen, Told, LIGHTER, OF_A_ZONE};
+use pewtergap_evidence::{Evidence, PeerReport, ServerObservation, MAX_SERVER_REDUCTION, MAX_ZONE_REDUCTION};
 use pewtergap_time::{Moment, Span};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -10,14 +10,20 @@
     Moment((ms + 100_000) * 1_000_000)
 }
 
-fn told(number: u64, tried: u64, bad: u64, seen: &[(&str, f64, f64)]) -> Told {
-    let row = |(server, tries, dropped): &(&str, f64, f64)| Seen {
+fn told(number: u64, tried: u64, bad: u64, seen: &[(&str, f64, f64)]) -> PeerReport {
+    let row = |(server, tries, dropped): &(&str, f64, f64)| ServerObservation {
         server: server.to_string(),
         tries: *tries,
         dropped: *dropped,
         age: Span(0),
     };
-    Told { start: 1, number, seen: seen.iter().map(row).collect(), tried, bad }
+    PeerReport {
+        start: 1,
+        sequence: number,
+        observations: seen.iter().map(row).collect(),
+        servers_tried: tried,
+        servers_bad: bad,
+    }
 }
 
 fn zone(server: &str) -> Option<(String, f64)> {
@@ -33,23 +39,24 @@
     let mut evidence = Evidence::new(1);
     let mut trace = String::new();
     let mut look = |evidence: &mut Evidence, ms: u64, what: &str| {
-        let says = evidence.look(at(ms), zone, &zones());
-        let light: Vec<String> = says.lighter.iter().map(|l| format!("{} by {:.2}", l.0, l.1)).collect();
-        writeln!(trace, "{ms} {what}: lighter {light:?}, ask {:?}", says.ask).expect("written");
+        let says = evidence.evaluate(at(ms), zone, &zones());
+        let light: Vec<String> =
+            says.weight_reductions.iter().map(|l| format!("{} by {:.2}", l.0, l.1)).collect();
+        writeln!(trace, "{ms} {what}: lighter {light:?}, ask {:?}", says.probe).expect("written");
     };
-    evidence.told(at(0), 2, &told(1, 20, 1, &[("a1", 5.0, 5.0)]));
+    evidence.receive_report(at(0), 2, &told(1, 20, 1, &[("a1", 5.0, 5.0)]));
     look(&mut evidence, 0, "few tries");
-    evidence.told(at(100), 2, &told(2, 20, 1, &[("a1", 40.0, 38.0)]));
+    evidence.receive_report(at(100), 2, &told(2, 20, 1, &[("a1", 40.0, 38.0)]));
     look(&mut evidence, 100, "many dropped");
     look(&mut evidence, 200, "the same");
-    evidence.told(at(300), 2, &told(1, 20, 1, &[("a2", 90.0, 90.0)]));
+    evidence.receive_report(at(300), 2, &told(1, 20, 1, &[("a2", 90.0, 90.0)]));
     look(&mut evidence, 300, "an old word");
-    evidence.saw(at(400), "a1", 40.0, 1.0);
+    evidence.record_tries(at(400), "a1", 40.0, 1.0);
     look(&mut evidence, 400, "our own proxies find it good");
-    evidence.told(at(500), 3, &told(1, 20, 16, &[("b1", 60.0, 60.0), ("b2", 60.0, 60.0)]));
-    evidence.saw(at(500), "b9", 40.0, 0.0);
+    evidence.receive_report(at(500), 3, &told(1, 20, 16, &[("b1", 60.0, 60.0), ("b2", 60.0, 60.0)]));
+    evidence.record_tries(at(500), "b9", 40.0, 0.0);
     look(&mut evidence, 500, "one that finds nearly all bad");
-    evidence.told(at(600), 2, &told(3, 20, 2, &[("b1", 60.0, 60.0), ("unknown", 90.0, 90.0)]));
+    evidence.receive_report(at(600), 2, &told(3, 20, 2, &[("b1", 60.0, 60.0), ("unknown", 90.0, 90.0)]));
     look(&mut evidence, 600, "and another finds one of them bad");
     look(&mut evidence, 20_600, "nothing more is said");
     insta::assert_snapshot!(trace);
@@ -60,13 +67,13 @@
     let mut evidence = Evidence::new(1);
     let names: Vec<String> = (0..5_000).map(|n| format!("a{n}")).collect();
     let seen: Vec<(&str, f64, f64)> = names.iter().map(|name| (name.as_str(), 100.0, 90.0)).collect();
-    assert!(evidence.told(at(0), 2, &told(1, 10_000, 3_000, &seen)));
-    let says = evidence.look(at(0), zone, &[("a".to_string(), 5_000.0)].into());
-    assert!(says.ask.len() <= pewtergap_evidence::MOST_ASKED);
-    assert!(says.lighter.len() <= pewtergap_evidence::MOST_SEEN);
+    assert!(evidence.receive_report(at(0), 2, &told(1, 10_000, 3_000, &seen)));
+    let says = evidence.evaluate(at(0), zone, &[("a".to_string(), 5_000.0)].into());
+    assert!(says.probe.len() <= pewtergap_evidence::MAX_PROBES);
+    assert!(says.weight_reductions.len() <= pewtergap_evidence::MAX_OBSERVATIONS);
     // What proxies here meet is told on, no more of it than fits.
-    names.iter().for_each(|name| evidence.saw(at(0), name, 100.0, 90.0));
-    assert_eq!(evidence.tell(at(0)).seen.len(), pewtergap_evidence::MOST_SEEN);
+    names.iter().for_each(|name| evidence.record_tries(at(0), name, 100.0, 90.0));
+    assert_eq!(evidence.make_report(at(0)).observations.len(), pewtergap_evidence::MAX_OBSERVATIONS);
 }
 
 proptest! {
@@ -85,13 +92,13 @@
             let names: Vec<String> = seen.iter().map(|s| format!("{}{}", ["a", "b"][s.0 % 2], s.0)).collect();
             let seen: Vec<(&str, f64, f64)> =
                 seen.iter().zip(&names).map(|(s, name)| (name.as_str(), s.1, s.2)).collect();
-            evidence.told(at(step as u64 * 50), from, &told(number, tried, bad, &seen));
-            evidence.look(at(step as u64 * 50), zone, &zones());
+            evidence.receive_report(at(step as u64 * 50), from, &told(number, tried, bad, &seen));
+            evidence.evaluate(at(step as u64 * 50), zone, &zones());
             for zone in ["a", "b"] {
-                let taken: f64 = evidence.light().iter().filter(|l| l.0.starts_with(zone)).map(|l| l.1).sum();
-                prop_assert!(taken <= OF_A_ZONE * 10.0 + 1e-6, "{}", taken);
+                let taken: f64 = evidence.weight_reductions().iter().filter(|l| l.0.starts_with(zone)).map(|l| l.1).sum();
+                prop_assert!(taken <= MAX_ZONE_REDUCTION * 10.0 + 1e-6, "{}", taken);
             }
-            prop_assert!(evidence.light().values().all(|part| *part <= LIGHTER));
+            prop_assert!(evidence.weight_reductions().values().all(|part| *part <= MAX_SERVER_REDUCTION));
         }
     }
 }
--- a/crates/gossip/tests/delivery.rs
+++ b/crates/gossip/tests/delivery.rs
@@ -1,7 +1,7 @@
 //! Many members in one process under seeded delivery: loss, delay, cuts, pauses. Who is lost is found by all, who lives is not
 //! held for lost for long; and news in any order, repeated, come to the same.
 
-use pewtergap_gossip::{Gossip, Id, Message, News, Pace, Say, State};
+use pewtergap_gossip::{Gossip, GossipConfig, Id, MemberState, Message, MessageKind, Update};
 use pewtergap_time::{Moment, Span};
 use proptest::prelude::*;
 use std::cmp::Reverse;
@@ -21,7 +21,7 @@
     ways: BinaryHeap<Reverse<(Moment, u64, Id, Id)>>,
     messages: BTreeMap<u64, Message>,
     sent: u64,
-    before: BTreeMap<(Id, Id), State>,
+    before: BTreeMap<(Id, Id), MemberState>,
     /// How often somebody that lives was newly held for gone.
     wrong: usize,
     longest_news: usize,
@@ -29,8 +29,9 @@
 
 fn world(count: u64, loss: f64, seed: u64) -> World {
     let gossip = |id: Id| {
-        let mut gossip = Gossip::new(Moment(0), id, 1, Pace::of(PERIOD), seed * 1_000 + id);
-        gossip.know(Moment(0), 1..=count);
+        let mut gossip =
+            Gossip::new(Moment(0), id, 1, GossipConfig::with_probe_interval(PERIOD), seed * 1_000 + id);
+        gossip.set_members(Moment(0), 1..=count);
         (id, gossip)
     };
     World {
@@ -53,9 +54,9 @@
 impl World {
     fn post(&mut self, from: Id) {
         let Some(gossip) = self.all.get_mut(&from) else { return };
-        for (to, message) in gossip.take() {
-            if !matches!(message.say, Say::Whole(_)) {
-                self.longest_news = self.longest_news.max(message.news.len());
+        for (to, message) in gossip.take_messages() {
+            if !matches!(message.kind, MessageKind::FullSync(_)) {
+                self.longest_news = self.longest_news.max(message.updates.len());
             }
             if self.rng.f64() < self.loss || (self.cut)(from, to) {
                 continue;
@@ -83,7 +84,7 @@
                     continue;
                 }
                 if let Some(gossip) = self.all.get_mut(&to) {
-                    gossip.hear(self.now, from, &message);
+                    gossip.receive(self.now, from, &message);
                 }
                 self.post(to);
             }
@@ -103,7 +104,7 @@
             let now_believed = self.beliefs();
             for (pair, state) in &now_believed {
                 let lives = !self.dead.contains(&pair.1) && !self.dead.contains(&pair.0);
-                if lives && *state == State::Gone && self.before.get(pair) != Some(&State::Gone) {
+                if lives && *state == MemberState::Gone && self.before.get(pair) != Some(&MemberState::Gone) {
                     self.wrong += 1;
                 }
             }
@@ -111,17 +112,17 @@
         }
     }
 
-    fn beliefs(&self) -> BTreeMap<(Id, Id), State> {
+    fn beliefs(&self) -> BTreeMap<(Id, Id), MemberState> {
         let ids: Vec<Id> = self.all.keys().copied().collect();
-        let of = |by: &Id, whom: &Id| self.all[by].of(self.now, *whom).map(|known| known.0);
+        let of = |by: &Id, whom: &Id| self.all[by].status(self.now, *whom).map(|known| known.0);
         let pairs = ids.iter().flat_map(|by| ids.iter().map(move |whom| (*by, *whom)));
         pairs.filter_map(|(by, whom)| Some(((by, whom), of(&by, &whom)?))).collect()
     }
 
     /// How many of the living hold this one for that.
-    fn hold(&self, whom: Id, state: State) -> usize {
+    fn hold(&self, whom: Id, state: MemberState) -> usize {
         let living = self.all.keys().filter(|id| !self.dead.contains(id) && **id != whom);
-        living.filter(|by| self.all[by].of(self.now, whom).is_some_and(|known| known.0 == state)).count()
+        living.filter(|by| self.all[by].status(self.now, whom).is_some_and(|known| known.0 == state)).count()
     }
 }
 
@@ -133,9 +134,9 @@
         assert_eq!(world.wrong, 0, "{count} members, loss {loss}");
         world.dead.push(2);
         world.run(Span::millis(30_000));
-        assert_eq!(world.hold(2, State::Gone) as u64, count - 1, "{count} members, loss {loss}");
+        assert_eq!(world.hold(2, MemberState::Gone) as u64, count - 1, "{count} members, loss {loss}");
         assert_eq!(world.wrong, 0, "{count} members, loss {loss}");
-        assert!(world.longest_news <= pewtergap_gossip::MOST_NEWS + 1);
+        assert!(world.longest_news <= pewtergap_gossip::MAX_UPDATES + 1);
     }
 }
 
@@ -146,12 +147,12 @@
     // Stopped for ten seconds; it wakes without knowing.
     world.paused.insert(4, world.now + Span::millis(10_000));
     world.run(Span::millis(9_000));
-    assert_eq!(world.hold(4, State::Gone), 6);
+    assert_eq!(world.hold(4, MemberState::Gone), 6);
     world.run(Span::millis(8_000));
-    assert_eq!(world.hold(4, State::Alive), 6);
+    assert_eq!(world.hold(4, MemberState::Alive), 6);
     assert!(world.all[&4].incarnation() > 1);
     // And in its turn it takes nobody else for lost by what it missed.
-    assert!((1..=7).all(|id| world.hold(id, State::Gone) == 0));
+    assert!((1..=7).all(|id| world.hold(id, MemberState::Gone) == 0));
 }
 
 #[test]
@@ -160,11 +161,11 @@
     world.run(Span::millis(2_000));
     world.cut = |from, to| (from <= 3) != (to <= 3);
     world.run(Span::millis(20_000));
-    assert!((1..=3)
-        .all(|by| (4..=7).all(|whom| world.all[&by].of(world.now, whom).map(|k| k.0) == Some(State::Gone))));
+    assert!((1..=3).all(|by| (4..=7)
+        .all(|whom| world.all[&by].status(world.now, whom).map(|k| k.0) == Some(MemberState::Gone))));
     world.cut = |_, _| false;
     world.run(Span::millis(20_000));
-    assert!((1..=7).all(|id| world.hold(id, State::Alive) == 6), "{:?}", world.beliefs());
+    assert!((1..=7).all(|id| world.hold(id, MemberState::Alive) == 6), "{:?}", world.beliefs());
 }
 
 #[test]
@@ -174,7 +175,7 @@
     world.cut = |from, to| (from, to) == (1, 2);
     world.run(Span::millis(30_000));
     assert_eq!(world.wrong, 0);
-    assert!(world.all[&2].of(world.now, 1).is_some_and(|known| known.0 == State::Alive));
+    assert!(world.all[&2].status(world.now, 1).is_some_and(|known| known.0 == MemberState::Alive));
 }
 
 #[test]
@@ -186,19 +187,27 @@
         // It gets a turn now and then, and finds answers that came meanwhile.
         world.paused.insert(3, world.now + Span::millis(900));
         world.run(Span::millis(920));
-        slowest = slowest.max(world.all[&3].slow());
+        slowest = slowest.max(world.all[&3].health_score());
         world.run(Span::millis(80));
     }
     assert!(slowest > 0);
-    let accused =
-        world.beliefs().into_iter().filter(|((by, _), state)| *by == 3 && *state == State::Gone).count();
+    let accused = world
+        .beliefs()
+        .into_iter()
+        .filter(|((by, _), state)| *by == 3 && *state == MemberState::Gone)
+        .count();
     assert_eq!(accused, 0);
 }
 
-fn news() -> impl Strategy<Value = Vec<News>> {
-    let state = prop::sample::select(vec![State::Alive, State::Suspect, State::Gone]);
+fn news() -> impl Strategy<Value = Vec<Update>> {
+    let state = prop::sample::select(vec![MemberState::Alive, MemberState::Suspect, MemberState::Gone]);
     let one = (2u64..6, 0u64..5, state, 2u64..6);
-    let one = one.prop_map(|(subject, incarnation, state, by)| News { subject, incarnation, state, by });
+    let one = one.prop_map(|(subject, incarnation, state, by)| Update {
+        member: subject,
+        incarnation,
+        state,
+        reported_by: by,
+    });
     prop::collection::vec(one, 0..40)
 }
 
@@ -207,13 +216,13 @@
 
     #[test]
     fn news_in_any_order_and_repeated_come_to_the_same(news in news(), seed in any::<u64>()) {
-        let after = |news: &[News]| {
-            let mut gossip = Gossip::new(Moment(0), 1, 1, Pace::of(PERIOD), 1);
-            gossip.know(Moment(0), 1..=6);
+        let after = |news: &[Update]| {
+            let mut gossip = Gossip::new(Moment(0), 1, 1, GossipConfig::with_probe_interval(PERIOD), 1);
+            gossip.set_members(Moment(0), 1..=6);
             for one in news {
-                gossip.hear(Moment(0), 6, &Message { say: Say::Ack(0), news: vec![*one] });
+                gossip.receive(Moment(0), 6, &Message { kind: MessageKind::Ack(0), updates: vec![*one] });
             }
-            (2..=5).map(|id| gossip.of(Moment(0), id).map(|known| known.0)).collect::<Vec<_>>()
+            (2..=5).map(|id| gossip.status(Moment(0), id).map(|known| known.0)).collect::<Vec<_>>()
         };
         let mut other = [news.clone(), news.clone()].concat();
         fastrand::Rng::with_seed(seed).shuffle(&mut other);
--- a/crates/lab/src/audit.rs
+++ b/crates/lab/src/audit.rs
@@ -3,7 +3,7 @@
 //! joined.
 
 use crate::record::{Kind, Row};
-use pewtergap_evidence::LIGHTER;
+use pewtergap_evidence::MAX_SERVER_REDUCTION;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::fmt;
@@ -339,7 +339,7 @@
                 let begin = *since.entry((row.from.clone(), server.clone())).or_insert(row.at);
                 let lasts = (row.m - begin) as f64 / 1e9;
                 self.audit.looked.longest_lightened_s = self.audit.looked.longest_lightened_s.max(lasts);
-                if part.as_f64().is_none_or(|part| part > LIGHTER) {
+                if part.as_f64().is_none_or(|part| part > MAX_SERVER_REDUCTION) {
                     let what = format!("by hearsay alone it weighs less by {part} of its weight");
                     self.breach(6, row.at, format!("planner {}, server {server}", row.from), what);
                 }
--- a/crates/lab/src/cluster/mod.rs
+++ b/crates/lab/src/cluster/mod.rs
@@ -316,7 +316,7 @@
     }
     let Some(last) = said.iter().rev().find(|one| one.units > 0).cloned() else { return };
     let other = said.iter().rev().find(|one| one.disk != last.disk).map(|one| one.disk.clone());
-    let units = pewtergap_shares::WHOLE - last.units + 1;
+    let units = pewtergap_shares::TOTAL_UNITS - last.units + 1;
     said.extend(other.map(|disk| shares::Said { disk, units, ..last }));
 }
 
--- a/crates/lab/src/cluster/receiver.rs
+++ b/crates/lab/src/cluster/receiver.rs
@@ -61,7 +61,7 @@
     fn take(&mut self, now: Moment, conn: Conn) -> u16 {
         let period = conn.target.trim_start_matches("/books/").parse().unwrap_or(0);
         let body = String::from_utf8_lossy(&conn.body).into_owned();
-        let became = match self.fence.pass("books", conn.number) {
+        let became = match self.fence.check("books", conn.number) {
             Err(_) => Became::Fenced,
             Ok(()) if self.taken.contains_key(&period) => Became::Repeat,
             Ok(()) => Became::Taken,
--- a/crates/lab/src/cluster/shares.rs
+++ b/crates/lab/src/cluster/shares.rs
@@ -8,7 +8,7 @@
 use super::{name, record_file, Director, Shared, CEILING};
 use crate::ask::Client;
 use pewtergap_reactor::Clock;
-use pewtergap_shares::WHOLE;
+use pewtergap_shares::TOTAL_UNITS;
 use pewtergap_time::{Moment, Span};
 use rustix::process::Signal;
 use serde_json::Value;
@@ -25,8 +25,8 @@
 /// Between two questions.
 const LOOK: Duration = Duration::from_millis(15);
 /// So much of the whole is in use once things have settled; and with one of three gone, whose base waits for it.
-const SETTLED: u64 = WHOLE * 95 / 100;
-const ONE_GONE: u64 = WHOLE * 80 / 100;
+const SETTLED: u64 = TOTAL_UNITS * 95 / 100;
+const ONE_GONE: u64 = TOTAL_UNITS * 80 / 100;
 
 pub fn lingers() -> Span {
     COLD_FOR + GRACE
@@ -102,14 +102,17 @@
         *counts.entry(one.units).or_default() += 1;
         let most = |counts: &BTreeMap<u64, usize>| counts.keys().next_back().copied().unwrap_or(0);
         let sum: u64 = open.values().map(most).sum();
-        if sum > WHOLE {
+        if sum > TOTAL_UNITS {
             let held: Vec<String> = open
                 .iter()
                 .filter(|o| !o.1.is_empty())
                 .map(|(disk, counts)| format!("{disk} {}", most(counts)))
                 .collect();
-            let what =
-                format!("{sum} of {WHOLE} could be used at {}: {}", moment.0 / 1_000_000, held.join(", "));
+            let what = format!(
+                "{sum} of {TOTAL_UNITS} could be used at {}: {}",
+                moment.0 / 1_000_000,
+                held.join(", ")
+            );
             return vec![Breach { rule: "shares", what }];
         }
     }
@@ -142,7 +145,7 @@
             self.wait_up(2)?;
             self.wait_all_fresh()?;
         }
-        self.until_shared("two of three that share", WHOLE * 80 / 100)?;
+        self.until_shared("two of three that share", TOTAL_UNITS * 80 / 100)?;
         self.shares_nothing = None;
         self.end(2, Signal::TERM);
         self.start(2)?;
--- a/crates/lab/src/explore.rs
+++ b/crates/lab/src/explore.rs
@@ -5,13 +5,13 @@
 //! budget, and what lingers of what they used, is no more than the whole. Checked at the end, by the audit of cluster days: each key's orders and fresh reads fit one order, and no number is given twice.
 
 use crate::cluster::judge::{judge, Breach, Done, Op};
-use pewtergap_agree::Times;
-use pewtergap_duty::Lease;
+use pewtergap_agree::RaftConfig;
+use pewtergap_duty::LeaseConfig;
 use pewtergap_member::words::FORMATS;
 use pewtergap_member::{Duties, Member, Post, Reply, Request, Shares, Told};
 use pewtergap_node::{Effect, Input, Node, Outbox};
-use pewtergap_record::{Command, Order, Subject, Weight, What, Wish};
-use pewtergap_shares::{Terms, WHOLE};
+use pewtergap_record::{Command, CommandKind, Order, OrderAction, Subject, Weight};
+use pewtergap_shares::{BudgetConfig, TOTAL_UNITS};
 use pewtergap_time::{Moment, Span};
 use pewtergap_virtual::{Logged, Nature, Place, World};
 use serde::Serialize;
@@ -25,8 +25,12 @@
 const DUTIES: usize = 5;
 const OPERATORS: usize = 4;
 const GONE: u64 = 1 << 50;
-const LEASE: Lease =
-    Lease { length: Span::millis(1_000), renew: Span::millis(200), pause: Span::millis(250), drift: 0.02 };
+const LEASE: LeaseConfig = LeaseConfig {
+    duration: Span::millis(1_000),
+    renew_interval: Span::millis(200),
+    max_pause: Span::millis(250),
+    max_clock_drift: 0.02,
+};
 
 const LINGERS: Span = Span::millis(500);
 
@@ -95,10 +99,15 @@
                     [token] => member.ask(now, *token, Request::Fresh, out),
                     [token, id, key, value, given] => {
                         let weight = Weight { server: format!("s{key}"), weight: *value as f64 };
-                        let wish = Some(Wish::Weight(weight));
-                        let order = Order { who: "x".into(), why: "y".into(), wish, ..Order::default() };
-                        let what = Some(What::Order(order));
-                        let command = Command { id: *id, given: *given, what };
+                        let wish = Some(OrderAction::SetWeight(weight));
+                        let order = Order {
+                            issued_by: "x".into(),
+                            reason: "y".into(),
+                            action: wish,
+                            ..Order::default()
+                        };
+                        let what = Some(CommandKind::Order(order));
+                        let command = Command { id: *id, issued_at_ms: *given, kind: what };
                         member.ask(now, *token, Request::Command(command), out);
                     }
                     _ => {}
@@ -115,7 +124,8 @@
         for told in std::mem::take(&mut member.told) {
             let Told::Reply { token, reply } = told else { continue };
             let weights = member.record.orders().filter_map(|(subject, kept)| {
-                let (Subject::Weight(at), Some(Wish::Weight(weight))) = (subject, &kept.order.as_ref()?.wish)
+                let (Subject::Weight(at), Some(OrderAction::SetWeight(weight))) =
+                    (subject, &kept.order.as_ref()?.action)
                 else {
                     return None;
                 };
@@ -164,7 +174,11 @@
 
 impl Search {
     fn new(seed: u64, planted: Option<Planted>) -> Search {
-        let drift = if planted == Some(Planted::WildClocks) { 10.0 * LEASE.drift } else { LEASE.drift };
+        let drift = if planted == Some(Planted::WildClocks) {
+            10.0 * LEASE.max_clock_drift
+        } else {
+            LEASE.max_clock_drift
+        };
         let lies = planted == Some(Planted::LyingDisks);
         let mut world = World::new(seed, BEGIN, Nature { drift, lies, ..Nature::default() });
         let count = if world.rng.u8(0..4) == 0 { 5 } else { 3 };
@@ -215,7 +229,12 @@
     fn shares(&self) -> Shares {
         let lingers = if self.planted == Some(Planted::FreedAtOnce) { Span(0) } else { LINGERS };
         let (holds, planners) = (Span::millis(700), self.places.len() as u64);
-        let terms = Terms { holds, lingers, drift: LEASE.drift, planners };
+        let terms = BudgetConfig {
+            share_validity: holds,
+            effect_timeout: lingers,
+            max_clock_drift: LEASE.max_clock_drift,
+            planner_count: planners,
+        };
         Shares {
             every: Span::millis(100),
             fresh: Span::millis(1_000),
@@ -245,7 +264,7 @@
             if self.world.runs(self.places[at]) && !self.paused[at] {
                 let member = hold(&self.members[at]);
                 let share = member.cold_share(self.world.clock(self.places[at]));
-                used.insert(member.id(), (share.unwrap_or(0.0) * WHOLE as f64).round() as u64);
+                used.insert(member.id(), (share.unwrap_or(0.0) * TOTAL_UNITS as f64).round() as u64);
             }
         }
         self.lingers.retain(|past| past.0 > now);
@@ -262,11 +281,11 @@
             past.unwrap_or(0).max(self.used.get(id).copied().unwrap_or(0))
         };
         let sum: u64 = ids.iter().map(most).sum();
-        self.used_sum += sum as f64 / WHOLE as f64;
-        self.came.most_used = self.came.most_used.max(sum as f64 / WHOLE as f64);
-        if sum > WHOLE && self.came.broken.len() < 10 {
+        self.used_sum += sum as f64 / TOTAL_UNITS as f64;
+        self.came.most_used = self.came.most_used.max(sum as f64 / TOTAL_UNITS as f64);
+        if sum > TOTAL_UNITS && self.came.broken.len() < 10 {
             let held: Vec<(u64, u64)> = ids.iter().map(|id| (*id, most(id))).collect();
-            let what = format!("{sum} of {WHOLE}: {held:?}");
+            let what = format!("{sum} of {TOTAL_UNITS}: {held:?}");
             self.came.broken.push((
                 "more than the whole".into(),
                 self.world.steps,
@@ -284,7 +303,7 @@
             listen: Some(address(at)),
             members: all,
             from: None,
-            times: Times { beat: Span::millis(50), election: Span::millis(300) },
+            times: RaftConfig { heartbeat_interval: Span::millis(50), election_timeout: Span::millis(300) },
             patience: Span::millis(2_000),
             seed: self.world.rng.u64(..),
             format: FORMATS.1,
@@ -438,7 +457,7 @@
             let member = hold(&self.members[*at]);
             member.agree().is_some_and(|agree| {
                 let list = &agree.members().list;
-                list.len() == self.places.len() && list.iter().all(|m| m.votes) && agree.leader().is_some()
+                list.len() == self.places.len() && list.iter().all(|m| m.is_voter) && agree.leader().is_some()
             })
         };
         (0..self.places.len()).all(|at| self.world.runs(self.places[at]) && !self.paused[at] && fine(&at))
--- a/crates/lab/src/sharing.rs
+++ b/crates/lab/src/sharing.rs
@@ -6,9 +6,9 @@
 use crate::days;
 use crate::record::{Kind, Row};
 use crate::rehearse::{play, Play};
-use pewtergap_counts::{Others, Own};
+use pewtergap_counts::{LocalCounts, PeerCounts};
 use pewtergap_evidence::Evidence;
-use pewtergap_gossip::{Gossip, Message, Pace, State};
+use pewtergap_gossip::{Gossip, GossipConfig, MemberState, Message};
 use pewtergap_member::shared::{Counts, CountsAsk, EvidenceTold, Gossiped};
 use pewtergap_protocol::encode;
 use pewtergap_time::{Moment, Span};
@@ -36,12 +36,13 @@
 pub fn cost(planners: u64, servers: usize, seconds: u64, seed: u64) -> Cost {
     let mut rng = fastrand::Rng::with_seed(seed);
     let names: Vec<String> = (0..servers).map(|at| format!("10.0.{}.{}:8080", at / 250, at % 250)).collect();
-    let mut own: Vec<Own> = (0..planners).map(|_| Own::new(1)).collect();
-    let mut others: Vec<Others> = (0..planners).map(|_| Others::default()).collect();
+    let mut own: Vec<LocalCounts> = (0..planners).map(|_| LocalCounts::new(1)).collect();
+    let mut others: Vec<PeerCounts> = (0..planners).map(|_| PeerCounts::default()).collect();
     let mut evidence: Vec<Evidence> = (0..planners).map(|_| Evidence::new(1)).collect();
-    let mut gossip: Vec<Gossip> =
-        (0..planners).map(|id| Gossip::new(Moment(0), id + 1, 1, Pace::of(EVERY), seed + id)).collect();
-    gossip.iter_mut().for_each(|gossip| gossip.know(Moment(0), 1..=planners));
+    let mut gossip: Vec<Gossip> = (0..planners)
+        .map(|id| Gossip::new(Moment(0), id + 1, 1, GossipConfig::with_probe_interval(EVERY), seed + id))
+        .collect();
+    gossip.iter_mut().for_each(|gossip| gossip.set_members(Moment(0), 1..=planners));
     let (mut bytes, mut now) = (0, Moment(1));
     let (mut made, mut rounds) = (std::time::Duration::ZERO, 0);
     while now < Moment(1) + Span::millis(1_000 * seconds) {
@@ -56,19 +57,19 @@
             for (server, name) in names.iter().enumerate() {
                 own[at].set(&format!("work/{name}"), loads[at * servers + server]);
                 let (tries, dropped) = met[at * servers + server];
-                evidence[at].saw(now, name, tries, dropped);
+                evidence[at].record_tries(now, name, tries, dropped);
             }
-            let told = evidence[at].tell(now);
+            let told = evidence[at].make_report(now);
             let length = encode(&EvidenceTold::of(told.clone())).len() + HEAD;
             for to in (0..planners as usize).filter(|to| *to != at) {
-                let Some(ask) = others[at].ask(now, to as u64) else { continue };
+                let Some(ask) = others[at].request_report(now, to as u64) else { continue };
                 bytes += encode(&CountsAsk::of(ask)).len() + HEAD;
-                if let Some(part) = own[to].part(at as u64, ask) {
+                if let Some(part) = own[to].make_report(at as u64, ask) {
                     bytes += encode(&Counts::of(part.clone())).len() + HEAD;
-                    others[at].told(now, to as u64, &part);
+                    others[at].receive(now, to as u64, &part);
                 }
                 bytes += length;
-                evidence[to].told(now, at as u64, &told);
+                evidence[to].receive_report(now, at as u64, &told);
             }
         }
         // Gossip looks more often than once a period.
@@ -79,14 +80,16 @@
             }
             loop {
                 for (at, gossip) in gossip.iter_mut().enumerate() {
-                    ways.extend(gossip.take().into_iter().map(|(to, message)| (at as u64 + 1, to, message)));
+                    ways.extend(
+                        gossip.take_messages().into_iter().map(|(to, message)| (at as u64 + 1, to, message)),
+                    );
                 }
                 if ways.is_empty() {
                     break;
                 }
                 for (from, to, message) in std::mem::take(&mut ways) {
                     bytes += encode(&Gossiped::of(&message)).len() + HEAD;
-                    gossip[to as usize - 1].hear(now, from, &message);
+                    gossip[to as usize - 1].receive(now, from, &message);
                 }
             }
         }
@@ -125,8 +128,9 @@
     for round in 0..rounds {
         let mut rng = fastrand::Rng::with_seed(round * 7 + planners);
         let one = |id: u64| {
-            let mut gossip = Gossip::new(Moment(0), id, 1, Pace::of(EVERY), round * 1_000 + id);
-            gossip.know(Moment(0), 1..=planners);
+            let mut gossip =
+                Gossip::new(Moment(0), id, 1, GossipConfig::with_probe_interval(EVERY), round * 1_000 + id);
+            gossip.set_members(Moment(0), 1..=planners);
             (id, gossip)
         };
         let mut members: BTreeMap<u64, Gossip> = (1..=planners).map(one).collect();
@@ -143,14 +147,14 @@
                 let Some(Reverse((_, number, from, to))) = ways.pop() else { break };
                 let Some(message) = messages.remove(&number) else { continue };
                 if let Some(gossip) = members.get_mut(&to).filter(|_| to != 1 || now < lost_at) {
-                    gossip.hear(now, from, &message);
+                    gossip.receive(now, from, &message);
                     turn.push(to);
                 }
             }
             for id in turn {
                 let Some(gossip) = members.get_mut(&id) else { continue };
                 gossip.tick(now);
-                for (to, message) in gossip.take() {
+                for (to, message) in gossip.take_messages() {
                     if rng.f64() >= loss {
                         sent += 1;
                         ways.push(Reverse((now + Span::millis(rng.u64(1..20)), sent, id, to)));
@@ -161,7 +165,7 @@
             let mut gone = 0;
             for (by, gossip) in members.iter().filter(|member| *member.0 != 1) {
                 for whom in (1..=planners).filter(|whom| whom != by) {
-                    let is = gossip.of(now, whom).is_some_and(|known| known.0 == State::Gone);
+                    let is = gossip.status(now, whom).is_some_and(|known| known.0 == MemberState::Gone);
                     let was = std::mem::replace(held.entry((*by, whom)).or_default(), is);
                     let lives = whom != 1 || now < lost_at;
                     wrong += usize::from(is && !was && lives);
--- a/crates/member/src/admin.rs
+++ b/crates/member/src/admin.rs
@@ -3,7 +3,9 @@
 
 use crate::member::{Member, Reply, SeatView};
 use crate::words::Change;
-use pewtergap_record::{Cap, Clean, Command, Drain, Hand, Order, Record, Standing, Weight, What, Wish};
+use pewtergap_record::{
+    ActiveOrder, Cap, Cleanup, Command, CommandKind, Drain, Order, OrderAction, PinDuty, Record, Weight,
+};
 use pewtergap_time::{Moment, Span};
 use serde::Deserialize;
 use serde_json::{json, Value};
@@ -67,8 +69,8 @@
 
 impl Handed {
     fn command(self) -> Result<Command, String> {
-        let hand = Hand { duty: self.duty, to: self.to, who: self.who, why: self.why };
-        Ok(Command { id: id_of(&self.id)?, given: self.given, what: Some(What::Hand(hand)) })
+        let hand = PinDuty { duty: self.duty, planner: self.to, issued_by: self.who, reason: self.why };
+        Ok(Command { id: id_of(&self.id)?, issued_at_ms: self.given, kind: Some(CommandKind::PinDuty(hand)) })
     }
 }
 
@@ -79,20 +81,20 @@
 impl Given {
     fn command(self) -> Result<Command, String> {
         let id = id_of(&self.id)?;
-        let nothing = Clean::default();
+        let nothing = Cleanup::default();
         let wish = match self.order.as_str() {
-            "drain" => Wish::Drain(self.server),
-            "take-back" => Wish::TakeBack(self.server),
-            "weight" => Wish::Weight(Weight { server: self.server, weight: self.weight }),
-            "free-weight" => Wish::FreeWeight(self.server),
-            "cap" => Wish::Cap(Cap { route: self.route, level: self.level }),
-            "uncap" => Wish::Uncap(self.route),
-            "drain-zone" => Wish::DrainZone(self.zone),
-            "take-back-zone" => Wish::TakeBackZone(self.zone),
-            "hold-duties" => Wish::HoldDuties(nothing),
-            "let-duties" => Wish::LetDuties(nothing),
-            "hold-releases" => Wish::HoldReleases(nothing),
-            "let-releases" => Wish::LetReleases(nothing),
+            "drain" => OrderAction::Drain(self.server),
+            "take-back" => OrderAction::Undrain(self.server),
+            "weight" => OrderAction::SetWeight(Weight { server: self.server, weight: self.weight }),
+            "free-weight" => OrderAction::ClearWeight(self.server),
+            "cap" => OrderAction::SetCap(Cap { route: self.route, level: self.level }),
+            "uncap" => OrderAction::ClearCap(self.route),
+            "drain-zone" => OrderAction::DrainZone(self.zone),
+            "take-back-zone" => OrderAction::UndrainZone(self.zone),
+            "hold-duties" => OrderAction::HoldDuties(nothing),
+            "let-duties" => OrderAction::ResumeDuties(nothing),
+            "hold-releases" => OrderAction::HoldReleases(nothing),
+            "let-releases" => OrderAction::ResumeReleases(nothing),
             other => return Err(format!("order: '{other}' is none")),
         };
         let (steps, pause) = (self.steps, self.pause_ms);
@@ -100,8 +102,16 @@
         if by_proxies && steps == 0 {
             return Err("by_proxies: steps are missing".into());
         }
-        let order = Order { who, why, until, wish: Some(wish), steps, pause, by_proxies };
-        Ok(Command { id, given: self.given, what: Some(What::Order(order)) })
+        let order = Order {
+            issued_by: who,
+            reason: why,
+            expires_at_ms: until,
+            action: Some(wish),
+            steps,
+            step_pause_ms: pause,
+            by_proxies,
+        };
+        Ok(Command { id, issued_at_ms: self.given, kind: Some(CommandKind::Order(order)) })
     }
 }
 
@@ -138,28 +148,27 @@
 }
 
 /// Orders in force; `here`: which part of each is carried out where it is looked at.
-pub fn orders_view(record: &Record, here: impl Fn(&Standing) -> f64) -> Vec<Value> {
+pub fn orders_view(record: &Record, here: impl Fn(&ActiveOrder) -> f64) -> Vec<Value> {
     let orders = record.orders().filter_map(|(_, kept)| {
         let order = kept.order.as_ref()?;
-        let words = order.wish.as_ref()?.words();
-        Some(json!({ "number": kept.number, "order": words, "who": order.who, "why": order.why,
-            "until": order.until, "given": kept.given, "steps": order.steps, "reached": kept.reached,
-            "back": kept.back, "here": here(kept) }))
+        let words = order.action.as_ref()?.describe();
+        Some(json!({ "number": kept.index, "order": words, "who": order.issued_by, "why": order.reason,
+            "until": order.expires_at_ms, "given": kept.issued_at_ms, "steps": order.steps, "reached": kept.progress,
+            "back": kept.revert_reason, "here": here(kept) }))
     });
     orders.collect()
 }
 
 pub fn drains_view(record: &Record) -> Vec<Value> {
-    let view =
-        |d: &Drain| json!({ "server": d.server, "started": d.started, "told": d.told, "grace": d.grace });
+    let view = |d: &Drain| json!({ "server": d.server, "started": d.started, "told": d.notified_at_ms, "grace": d.grace_ms });
     record.drains().map(view).collect()
 }
 
 /// What a member's record holds.
-pub fn record_view(member: &Member, fresh: bool, age: Span, here: impl Fn(&Standing) -> f64) -> Value {
+pub fn record_view(member: &Member, fresh: bool, age: Span, here: impl Fn(&ActiveOrder) -> f64) -> Value {
     let record = &member.record;
-    let (applied, term) = member.agree().map_or((0, 0), |agree| (agree.applied(), agree.term()));
+    let (applied, term) = member.agree().map_or((0, 0), |agree| (agree.applied_index(), agree.term()));
     json!({ "fresh": fresh, "age_ms": age.0 / 1_000_000, "index": applied, "term": term,
-        "format": record.format(), "number": record.number(), "orders": orders_view(record, here),
+        "format": record.format(), "number": record.last_start_number(), "orders": orders_view(record, here),
         "drains": drains_view(record), "start": member.start_of_disk(), "id": format!("{:016x}", member.id()) })
 }
--- a/crates/member/src/alone.rs
+++ b/crates/member/src/alone.rs
@@ -3,9 +3,9 @@
 use crate::disk;
 use crate::member::digest;
 use crate::words::{self, OnDisk, Seat};
-use pewtergap_agree::{Body, Row, Snapshot};
+use pewtergap_agree::{Body, Snapshot, WalRecord};
 use pewtergap_record::{Command, Record};
-use pewtergap_store::Pen;
+use pewtergap_store::WalWriter;
 use prost::Message;
 
 /// What goes on, and from where.
@@ -30,7 +30,7 @@
     let snapshot = log.snapshot.clone().unwrap_or_default();
     let mut record = match snapshot.data.is_empty() {
         true => Record::default(),
-        false => Record::read(&snapshot.data)?,
+        false => Record::decode_snapshot(&snapshot.data)?,
     };
     let (term, index) = log.last();
     for at in snapshot.index + 1..=index {
@@ -52,11 +52,11 @@
     identity.founders = vec![seat];
     identity.cluster = digest(&identity.founders);
     let seats = words::Seats { list: identity.founders.clone(), retired: Vec::new() };
-    let snapshot = Snapshot { index, term, members: words::members(seats), data: record.write() };
+    let snapshot = Snapshot { index, term, members: words::members(seats), data: record.encode_snapshot() };
     let mut rows = disk::head(&identity, &found.seen, found.number);
-    rows.push(words::on_disk(&Row::Snapshot(snapshot)));
-    rows.push(words::on_disk(&Row::Hard { term: log.term, vote: 0 }));
+    rows.push(words::on_disk(&WalRecord::Snapshot(snapshot)));
+    rows.push(words::on_disk(&WalRecord::HardState { term: log.term, vote: 0 }));
     let rows: Vec<Vec<u8>> = rows.into_iter().map(|row: OnDisk| words::write(row)).collect();
     let goes_on = GoesOn { index, term, orders: record.orders().count(), members };
-    Ok((Pen::default().anew(&rows), goes_on))
+    Ok((WalWriter::default().encode_new_file(&rows), goes_on))
 }
--- a/crates/member/src/books.rs
+++ b/crates/member/src/books.rs
@@ -13,7 +13,7 @@
 
 use pewtergap_http::{request, Bounds, First, Part, Reader, Side};
 use pewtergap_node::{Link, Outbox};
-use pewtergap_record::{Books as Kept, Close, Used, What};
+use pewtergap_record::{AccountingState as Kept, CallUsage, CommandKind, PeriodReport};
 use pewtergap_time::{Moment, Span};
 use std::net::{IpAddr, SocketAddr};
 
@@ -63,30 +63,31 @@
         now: Moment,
         number: u64,
         kept: Kept,
-        used: Vec<Used>,
+        used: Vec<CallUsage>,
         out: &mut Outbox,
-    ) -> Option<What> {
+    ) -> Option<CommandKind> {
         if self.sending.as_ref().is_some_and(|sending| now >= sending.until || sending.number != number) {
             self.give_up(now, out);
         }
         if self.sending.is_some() || now < self.rests_until {
             return None;
         }
-        if kept.arrived < kept.closed {
+        if kept.delivered_period < kept.closed_period {
             let link = out.connect(self.receiver.at, self.from);
             let reader = Reader::new(Side::Answers, BOUNDS);
             let until = now + ANSWER;
-            self.sending = Some(Sending { link, period: kept.closed, number, reader, status: 0, until });
+            self.sending =
+                Some(Sending { link, period: kept.closed_period, number, reader, status: 0, until });
             return None;
         }
         // Periods that nobody closed are not made up for: one extract says all that is in force.
         let over = now.0 / self.receiver.period.0.max(1);
-        if over <= kept.closed {
+        if over <= kept.closed_period {
             return None;
         }
         // Until the record has it.
         self.rests_until = now + CLOSES;
-        Some(What::Close(Close { period: over, number, used }))
+        Some(CommandKind::ClosePeriod(PeriodReport { period: over, fencing_token: number, usage: used }))
     }
 
     pub fn give_up(&mut self, now: Moment, out: &mut Outbox) {
@@ -101,7 +102,7 @@
     pub fn opened(&mut self, now: Moment, may: Option<u64>, kept: (Kept, &str), out: &mut Outbox) {
         let Some(sending) = &self.sending else { return };
         let (books, extract) = kept;
-        if may != Some(sending.number) || books.closed != sending.period {
+        if may != Some(sending.number) || books.closed_period != sending.period {
             return self.give_up(now, out);
         }
         let (host, number) = (self.receiver.at.to_string(), sending.number.to_string());
@@ -116,7 +117,7 @@
         self.sent += 1;
     }
 
-    pub fn bytes(&mut self, now: Moment, bytes: &[u8], out: &mut Outbox) -> Option<What> {
+    pub fn bytes(&mut self, now: Moment, bytes: &[u8], out: &mut Outbox) -> Option<CommandKind> {
         let sending = self.sending.as_mut()?;
         sending.reader.push(bytes);
         loop {
@@ -139,7 +140,11 @@
         self.give_up(now, out);
         if (200..300).contains(&status) {
             self.rests_until = now + CLOSES;
-            return Some(What::Arrived(Close { period, number, used: Vec::new() }));
+            return Some(CommandKind::PeriodDelivered(PeriodReport {
+                period,
+                fencing_token: number,
+                usage: Vec::new(),
+            }));
         }
         self.refused += 1;
         None
--- a/crates/member/src/disk.rs
+++ b/crates/member/src/disk.rs
@@ -1,9 +1,9 @@
 //! A member's file: what is found in it at a start, and where the next rows go.
 
 use crate::words::{self, Hello, OnDisk, Place};
-use pewtergap_agree::{Index, Log, Row};
+use pewtergap_agree::{Index, Log, WalRecord};
 use pewtergap_node::{Effect, Outbox};
-use pewtergap_store::{Fault, Pen};
+use pewtergap_store::{WalFault, WalWriter};
 use std::collections::{BTreeMap, VecDeque};
 
 /// What a file held.
@@ -20,17 +20,17 @@
 }
 
 /// Reads a file; an error is damage, or what no version of ours wrote.
-pub fn open(bytes: &[u8]) -> Result<Found, Fault> {
-    let file = pewtergap_store::read(bytes);
+pub fn open(bytes: &[u8]) -> Result<Found, WalFault> {
+    let file = pewtergap_store::read_wal(bytes);
     let torn = match file.fault {
-        Some(Fault::Torn { .. }) => file.fault.as_ref().map(Fault::to_string),
+        Some(WalFault::TornTail { .. }) => file.fault.as_ref().map(WalFault::to_string),
         Some(fault) => return Err(fault),
         None => None,
     };
-    let strange = |what: String| Fault::Strange { what };
-    let mut found = Found { whole: file.whole, torn, ..Found::default() };
-    let mut rows: Vec<Row> = Vec::new();
-    for (at, bytes) in file.rows.into_iter().enumerate() {
+    let strange = |what: String| WalFault::Unrecognized { reason: what };
+    let mut found = Found { whole: file.valid_len, torn, ..Found::default() };
+    let mut rows: Vec<WalRecord> = Vec::new();
+    for (at, bytes) in file.records.into_iter().enumerate() {
         let row = words::read(bytes).map_err(|e| strange(format!("row {at}: {e}")))?;
         match row {
             OnDisk::Identity(identity) => found.identity = Some(identity),
@@ -40,7 +40,7 @@
             other => rows.extend(words::row(other).map_err(|e| strange(format!("row {at}: {e}")))?),
         }
     }
-    found.log = Log::read(rows).map_err(strange)?;
+    found.log = Log::from_records(rows).map_err(strange)?;
     Ok(found)
 }
 
@@ -59,7 +59,7 @@
 /// Writes, in order, and what each was for.
 pub struct Disk {
     name: String,
-    pen: Pen,
+    pen: WalWriter,
     tickets: u64,
     waiting: VecDeque<(u64, u64, Kept)>,
     /// An error was told: nothing more is believed.
@@ -68,24 +68,24 @@
 
 impl Disk {
     pub fn new(name: String) -> Disk {
-        Disk { name, pen: Pen::default(), tickets: 0, waiting: VecDeque::new(), failed: false }
+        Disk { name, pen: WalWriter::default(), tickets: 0, waiting: VecDeque::new(), failed: false }
     }
 
     /// Goes on behind what is whole; what is still being written is of no concern any more.
     pub fn restart(&mut self, whole: u64) {
-        self.pen = Pen { at: whole, synced: whole };
+        self.pen = WalWriter { end: whole, synced_len: whole };
         self.waiting.clear();
     }
 
     fn note(&mut self, what: Kept) -> u64 {
         self.tickets += 1;
-        self.waiting.push_back((self.tickets, self.pen.at, what));
+        self.waiting.push_back((self.tickets, self.pen.end, what));
         self.tickets
     }
 
     pub fn add(&mut self, rows: Vec<OnDisk>, what: Kept, out: &mut Outbox) {
         let rows: Vec<Vec<u8>> = rows.into_iter().map(words::write).collect();
-        let (at, bytes) = self.pen.add(&rows);
+        let (at, bytes) = self.pen.encode_append(&rows);
         let ticket = self.note(what);
         out.push(Effect::Append { name: self.name.clone(), at, bytes, ticket });
     }
@@ -93,7 +93,7 @@
     /// In place of all that was written before.
     pub fn anew(&mut self, rows: Vec<OnDisk>, what: Kept, out: &mut Outbox) {
         let rows: Vec<Vec<u8>> = rows.into_iter().map(words::write).collect();
-        let bytes = self.pen.anew(&rows);
+        let bytes = self.pen.encode_new_file(&rows);
         let ticket = self.note(what);
         out.push(Effect::Replace { name: self.name.clone(), bytes, ticket });
     }
@@ -108,8 +108,8 @@
         while self.waiting.front().is_some_and(|waiting| waiting.0 <= ticket) && !self.failed {
             if let Some((_, at, what)) = self.waiting.pop_front() {
                 // After a file was made anew, places in the old one say nothing.
-                if at <= self.pen.at {
-                    self.pen.synced = at;
+                if at <= self.pen.end {
+                    self.pen.synced_len = at;
                 }
                 done.push(what);
             }
--- a/crates/member/src/member.rs
+++ b/crates/member/src/member.rs
@@ -10,13 +10,13 @@
 use crate::sharing::Shares;
 use crate::words::{self, word, Change, Hello, OnDisk, Place, ReadAt, Refuse, Seat, Word, FORMATS};
 use pewtergap_agree::{
-    Agree, Body, Effect as Does, Id, Index, Log, Member as Seated, Members, Refusal, Role,
+    Action as Does, Body, Id, Index, Log, Member as Seated, Members, RaftError, RaftNode, Role,
 };
-use pewtergap_agree::{Snapshot, Times};
+use pewtergap_agree::{RaftConfig, Snapshot};
 use pewtergap_node::{Effect, Input, Level, Link, Outbox, NO_FILE};
 use pewtergap_protocol::encode;
-use pewtergap_record::{Answer, Clean, Command, Record, Subject, What};
-use pewtergap_store::Fault;
+use pewtergap_record::{Cleanup, Command, CommandKind, Outcome, Record, Subject};
+use pewtergap_store::WalFault;
 use pewtergap_time::{Moment, Span};
 use pewtergap_watch::messages::RosterUpdate;
 use prost::Message;
@@ -63,7 +63,7 @@
     /// The founding members and where each is reached from here, this one among them.
     pub members: Vec<(String, SocketAddr)>,
     pub from: Option<IpAddr>,
-    pub times: Times,
+    pub times: RaftConfig,
     /// Within this a request is answered, one way or another.
     pub patience: Span,
     pub seed: u64,
@@ -144,7 +144,7 @@
     Making,
     /// Its disk is new: it waits for all founders, or to be let in.
     New,
-    Member(Box<Agree>),
+    Member(Box<RaftNode>),
     /// Its disk cannot be believed and there is nobody to learn from.
     Ended,
 }
@@ -198,7 +198,7 @@
         let own =
             Hello { lowest: FORMATS.0, highest: home.format, name: home.name.clone(), ..Hello::default() };
         let own = Hello {
-            lease: home.duties.as_ref().map_or(0, |d| d.lease.length.0 / 1_000_000),
+            lease: home.duties.as_ref().map_or(0, |d| d.lease.duration.0 / 1_000_000),
             shares: home.shares.is_some(),
             watches: home.watches,
             ..own
@@ -247,7 +247,7 @@
         format!("{}.record", self.home.name)
     }
 
-    pub fn agree(&self) -> Option<&Agree> {
+    pub fn agree(&self) -> Option<&RaftNode> {
         match &self.stage {
             Stage::Member(agree) => Some(agree),
             _ => None,
@@ -283,7 +283,7 @@
         match self.agree().filter(|agree| !agree.members().list.is_empty()) {
             Some(agree) => {
                 for member in &agree.members().list {
-                    wanted.insert(member.name.clone(), member.at.parse().ok());
+                    wanted.insert(member.name.clone(), member.address.parse().ok());
                 }
             }
             None => wanted.extend(self.home.members.iter().map(|member| (member.0.clone(), None))),
@@ -313,7 +313,7 @@
     }
 
     fn refuse_retired(&mut self, link: Link, id: Id, out: &mut Outbox) {
-        let settled = self.agree().is_some_and(|agree| agree.settled_members().retired.contains(&id));
+        let settled = self.agree().is_some_and(|agree| agree.committed_members().retired.contains(&id));
         let refuse = Refuse::of("an older incarnation: its place was given up or to another disk");
         self.refuse(link, Refuse { given_up: settled, ..refuse }, out);
     }
@@ -321,7 +321,7 @@
     /// Who was let in before its place was given up is told so: nobody else speaks to it any more.
     fn part(&mut self, out: &mut Outbox) {
         let Some(agree) = self.agree() else { return };
-        let members = agree.settled_members();
+        let members = agree.committed_members();
         let ids = self.peers.came.iter().filter_map(|(link, came)| Some((*link, came.hello.as_ref()?.id)));
         let gone: Vec<(Link, Id)> = ids.filter(|(_, id)| members.retired.contains(id)).collect();
         for (link, id) in gone {
@@ -346,7 +346,7 @@
         if members.retired.contains(&hello.id) {
             return self.refuse_retired(link, hello.id, out);
         }
-        let known = members.named(&hello.name).is_some()
+        let known = members.find_by_name(&hello.name).is_some()
             || members.list.is_empty() && self.home.members.iter().any(|member| member.0 == hello.name);
         let known = known || self.home.observers.iter().any(|observer| observer.0 == hello.name);
         let known = known || !self.belongs() && self.hearsay.iter().any(|seat| seat.name == hello.name);
@@ -471,7 +471,7 @@
         match kind {
             word::Kind::Agree(agreeing) => {
                 if let Ok(message) = words::told(agreeing) {
-                    agree.hear(now, from, message);
+                    agree.receive(now, from, message);
                 }
             }
             word::Kind::Command(bytes) => {
@@ -482,7 +482,7 @@
             word::Kind::Change(change) => drop(self.change(now, &change)),
             word::Kind::ReadAsk(token) => {
                 self.tokens += 1;
-                if self.reads.len() < MOST_WAITING && agree.read(now, self.tokens).is_ok() {
+                if self.reads.len() < MOST_WAITING && agree.request_read(now, self.tokens).is_ok() {
                     self.reads.insert(self.tokens, (from, token));
                 }
             }
@@ -527,7 +527,7 @@
         self.note_committed(out);
         let id = self.own.id;
         if let Stage::Member(agree) = &self.stage {
-            let members = agree.settled_members();
+            let members = agree.committed_members();
             if members.retired.contains(&id) {
                 self.give_up(out);
             }
@@ -545,22 +545,22 @@
         let mut applied = false;
         loop {
             let Stage::Member(agree) = &mut self.stage else { return };
-            let effects = agree.take(now);
+            let effects = agree.take_actions(now);
             if effects.is_empty() {
                 break;
             }
             for effect in effects {
                 match effect {
                     Does::Send { to, message } => {
-                        let entries = match &message.say {
-                            pewtergap_agree::Say::Append { entries, .. } => !entries.is_empty(),
-                            say => matches!(say, pewtergap_agree::Say::Piece { .. }),
+                        let entries = match &message.payload {
+                            pewtergap_agree::Payload::AppendEntries { entries, .. } => !entries.is_empty(),
+                            say => matches!(say, pewtergap_agree::Payload::SnapshotChunk { .. }),
                         };
                         let lane = if entries { Lane::Bulk } else { Lane::Urgent };
                         let word = word::Kind::Agree(words::agreeing(&message));
                         self.peers.send(to, lane, word, out);
                     }
-                    Does::Save { ticket, rows, anew } => {
+                    Does::Save { ticket, records: rows, replace_all: anew } => {
                         let rows = rows.iter().map(words::on_disk);
                         if anew {
                             let mut all = disk::head(&self.own, &self.seen, self.number);
@@ -576,19 +576,22 @@
                         if let Body::Command(bytes) = entry.body {
                             if let Ok(command) = Command::decode(bytes.as_slice()) {
                                 if self.home.watches {
-                                    self.touched.extend(self.record.touched(&command));
+                                    self.touched.extend(self.record.affected_subjects(&command));
                                 }
                                 self.record.apply(index, &command);
                                 applied = true;
                                 self.proposed.remove(&command.id);
                                 self.taking.remove(&command.id);
-                                let whole = matches!(command.what, Some(What::Clean(_) | What::Step(_)));
+                                let whole = matches!(
+                                    command.kind,
+                                    Some(CommandKind::Cleanup(_) | CommandKind::RolloutStep(_))
+                                );
                                 touched = touched.filter(|_| !whole);
                                 touched.iter_mut().for_each(|all| all.extend(command.subject()));
                             }
                         }
                     }
-                    Does::Restore(snapshot) => match Record::read(&snapshot.data) {
+                    Does::Restore(snapshot) => match Record::decode_snapshot(&snapshot.data) {
                         Ok(record) => {
                             (self.record, touched) = (record, None);
                             self.touched.clear();
@@ -596,7 +599,7 @@
                         }
                         Err(why) => return self.end(out, "record_refused", &why),
                     },
-                    Does::Readable { token, index } => match self.reads.remove(&token) {
+                    Does::ReadReady { token, index } => match self.reads.remove(&token) {
                         Some((from, token)) if from == self.own.id => {
                             if self.office.as_mut().is_some_and(|office| office.read_at(token, index)) {
                                 continue;
@@ -610,14 +613,14 @@
                         }
                         None => {}
                     },
-                    Does::Unreadable { token } => {
+                    Does::ReadFailed { token } => {
                         let own = self.reads.remove(&token).filter(|read| read.0 == self.own.id);
                         let waiting =
                             self.waiting.iter_mut().find(|w| own.is_some_and(|own| w.token == own.1));
                         waiting.into_iter().for_each(|waiting| waiting.given = None);
                     }
-                    Does::WentBack { id } => self.went_back(id, out),
-                    Does::Turned => self.turned(out),
+                    Does::LogRegressed { id } => self.went_back(id, out),
+                    Does::RoleChanged => self.turned(out),
                 }
             }
         }
@@ -648,10 +651,10 @@
 
     fn compact(&mut self, out: &mut Outbox) {
         let Stage::Member(agree) = &mut self.stage else { return };
-        if agree.held_entries() < COMPACTED.0 + COMPACTED.1 as usize {
+        if agree.entry_count() < COMPACTED.0 + COMPACTED.1 as usize {
             return;
         }
-        let (index, data) = (agree.applied(), self.record.write());
+        let (index, data) = (agree.applied_index(), self.record.encode_snapshot());
         let fields = vec![("index", index.to_string()), ("bytes", data.len().to_string())];
         agree.compact(index, data, COMPACTED.1);
         out.log(Level::Debug, "record_compacted", fields);
@@ -693,7 +696,7 @@
 
     fn set_tick(&mut self, now: Moment, out: &mut Outbox) {
         let Stage::Member(agree) = &self.stage else { return };
-        let due = agree.due().max(now);
+        let due = agree.next_tick().max(now);
         if self.tick_set.is_none_or(|set| set > due || set <= now) {
             self.tick_set = Some(due);
             out.wake(TICK, due);
@@ -712,7 +715,7 @@
     }
 
     fn note_committed(&mut self, out: &mut Outbox) {
-        let commit = self.agree().map_or(0, Agree::commit);
+        let commit = self.agree().map_or(0, RaftNode::commit_index);
         if commit != self.committed {
             self.committed = commit;
             self.disk.add(vec![OnDisk::Committed(commit)], Kept::Note, out);
@@ -733,7 +736,7 @@
         self.stopping = true;
         self.hand_all(now, out);
         if let Stage::Member(agree) = &mut self.stage {
-            if agree.hand_over(now) {
+            if agree.transfer_leadership(now) {
                 out.log(Level::Info, "leadership_handed_over", Vec::new());
             }
         }
@@ -743,8 +746,8 @@
 
     /// Who belongs and shares, ourselves apart, as far as a way to them stands or stood.
     pub fn sharers(&self) -> BTreeMap<Id, String> {
-        let members = self.agree().map(|agree| agree.settled_members()).unwrap_or_default();
-        let shares = |member: &Seated| member.id != 0 && member.id != self.own.id && !member.observes;
+        let members = self.agree().map(|agree| agree.committed_members()).unwrap_or_default();
+        let shares = |member: &Seated| member.id != 0 && member.id != self.own.id && !member.is_observer;
         let others = members.list.into_iter().filter(shares);
         others.map(|member| (member.id, member.name)).collect()
     }
@@ -781,8 +784,8 @@
             SeatView {
                 name: member.name.clone(),
                 id: format!("{:016x}", member.id),
-                votes: member.votes,
-                observes: member.observes,
+                votes: member.is_voter,
+                observes: member.is_observer,
                 leads: agree.leader() == Some(member.id),
                 here,
                 linked: here || self.peers.welcome(&member.name).is_some_and(|hello| hello.id == member.id),
@@ -816,7 +819,7 @@
             Input::Closed { link, .. } => {
                 let lost = self.peers.closed(now, link);
                 if let (Some(id), Stage::Member(agree)) = (lost, &mut self.stage) {
-                    agree.lost(id);
+                    agree.on_connection_lost(id);
                     self.told.push(Told::Lost(id));
                 }
             }
--- a/crates/member/src/member/duties.rs
+++ b/crates/member/src/member/duties.rs
@@ -7,8 +7,10 @@
 use super::parted::Till;
 use super::*;
 use crate::words::{HandOn, Renew};
-use pewtergap_duty::{Desk, Does as Done, Giver, Held, Lease, Move, Planner};
-use pewtergap_record::{Give, Hand, Release, CLEANING};
+use pewtergap_duty::{
+    DutyAction as Done, DutyAssigner, DutyAssignment, HeldDuties, LeaseConfig, Move, Planner,
+};
+use pewtergap_record::{AssignDuty, PinDuty, ReleaseDuty, CLEANING_DUTY};
 
 /// Renewals under way; older ones are given up.
 const MOST_RENEWALS: usize = 8;
@@ -16,7 +18,7 @@
 /// Which duties there are, and how they are held.
 #[derive(Clone, Debug)]
 pub struct Duties {
-    pub lease: Lease,
+    pub lease: LeaseConfig,
     /// Whoever comes back gets none until it has been heard for so long without a gap.
     pub steady: Span,
     pub names: Vec<String>,
@@ -31,8 +33,8 @@
 /// What a member that has duties keeps of them.
 pub(super) struct Office {
     duties: Duties,
-    desk: Desk,
-    giver: Option<(Giver, (Moment, u64))>,
+    desk: HeldDuties,
+    giver: Option<(DutyAssigner, (Moment, u64))>,
     renewals: Vec<Renewal>,
     renew_at: Moment,
     /// Of whom the lease was renewed.
@@ -51,7 +53,7 @@
 
 impl Office {
     pub(super) fn new(duties: Duties, till: Option<Till>) -> Office {
-        let desk = Desk::new(duties.lease);
+        let desk = HeldDuties::new(duties.lease);
         Office {
             duties,
             desk,
@@ -77,13 +79,13 @@
 impl Member {
     /// The number under which this planner may do a duty at this very moment.
     pub fn may(&self, now: Moment, duty: &str) -> Option<u64> {
-        self.office.as_ref()?.desk.may(now, duty)
+        self.office.as_ref()?.desk.fencing_token(now, duty)
     }
 
     /// Who holds a duty by the record, and whether it can be told something now.
     pub fn holder(&self, duty: &str) -> (Id, bool) {
         let Some(duty) = self.record.duties().get(duty) else { return (0, false) };
-        let linked = self.peers.welcome(&duty.name).is_some_and(|hello| hello.id == duty.holder);
+        let linked = self.peers.welcome(&duty.holder_name).is_some_and(|hello| hello.id == duty.holder);
         (duty.holder, duty.holder != 0 && linked)
     }
 
@@ -92,7 +94,7 @@
     }
 
     pub fn tell_all(&self, kind: &word::Kind, out: &mut Outbox) {
-        let members = self.agree().map(|agree| agree.settled_members()).unwrap_or_default();
+        let members = self.agree().map(|agree| agree.committed_members()).unwrap_or_default();
         for member in members.list.iter().filter(|member| member.id != 0 && member.id != self.own.id) {
             self.peers.send(member.id, Lane::Urgent, kind.clone(), out);
         }
@@ -101,7 +103,7 @@
     /// What this planner holds by its own reckoning, and how long its lease lasts.
     pub fn held(&self, now: Moment) -> Vec<(String, u64, bool)> {
         let Some(office) = &self.office else { return Vec::new() };
-        let acts = |duty: &str| office.desk.may(now, duty).is_some();
+        let acts = |duty: &str| office.desk.fencing_token(now, duty).is_some();
         office.desk.held().map(|(duty, number, _)| (duty.to_string(), number, acts(duty))).collect()
     }
 
@@ -126,11 +128,11 @@
     pub(super) fn turn(&mut self, now: Moment, out: &mut Outbox) {
         let Some(office) = &mut self.office else { return };
         let late = now.since(office.due);
-        if office.due > Moment(0) && late > office.duties.lease.pause {
+        if office.due > Moment(0) && late > office.duties.lease.max_pause {
             office.slow_until = now + office.duties.steady;
             office.renew_at = now;
             office.desk.tick(now);
-            office.desk.hand(None);
+            office.desk.release(None);
             out.log(Level::Warn, "duties_given_up", vec![("late", late.to_string())]);
         }
         office.due = now + HOUSEKEEPING;
@@ -139,11 +141,11 @@
     /// Settings may differ while they are changed: a holder believes in the shorter of its own and the record's, a giver
     /// waits for the longer. The record's rises with any leader's, and falls once nobody who belongs says more.
     fn lengths(&mut self, now: Moment, office: &mut Office) {
-        let own = office.duties.lease.length;
-        let known = Span::millis(self.record.lease());
-        office.desk.length(own.min(known));
+        let own = office.duties.lease.duration;
+        let known = Span::millis(self.record.lease_ms());
+        office.desk.set_lease_duration(own.min(known));
         if let Some((giver, _)) = &mut office.giver {
-            giver.length(own.max(known));
+            giver.set_lease_duration(own.max(known));
         }
         let Some(agree) = self.agree().filter(|agree| agree.role() == Role::Leader) else { return };
         let says = |member: &Seated| match member.id == self.own.id {
@@ -151,27 +153,31 @@
             // One not heard of may believe in whatever the record says.
             false => {
                 let seen = self.seen.get(&member.name).filter(|seen| seen.id == member.id);
-                seen.map_or(self.record.lease(), |seen| seen.lease)
+                seen.map_or(self.record.lease_ms(), |seen| seen.lease)
             }
         };
         let all = agree.members().list.iter().map(says).max().unwrap_or(0).max(self.own.lease);
-        if all != self.record.lease() && now.since(office.lengthened) >= AGAIN {
+        if all != self.record.lease_ms() && now.since(office.lengthened) >= AGAIN {
             office.lengthened = now;
             let id = self.rng.u64(1..);
-            self.propose(&Command { id, given: now.0 / 1_000_000, what: Some(What::Lease(all)) });
+            self.propose(&Command {
+                id,
+                issued_at_ms: now.0 / 1_000_000,
+                kind: Some(CommandKind::SetLease(all)),
+            });
         }
     }
 
     fn renew(&mut self, now: Moment, office: &mut Office, out: &mut Outbox) {
         let Some(agree) = self.agree() else { return };
-        let (leads, leader, applied) = (agree.role() == Role::Leader, agree.leader(), agree.applied());
-        let belongs = agree.settled_members().find(self.own.id).is_some();
+        let (leads, leader, applied) = (agree.role() == Role::Leader, agree.leader(), agree.applied_index());
+        let belongs = agree.committed_members().find(self.own.id).is_some();
         let (done, open): (Vec<_>, Vec<_>) = std::mem::take(&mut office.renewals)
             .into_iter()
             .partition(|renewal| renewal.read_at.is_some_and(|at| at <= applied));
         office.renewals = open;
         for renewal in done {
-            office.desk.renewed(now, renewal.asked);
+            office.desk.on_renewed(now, renewal.asked);
             office.till.iter_mut().for_each(|till| till.renewed(renewal.asked));
         }
         if leader != office.leader {
@@ -181,7 +187,7 @@
         if now < office.renew_at || !belongs || leader.is_none() {
             return;
         }
-        office.renew_at = now + office.duties.lease.renew;
+        office.renew_at = now + office.duties.lease.renew_interval;
         self.tokens += 1;
         // From before the request leaves.
         let (token, asked) = ((1 << 63) + self.tokens, now);
@@ -213,13 +219,13 @@
             return;
         }
         let Some((giver, _)) = &mut office.giver else { return };
-        giver.renews(now, from);
+        giver.on_renewal(now, from);
         office.till.iter_mut().for_each(|till| till.renews(now, from));
         if renew.leaves {
-            giver.leaves(from);
+            giver.on_leaving(from);
         }
         self.tokens += 1;
-        if self.reads.len() < MOST_WAITING && agree.read(now, self.tokens).is_ok() {
+        if self.reads.len() < MOST_WAITING && agree.request_read(now, self.tokens).is_ok() {
             self.reads.insert(self.tokens, (from, renew.token));
         }
     }
@@ -228,72 +234,86 @@
     fn hold(&mut self, now: Moment, office: &mut Office, out: &mut Outbox) {
         let own = self.own.id;
         let ours = self.record.duties().iter().filter(|(_, duty)| duty.holder == own);
-        office.desk.hold(now, ours.map(|(name, duty)| (name.as_str(), duty.number)));
-        for (duty, number, does) in office.desk.take() {
+        office.desk.update_assignments(now, ours.map(|(name, duty)| (name.as_str(), duty.fencing_token)));
+        for (duty, number, does) in office.desk.take_actions() {
             let event = match does {
-                Done::Begin => "duty_begun",
-                Done::GoOn => "duty_goes_on",
-                Done::Rest => "duty_rests",
-                Done::HandOn => "duty_handed_on",
+                Done::Start => "duty_begun",
+                Done::Resume => "duty_goes_on",
+                Done::Pause => "duty_rests",
+                Done::Release => "duty_handed_on",
                 Done::Stop => "duty_stopped",
                 Done::Nothing => continue,
             };
             let fields = vec![("duty", duty), ("number", number.to_string())];
-            out.log(if does == Done::Rest { Level::Warn } else { Level::Info }, event, fields);
+            out.log(if does == Done::Pause { Level::Warn } else { Level::Info }, event, fields);
         }
     }
 
     fn give_out(&mut self, now: Moment, office: &mut Office, out: &mut Outbox) {
         let proposed = &self.proposed;
         office.giving.retain(|command, _| proposed.contains_key(command));
-        let Some(led) = self.agree().and_then(|agree| agree.leads_since()) else {
+        let Some(led) = self.agree().and_then(|agree| agree.leading_since()) else {
             office.giver = None;
             office.giving.clear();
             return;
         };
         if office.giver.as_ref().is_none_or(|giver| giver.1 != led) {
             // From now, which is after it began to lead: nobody's lease is counted shorter by that.
-            let giver = Giver::new(now, office.duties.lease, office.duties.steady);
+            let giver = DutyAssigner::new(now, office.duties.lease, office.duties.steady);
             office.giver = Some((giver, led));
             office.giving.clear();
         }
         if !office.giving.is_empty() || self.stopping {
             return;
         }
-        let members = self.agree().map(|agree| agree.settled_members()).unwrap_or_default();
-        let id_of = |name: &str| members.named(name).map(|member| member.id).filter(|id| *id != 0);
-        let held: BTreeMap<String, Held> = self
+        let members = self.agree().map(|agree| agree.committed_members()).unwrap_or_default();
+        let id_of = |name: &str| members.find_by_name(name).map(|member| member.id).filter(|id| *id != 0);
+        let held: BTreeMap<String, DutyAssignment> = self
             .record
             .duties()
             .iter()
             .map(|(name, duty)| {
-                let wanted = id_of(&duty.wanted);
-                (name.clone(), Held { holder: duty.holder, number: duty.number, wanted })
+                let wanted = id_of(&duty.pinned_to);
+                (
+                    name.clone(),
+                    DutyAssignment {
+                        holder: duty.holder,
+                        fencing_token: duty.fencing_token,
+                        pinned_to: wanted,
+                    },
+                )
             })
             .collect();
         let planners: Vec<Planner> = members
             .list
             .iter()
-            .filter(|member| member.votes && member.id != 0)
+            .filter(|member| member.is_voter && member.id != 0)
             .map(|member| Planner { id: member.id, name: member.name.clone() })
             .collect();
-        let frozen = self.record.order_on(&Subject::Duties).is_some();
+        let frozen = self.record.active_order(&Subject::Duties).is_some();
         let Some((giver, _)) = &mut office.giver else { return };
         for one in giver.plan(now, &office.duties.names, &held, &planners, frozen) {
             match one {
-                Move::Give { duty, to, number } => {
+                Move::Assign { duty, to, expected_fencing_token: number } => {
                     let name =
                         planners.iter().find(|p| p.id == to).map(|p| p.name.clone()).unwrap_or_default();
                     let from = held.get(&duty).map_or(0, |held| held.holder);
                     let id = self.rng.u64(1..);
-                    let what = Some(What::Give(Give { duty: duty.clone(), to, name: name.clone(), number }));
-                    if self.propose(&Command { id, given: now.0 / 1_000_000, what }) {
+                    let what = Some(CommandKind::AssignDuty(AssignDuty {
+                        duty: duty.clone(),
+                        holder: to,
+                        holder_name: name.clone(),
+                        expected_fencing_token: number,
+                    }));
+                    if self.propose(&Command { id, issued_at_ms: now.0 / 1_000_000, kind: what }) {
                         office.giving.insert(id, from);
                         out.log(Level::Info, "duty_given", vec![("duty", duty), ("to", name)]);
                     }
                 }
-                Move::Ask { duty, holder, .. } if holder == self.own.id => office.desk.hand(Some(&duty)),
-                Move::Ask { duty, holder, number } => {
+                Move::RequestRelease { duty, holder, .. } if holder == self.own.id => {
+                    office.desk.release(Some(&duty))
+                }
+                Move::RequestRelease { duty, holder, fencing_token: number } => {
                     let word = word::Kind::HandOn(HandOn { duty, number });
                     self.peers.send(holder, Lane::Urgent, word, out);
                 }
@@ -305,7 +325,7 @@
     pub(super) fn hand_on(&mut self, now: Moment, asked: &HandOn, out: &mut Outbox) {
         if let Some(office) = &mut self.office {
             if office.desk.held().any(|held| held.0 == asked.duty && held.1 == asked.number) {
-                office.desk.hand(Some(&asked.duty));
+                office.desk.release(Some(&asked.duty));
             }
         }
         self.tend(now, out);
@@ -314,14 +334,14 @@
     /// All duties at the end; the record is told before leadership goes.
     pub(super) fn hand_all(&mut self, now: Moment, out: &mut Outbox) {
         if let Some(office) = &mut self.office {
-            office.desk.hand(None);
+            office.desk.release(None);
             office.renew_at = now;
         }
         self.tend(now, out);
     }
 
     fn release(&mut self, now: Moment, office: &mut Office, out: &mut Outbox) {
-        let handing = office.desk.handing();
+        let handing = office.desk.releasing();
         office.releasing.retain(|duty, kept| handing.iter().any(|h| h.0 == *duty && h.1 == kept.0));
         for (duty, number) in handing {
             let id = self.rng.u64(1..);
@@ -330,15 +350,15 @@
                 continue;
             }
             kept.2 = now;
-            let what = Some(What::Release(Release { duty, number }));
-            let command = Command { id: kept.1, given: now.0 / 1_000_000, what };
+            let what = Some(CommandKind::ReleaseDuty(ReleaseDuty { duty, fencing_token: number }));
+            let command = Command { id: kept.1, issued_at_ms: now.0 / 1_000_000, kind: what };
             self.pass_on(&command, out);
         }
     }
 
     /// To whoever leads; whether it is kept is seen in the record.
     pub(super) fn pass_on(&mut self, command: &Command, out: &mut Outbox) {
-        let leader = self.agree().and_then(Agree::leader);
+        let leader = self.agree().and_then(RaftNode::leader);
         if !self.propose_late(command) {
             if let Some(leader) = leader.filter(|leader| *leader != self.own.id) {
                 self.peers.send(leader, Lane::Bulk, word::Kind::Command(command.encode_to_vec()), out);
@@ -349,21 +369,30 @@
     fn clean(&mut self, now: Moment, office: &Office, out: &mut Outbox) {
         let ms = now.0 / 1_000_000;
         let due = now.since(self.cleaned) >= Span::millis(1_000);
-        let Some(number) = office.desk.may(now, CLEANING).filter(|_| due) else { return };
+        let Some(number) = office.desk.fencing_token(now, CLEANING_DUTY).filter(|_| due) else { return };
         self.cleaned = now;
-        let members = self.agree().map(|agree| agree.settled_members()).unwrap_or_default();
+        let members = self.agree().map(|agree| agree.committed_members()).unwrap_or_default();
         // What was wanted at a planner that left is wanted nowhere: it would be put there again if another took the name.
-        for duty in self.record.wanted_at_none(|name| members.named(name).is_some()) {
-            let (who, why) = (CLEANING.to_string(), "the planner it was wanted at left".to_string());
-            let what = Some(What::Hand(Hand { duty, to: String::new(), who, why }));
-            let hand = Command { id: self.rng.u64(1..), given: ms, what };
+        for duty in self.record.duties_pinned_to_absent(|name| members.find_by_name(name).is_some()) {
+            let (who, why) = (CLEANING_DUTY.to_string(), "the planner it was wanted at left".to_string());
+            let what = Some(CommandKind::PinDuty(PinDuty {
+                duty,
+                planner: String::new(),
+                issued_by: who,
+                reason: why,
+            }));
+            let hand = Command { id: self.rng.u64(1..), issued_at_ms: ms, kind: what };
             self.pass_on(&hand, out);
         }
-        if !self.record.has_run_out(ms) {
+        if !self.record.needs_cleanup(ms) {
             return;
         }
         let id = self.rng.u64(1..);
-        let clean = Command { id, given: ms, what: Some(What::Clean(Clean { now: ms, number })) };
+        let clean = Command {
+            id,
+            issued_at_ms: ms,
+            kind: Some(CommandKind::Cleanup(Cleanup { now_ms: ms, fencing_token: number })),
+        };
         self.pass_on(&clean, out);
     }
 }
--- a/crates/member/src/member/leading.rs
+++ b/crates/member/src/member/leading.rs
@@ -1,12 +1,12 @@
 //! What a leader does for the others: lets them in, gives votes, changes who belongs, cleans.
 
 use super::*;
-use pewtergap_record::{CLEANING, OBSERVERS};
+use pewtergap_record::{CLEANING_DUTY, OBSERVERS_FORMAT};
 
 impl Member {
     /// An operator's change of members. What is so already is no change.
-    pub(super) fn change(&mut self, now: Moment, change: &Change) -> Result<(), Refusal> {
-        let Stage::Member(agree) = &mut self.stage else { return Err(Refusal::NotLeader) };
+    pub(super) fn change(&mut self, now: Moment, change: &Change) -> Result<(), RaftError> {
+        let Stage::Member(agree) = &mut self.stage else { return Err(RaftError::NotLeader) };
         let mut members = agree.members().clone();
         if satisfied(&members, change) {
             return Ok(());
@@ -15,21 +15,21 @@
         match (at, change.at.is_empty()) {
             (Some(at), true) => retire(&mut members, at, false),
             (Some(at), false) => {
-                members.list[at].at = change.at.clone();
+                members.list[at].address = change.at.clone();
                 if change.old != 0 && members.list[at].id == change.old {
                     retire(&mut members, at, true);
                 }
             }
             (None, true) => return Ok(()),
-            (None, false) if members.list.iter().filter(|m| !m.observes).count() >= MOST_MEMBERS => {
-                return Err(Refusal::Full)
+            (None, false) if members.list.iter().filter(|m| !m.is_observer).count() >= MOST_MEMBERS => {
+                return Err(RaftError::QueueFull)
             }
             (None, false) => {
                 let (name, at) = (change.name.clone(), change.at.clone());
-                members.list.push(Seated { id: 0, name, at, votes: false, observes: false });
+                members.list.push(Seated { id: 0, name, address: at, is_voter: false, is_observer: false });
             }
         }
-        agree.change(now, members).map(drop)
+        agree.change_members(now, members).map(drop)
     }
 
     /// The record's format rises once everybody who belongs speaks a newer one.
@@ -45,7 +45,11 @@
             return;
         }
         self.raised = now;
-        let raise = Command { id: self.rng.u64(1..), given: now.0 / 1_000_000, what: Some(What::Raise(all)) };
+        let raise = Command {
+            id: self.rng.u64(1..),
+            issued_at_ms: now.0 / 1_000_000,
+            kind: Some(CommandKind::RaiseFormat(all)),
+        };
         if self.propose(&raise) {
             out.log(Level::Info, "record_raised", vec![("format", all.to_string())]);
         }
@@ -55,8 +59,8 @@
     pub(super) fn lead(&mut self, now: Moment, out: &mut Outbox) {
         let knocking = self.peers.knocking();
         let Stage::Member(agree) = &mut self.stage else { return };
-        let Some((since, _)) = agree.leads_since() else { return };
-        let lost = self.home.times.election.times(2.0);
+        let Some((since, _)) = agree.leading_since() else { return };
+        let lost = self.home.times.election_timeout.times(2.0);
         let mut members = agree.members().clone();
         let mut wants = None;
         for (name, id) in &knocking {
@@ -72,19 +76,19 @@
             wants = Some(("member_let_in", name.clone()));
             break;
         }
-        if wants.is_none() && self.record.format() >= OBSERVERS {
+        if wants.is_none() && self.record.format() >= OBSERVERS_FORMAT {
             wants = seat_observer(&self.home.observers, &knocking, &mut members);
         }
         if wants.is_none() {
-            let learns = |m: &Seated| !m.votes && !m.observes && m.id != 0;
-            let ready = members.list.iter().position(|m| learns(m) && agree.caught_up(m.id));
+            let learns = |m: &Seated| !m.is_voter && !m.is_observer && m.id != 0;
+            let ready = members.list.iter().position(|m| learns(m) && agree.is_caught_up(m.id));
             if let Some(at) = ready {
-                members.list[at].votes = true;
+                members.list[at].is_voter = true;
                 wants = Some(("member_votes", members.list[at].name.clone()));
             }
         }
         if let Some((event, name)) = wants {
-            if agree.change(now, members).is_ok() {
+            if agree.change_members(now, members).is_ok() {
                 out.log(Level::Info, event, vec![("member", name)]);
             }
         }
@@ -92,11 +96,15 @@
         let ms = now.0 / 1_000_000;
         // Where it is a duty, its holder does it.
         let duty = self.office.is_some() && self.record.format() >= 2;
-        if !duty && now.since(self.cleaned) >= Span::millis(1_000) && self.record.has_run_out(ms) {
+        if !duty && now.since(self.cleaned) >= Span::millis(1_000) && self.record.needs_cleanup(ms) {
             self.cleaned = now;
             let id = self.rng.u64(1..);
-            let number = self.record.duties().get(CLEANING).map_or(0, |duty| duty.number);
-            let clean = Command { id, given: ms, what: Some(What::Clean(Clean { now: ms, number })) };
+            let number = self.record.duties().get(CLEANING_DUTY).map_or(0, |duty| duty.fencing_token);
+            let clean = Command {
+                id,
+                issued_at_ms: ms,
+                kind: Some(CommandKind::Cleanup(Cleanup { now_ms: ms, fencing_token: number })),
+            };
             self.propose(&clean);
         }
     }
@@ -110,15 +118,15 @@
     knocking: &BTreeMap<String, Id>,
     members: &mut Members,
 ) -> Option<(&'static str, String)> {
-    let seated = members.list.iter().filter(|member| member.observes).count();
-    let new = |name: &String, id: &Id| members.named(name).is_none() && !members.retired.contains(id);
+    let seated = members.list.iter().filter(|member| member.is_observer).count();
+    let new = |name: &String, id: &Id| members.find_by_name(name).is_none() && !members.retired.contains(id);
     let (name, at, id) = observers
         .iter()
         .filter_map(|(name, at)| Some((name, at, knocking.get(name)?)))
         .find(|(name, _, id)| new(name, id))
         .filter(|_| seated < MOST_OBSERVERS)?;
     let (id, name, at) = (*id, name.clone(), at.to_string());
-    members.list.push(Seated { id, name: name.clone(), at, votes: false, observes: true });
+    members.list.push(Seated { id, name: name.clone(), address: at, is_voter: false, is_observer: true });
     Some(("observer_let_in", name))
 }
 
@@ -131,16 +139,16 @@
         members.retired.drain(..over);
     }
     if stays {
-        (members.list[at].id, members.list[at].votes) = (0, false);
+        (members.list[at].id, members.list[at].is_voter) = (0, false);
     } else {
         members.list.remove(at);
     }
 }
 
 pub(super) fn satisfied(members: &Members, change: &Change) -> bool {
-    match (members.named(&change.name), change.at.is_empty()) {
+    match (members.find_by_name(&change.name), change.at.is_empty()) {
         (member, true) => member.is_none(),
-        (Some(member), false) => member.at == change.at && (change.old == 0 || member.id != change.old),
+        (Some(member), false) => member.address == change.at && (change.old == 0 || member.id != change.old),
         (None, false) => false,
     }
 }
--- a/crates/member/src/member/opening.rs
+++ b/crates/member/src/member/opening.rs
@@ -13,7 +13,7 @@
         match disk::open(bytes) {
             Ok(found) if found.identity.is_some() => self.resume(found, out),
             Ok(_) => self.make(now, out),
-            Err(fault @ Fault::Damaged { .. }) if !self.alone() => {
+            Err(fault @ WalFault::Corrupt { .. }) if !self.alone() => {
                 let aside = format!("{}.damaged-{:08x}", self.file(), self.rng.u32(..));
                 let fields = vec![("why", fault.to_string()), ("kept_as", aside.clone())];
                 out.log(Level::Error, "record_damaged", fields);
@@ -77,7 +77,7 @@
                 Kept::Opened if matches!(self.stage, Stage::Making) => self.speak(now, out),
                 Kept::Agreed(ticket) => {
                     if let Stage::Member(agree) = &mut self.stage {
-                        agree.synced(now, ticket);
+                        agree.on_synced(now, ticket);
                     }
                 }
                 Kept::Number => self.told.push(Told::Numbered(self.number)),
@@ -122,12 +122,12 @@
     pub(super) fn join(&mut self, now: Moment, log: Log, committed: Index, out: &mut Outbox) {
         self.record = Record::default();
         if let Some(snapshot) = log.snapshot.as_ref().filter(|snapshot| !snapshot.data.is_empty()) {
-            match Record::read(&snapshot.data) {
+            match Record::decode_snapshot(&snapshot.data) {
                 Ok(record) => self.record = record,
                 Err(why) => return self.end(out, "record_refused", &why),
             }
         }
-        let agree = Agree::new(now, self.own.id, self.home.times, self.rng.u64(..), log, committed);
+        let agree = RaftNode::new(now, self.own.id, self.home.times, self.rng.u64(..), log, committed);
         self.stage = Stage::Member(Box::new(agree));
         if self.record.format() > self.home.format {
             return self.too_new(out);
@@ -167,7 +167,7 @@
         let mut log = Log::default();
         log.restore(Snapshot { members, ..Snapshot::default() });
         let mut rows = disk::head(&self.own, &self.seen, self.number);
-        rows.extend(log.rows().iter().map(words::on_disk));
+        rows.extend(log.to_records().iter().map(words::on_disk));
         self.disk.anew(rows, Kept::Note, out);
         out.log(Level::Info, "cluster", vec![("id", format!("{:016x}", self.own.cluster))]);
         self.join(now, log, 0, out);
--- a/crates/member/src/member/parted.rs
+++ b/crates/member/src/member/parted.rs
@@ -3,13 +3,13 @@
 
 use super::*;
 use crate::sharing::COLD;
-use pewtergap_record::Share;
-use pewtergap_shares::{due, Dealer, Holding, Purse, Shift, Terms, WHOLE};
+use pewtergap_record::BudgetShift;
+use pewtergap_shares::{fair_share, BudgetAllocator, BudgetConfig, Holding, LocalShare, Shift, TOTAL_UNITS};
 
 pub(super) struct Till {
-    terms: Terms,
-    purse: Option<(Purse, (Id, u64))>,
-    dealer: Option<(Dealer, (Moment, u64))>,
+    terms: BudgetConfig,
+    purse: Option<(LocalShare, (Id, u64))>,
+    dealer: Option<(BudgetAllocator, (Moment, u64))>,
     /// The command by which the purse last said something.
     said: Option<(Shift, u64)>,
 }
@@ -26,16 +26,16 @@
 }
 
 impl Till {
-    pub(super) fn new(terms: Terms) -> Till {
+    pub(super) fn new(terms: BudgetConfig) -> Till {
         Till { terms, purse: None, dealer: None, said: None }
     }
 
     pub(super) fn renewed(&mut self, asked: Moment) {
-        self.purse.iter_mut().for_each(|purse| purse.0.renewed(asked));
+        self.purse.iter_mut().for_each(|purse| purse.0.on_renewed(asked));
     }
 
     pub(super) fn renews(&mut self, now: Moment, planner: Id) {
-        self.dealer.iter_mut().for_each(|dealer| dealer.0.renews(now, planner));
+        self.dealer.iter_mut().for_each(|dealer| dealer.0.on_renewal(now, planner));
     }
 }
 
@@ -53,16 +53,16 @@
         if self.given_up {
             return Some(0.0);
         }
-        let units = till.purse.as_ref().map_or(0, |purse| purse.0.in_force(now, self.holding()));
-        Some(units as f64 / WHOLE as f64)
+        let units = till.purse.as_ref().map_or(0, |purse| purse.0.usable_units(now, self.holding()));
+        Some(units as f64 / TOTAL_UNITS as f64)
     }
 
     pub fn cold_view(&self, now: Moment) -> Option<PartView> {
         let budget = self.record.budget(COLD)?;
-        let holding = |h: &Holding| (h.base, h.more, h.number);
+        let holding = |h: &Holding| (h.base, h.extra, h.version);
         let holdings = budget.holdings.iter().map(|(id, h)| (format!("{id:016x}"), holding(h))).collect();
-        let in_force = (self.cold_share(now)? * WHOLE as f64).round() as u64;
-        Some(PartView { in_force, whole: WHOLE, free: budget.free, sum: budget.sum(), holdings })
+        let in_force = (self.cold_share(now)? * TOTAL_UNITS as f64).round() as u64;
+        Some(PartView { in_force, whole: TOTAL_UNITS, free: budget.free, sum: budget.total(), holdings })
     }
 
     /// Whether something is on its way from a planner: it is not renewed before that is committed or lost.
@@ -78,17 +78,17 @@
         if till.purse.as_ref().is_none_or(|purse| purse.1 != who) {
             let (founders, own) = (&self.own.founders, self.own.id);
             let founded = founders.iter().any(|seat| seat.id == own);
-            let purse = Purse::new(till.terms, own, self.own.start, founders.len() as u64, founded);
+            let purse = LocalShare::new(till.terms, own, self.own.start, founders.len() as u64, founded);
             till.purse = Some((purse, who));
         }
         let budget = self.record.budget(COLD).cloned().unwrap_or_default();
         let belong = self.belong_ids();
         let known: Option<Vec<f64>> = belong.iter().map(|id| self.demands.get(id).copied()).collect();
         let at = belong.iter().position(|id| *id == self.own.id);
-        let ours = known.zip(at).map(|(known, at)| due(budget.pool(), &known, at));
+        let ours = known.zip(at).map(|(known, at)| fair_share(budget.demand_pool(), &known, at));
         let holding = self.holding().copied();
         let said = match &mut till.purse {
-            Some((purse, _)) if at.is_some() => purse.next(now, holding.as_ref(), ours),
+            Some((purse, _)) if at.is_some() => purse.next_shift(now, holding.as_ref(), ours),
             _ => None,
         };
         if let Some(shift) = said {
@@ -98,35 +98,35 @@
                 _ => self.rng.u64(1..),
             };
             till.said = Some((shift, id));
-            let what = Some(What::Share(Share::of(COLD, &shift)));
-            self.pass_on(&Command { id, given: now.0 / 1_000_000, what }, out);
+            let what = Some(CommandKind::BudgetShift(BudgetShift::of(COLD, &shift)));
+            self.pass_on(&Command { id, issued_at_ms: now.0 / 1_000_000, kind: what }, out);
         }
         self.deal(now, till, &belong, out);
     }
 
     pub(super) fn belong_ids(&self) -> Vec<Id> {
-        let members = self.agree().map(|agree| agree.settled_members()).unwrap_or_default();
-        let have_parts = members.list.iter().filter(|member| member.id != 0 && !member.observes);
+        let members = self.agree().map(|agree| agree.committed_members()).unwrap_or_default();
+        let have_parts = members.list.iter().filter(|member| member.id != 0 && !member.is_observer);
         have_parts.map(|member| member.id).collect()
     }
 
     fn deal(&mut self, now: Moment, till: &mut Till, belong: &[Id], out: &mut Outbox) {
-        let Some(led) = self.agree().and_then(|agree| agree.leads_since()) else {
+        let Some(led) = self.agree().and_then(|agree| agree.leading_since()) else {
             till.dealer = None;
             return;
         };
         if till.dealer.as_ref().is_none_or(|dealer| dealer.1 != led) {
-            till.dealer = Some((Dealer::new(now, till.terms), led));
+            till.dealer = Some((BudgetAllocator::new(now, till.terms), led));
         }
         let proposed = &self.proposed;
         self.dealing = self.dealing.filter(|command| proposed.contains_key(command));
         let (Some((dealer, _)), None) = (&mut till.dealer, self.dealing) else { return };
         let belong = belong.iter().map(|id| (*id, self.demands.get(id).copied())).collect();
         let budget = self.record.budget(COLD).cloned().unwrap_or_default();
-        let Some(shift) = dealer.next(now, &budget, &belong) else { return };
+        let Some(shift) = dealer.next_shift(now, &budget, &belong) else { return };
         let id = self.rng.u64(1..);
-        let what = Some(What::Share(Share::of(COLD, &shift)));
-        if self.propose(&Command { id, given: now.0 / 1_000_000, what }) {
+        let what = Some(CommandKind::BudgetShift(BudgetShift::of(COLD, &shift)));
+        if self.propose(&Command { id, issued_at_ms: now.0 / 1_000_000, kind: what }) {
             self.dealing = Some(id);
             out.log(
                 Level::Info,
--- a/crates/member/src/member/requests.rs
+++ b/crates/member/src/member/requests.rs
@@ -26,7 +26,7 @@
 
     /// How old what is known here may be.
     pub fn age(&self, now: Moment) -> Span {
-        let heard = self.agree().and_then(|agree| agree.heard_at(now));
+        let heard = self.agree().and_then(|agree| agree.last_quorum_contact(now));
         heard.map_or(Span(u64::MAX / 4), |heard| now.since(heard))
     }
 
@@ -49,8 +49,8 @@
         match agree.propose(command.encode_to_vec()) {
             Ok((_, index)) => {
                 self.proposed.insert(command.id, index);
-                let taken = match &command.what {
-                    Some(What::Share(share)) => share.taken_from(),
+                let taken = match &command.kind {
+                    Some(CommandKind::BudgetShift(share)) => share.taken_from(),
                     _ => None,
                 };
                 self.taking.extend(taken.map(|from| (command.id, from)));
@@ -80,7 +80,7 @@
                     self.tokens += 1;
                     let own = self.own.id;
                     // Asked once: its answer comes, or that it cannot be had.
-                    let asked = waiting.given.is_none() && agree.read(now, self.tokens).is_ok();
+                    let asked = waiting.given.is_none() && agree.request_read(now, self.tokens).is_ok();
                     if asked {
                         self.reads.insert(self.tokens, (own, token));
                     }
@@ -106,16 +106,18 @@
 
     /// Answers what can be answered, and what can no longer wait.
     pub(super) fn answer(&mut self, now: Moment, until: Moment) {
-        let applied = self.agree().map_or(0, Agree::applied);
-        let members = self.agree().map(|agree| (agree.settled_members(), agree.commit()));
+        let applied = self.agree().map_or(0, RaftNode::applied_index);
+        let members = self.agree().map(|agree| (agree.committed_members(), agree.commit_index()));
         let mut waiting = std::mem::take(&mut self.waiting);
         waiting.retain(|waiting| {
             let known = match &waiting.what {
-                Request::Command(command) => self.record.answered(command.id).map(|answer| match answer {
-                    Answer::Kept(number) => Reply::Kept(number),
-                    Answer::Refused(why) => Reply::Refused(why),
-                    Answer::Unknown => Reply::Unknown,
-                }),
+                Request::Command(command) => {
+                    self.record.past_outcome(command.id).map(|answer| match answer {
+                        Outcome::Applied(number) => Reply::Kept(number),
+                        Outcome::Rejected(why) => Reply::Refused(why),
+                        Outcome::Unknown => Reply::Unknown,
+                    })
+                }
                 Request::Change(change) => {
                     members.as_ref().filter(|m| satisfied(&m.0, change)).map(|m| Reply::Kept(m.1))
                 }
