--- a/crates/member/src/orders.rs
+++ b/crates/member/src/orders.rs
@@ -5,7 +5,7 @@
 //! the steps are by proxies, that part of the planners carry it out whole, each with all its proxies.
 
 use pewtergap_control::{Service, Standing, Stands};
-use pewtergap_record::{Record, Standing as Kept, Subject, Wish};
+use pewtergap_record::{ActiveOrder as Kept, OrderAction, Record, Subject};
 use pewtergap_time::Moment;
 use std::collections::BTreeSet;
 use xxhash_rust::xxh3::xxh3_64;
@@ -31,14 +31,17 @@
 }
 
 /// What is wished for, unless its time is over or it was taken back; and which part of it.
-fn in_force<'a>(kept: &'a Kept, now: Moment, among: &Among) -> Option<(&'a Wish, f64)> {
-    let order = kept.order.as_ref().filter(|order| order.until == 0 || order.until > now.0 / 1_000_000)?;
-    let part = match f64::from(kept.reached.min(1_000)) / 1e3 {
+fn in_force<'a>(kept: &'a Kept, now: Moment, among: &Among) -> Option<(&'a OrderAction, f64)> {
+    let order = kept
+        .order
+        .as_ref()
+        .filter(|order| order.expires_at_ms == 0 || order.expires_at_ms > now.0 / 1_000_000)?;
+    let part = match f64::from(kept.progress.min(1_000)) / 1e3 {
         _ if order.steps == 0 => 1.0,
         reached if !order.by_proxies => reached,
-        reached => f64::from(u8::from(among.within(kept.number, reached))),
+        reached => f64::from(u8::from(among.within(kept.index, reached))),
     };
-    order.wish.as_ref().map(|wish| (wish, part)).filter(|_| part > 0.0)
+    order.action.as_ref().map(|wish| (wish, part)).filter(|_| part > 0.0)
 }
 
 /// Which part of an order this planner carries out now.
@@ -60,7 +63,8 @@
 }
 
 fn runs(record: &Record, service: &Service, now: Moment, at: &str) -> bool {
-    let drain = record.drain_of(at).filter(|drain| drain.told + drain.grace > now.0 / 1_000_000);
+    let drain =
+        record.find_drain(at).filter(|drain| drain.notified_at_ms + drain.grace_ms > now.0 / 1_000_000);
     drain.is_some_and(|drain| service.knows_start(&drain.server, drain.started))
 }
 
@@ -72,10 +76,10 @@
         match (subject, wish) {
             (Subject::Server(server), _) => drop(standing.drained.insert(server.clone())),
             (Subject::Zone(zone), _) => standing.drained.extend(of_zone(service, zone, part)),
-            (Subject::Weight(server), Wish::Weight(w)) => {
+            (Subject::Weight(server), OrderAction::SetWeight(w)) => {
                 standing.weights.insert(server.clone(), weight(service, server, w.weight, part));
             }
-            (Subject::Route(route), Wish::Cap(cap)) => {
+            (Subject::Route(route), OrderAction::SetCap(cap)) => {
                 standing.caps.insert(route.clone(), 1.0 - (1.0 - cap.level) * part);
             }
             (Subject::Releases, _) => standing.held = true,
@@ -101,17 +105,17 @@
     let zones = zones.filter(|(subject, _)| matches!(subject, Subject::Zone(_))).count();
     let mut all = Vec::new();
     for subject in subjects {
-        let wish = record.order_on(subject).and_then(|kept| in_force(kept, now, among));
+        let wish = record.active_order(subject).and_then(|kept| in_force(kept, now, among));
         all.push(match (subject, wish) {
             (Subject::Server(_), _) if zones > 0 => return None,
             (Subject::Server(at), wish) => {
                 Stands::Drained(at.clone(), wish.is_some() || runs(record, service, now, at))
             }
-            (Subject::Weight(at), Some((Wish::Weight(w), part))) => {
+            (Subject::Weight(at), Some((OrderAction::SetWeight(w), part))) => {
                 Stands::Weighs(at.clone(), Some(weight(service, at, w.weight, part)))
             }
             (Subject::Weight(at), _) => Stands::Weighs(at.clone(), None),
-            (Subject::Route(route), Some((Wish::Cap(cap), part))) => {
+            (Subject::Route(route), Some((OrderAction::SetCap(cap), part))) => {
                 Stands::Capped(route.clone(), Some(1.0 - (1.0 - cap.level) * part))
             }
             (Subject::Route(route), _) => Stands::Capped(route.clone(), None),
--- a/crates/member/src/releaser.rs
+++ b/crates/member/src/releaser.rs
@@ -10,7 +10,7 @@
 //! What is looked at is the part of tries dropped by servers, of the proxies of this planner: since all planners carry out
 //! the same part of an order, each is a sample of the fleet. Too few tries say nothing, and it goes on.
 
-use pewtergap_record::{Record, Step, What};
+use pewtergap_record::{CommandKind, Record, RolloutStep};
 use pewtergap_time::{Moment, Span};
 use std::collections::BTreeMap;
 
@@ -49,14 +49,14 @@
     }
 
     /// What the record is to be told now, under this number of the duty.
-    pub fn look(&mut self, now: Moment, number: u64, record: &Record, figures: Figures) -> Vec<What> {
+    pub fn look(&mut self, now: Moment, number: u64, record: &Record, figures: Figures) -> Vec<CommandKind> {
         let open: BTreeMap<u64, (u32, u32, Span)> = record
             .orders()
             .filter_map(|(_, kept)| {
                 let order = kept.order.as_ref()?;
-                let open = order.steps > 0 && kept.reached < 1_000 && kept.back.is_empty();
-                let pause = Span::millis(order.pause.max(1));
-                open.then_some((kept.number, (kept.reached, order.steps, pause)))
+                let open = order.steps > 0 && kept.progress < 1_000 && kept.revert_reason.is_empty();
+                let pause = Span::millis(order.step_pause_ms.max(1));
+                open.then_some((kept.index, (kept.progress, order.steps, pause)))
             })
             .take(MOST)
             .collect();
@@ -82,7 +82,12 @@
                 }
                 _ => ((reached + 1_000u32.div_ceil(steps.max(1))).min(1_000), String::new()),
             };
-            said.push(What::Step(Step { order, reached: next, number, why }));
+            said.push(CommandKind::RolloutStep(RolloutStep {
+                order_index: order,
+                progress: next,
+                fencing_token: number,
+                revert_reason: why,
+            }));
         }
         said
     }
--- a/crates/member/src/shared.rs
+++ b/crates/member/src/shared.rs
@@ -1,9 +1,9 @@
 //! What members tell each other of who is heard, of counts and of servers, as protobuf, and the way to the machines' own types.
 
 use crate::words::MOST_NAME;
-use pewtergap_counts::{Ask, Part, Row, MOST_KEYS};
-use pewtergap_evidence::{Seen, Told, MOST_SEEN};
-use pewtergap_gossip::{Message as Gossip, News, Say, State, MOST_KNOWN};
+use pewtergap_counts::{CountEntry, CountReport, ReportRequest, MAX_KEYS};
+use pewtergap_evidence::{PeerReport, ServerObservation, MAX_OBSERVATIONS};
+use pewtergap_gossip::{MemberState, Message as Gossip, MessageKind, Update, MAX_MEMBERS};
 use pewtergap_time::Span;
 use prost::{Message, Oneof};
 
@@ -51,44 +51,44 @@
     pub by: u64,
 }
 
-const STATES: [State; 3] = [State::Alive, State::Suspect, State::Gone];
+const STATES: [MemberState; 3] = [MemberState::Alive, MemberState::Suspect, MemberState::Gone];
 
 impl Gossiped {
     pub fn of(message: &Gossip) -> Gossiped {
-        let say = match message.say {
-            Say::Ping(token) => Saying::Ping(token),
-            Say::Ack(token) => Saying::Ack(token),
-            Say::Ask(token, whom) => Saying::Ask(AskFor { token, whom }),
-            Say::Nack(token) => Saying::Nack(token),
-            Say::Whole(back) => Saying::Whole(back),
+        let say = match message.kind {
+            MessageKind::Ping(token) => Saying::Ping(token),
+            MessageKind::Ack(token) => Saying::Ack(token),
+            MessageKind::PingRequest(token, whom) => Saying::Ask(AskFor { token, whom }),
+            MessageKind::Nack(token) => Saying::Nack(token),
+            MessageKind::FullSync(back) => Saying::Whole(back),
         };
-        let news = |n: &News| NewsTold {
-            subject: n.subject,
+        let news = |n: &Update| NewsTold {
+            subject: n.member,
             incarnation: n.incarnation,
             state: n.state as u32,
-            by: n.by,
+            by: n.reported_by,
         };
-        Gossiped { say: Some(say), news: message.news.iter().map(news).collect() }
+        Gossiped { say: Some(say), news: message.updates.iter().map(news).collect() }
     }
 
     pub fn message(&self) -> Option<Gossip> {
         let say = match self.say.as_ref()? {
-            Saying::Ping(token) => Say::Ping(*token),
-            Saying::Ack(token) => Say::Ack(*token),
-            Saying::Ask(ask) => Say::Ask(ask.token, ask.whom),
-            Saying::Nack(token) => Say::Nack(*token),
-            Saying::Whole(back) => Say::Whole(*back),
+            Saying::Ping(token) => MessageKind::Ping(*token),
+            Saying::Ack(token) => MessageKind::Ack(*token),
+            Saying::Ask(ask) => MessageKind::PingRequest(ask.token, ask.whom),
+            Saying::Nack(token) => MessageKind::Nack(*token),
+            Saying::Whole(back) => MessageKind::FullSync(*back),
         };
         let news = |n: &NewsTold| {
             let state = *STATES.get(n.state as usize)?;
-            Some(News { subject: n.subject, incarnation: n.incarnation, state, by: n.by })
+            Some(Update { member: n.subject, incarnation: n.incarnation, state, reported_by: n.by })
         };
-        Some(Gossip { say, news: self.news.iter().filter_map(news).collect() })
+        Some(Gossip { kind: say, updates: self.news.iter().filter_map(news).collect() })
     }
 
     pub fn check(&self) -> Result<(), String> {
         match self.news.len() {
-            n if n > MOST_KNOWN => Err(format!("news: {n}, {MOST_KNOWN} at most")),
+            n if n > MAX_MEMBERS => Err(format!("news: {n}, {MAX_MEMBERS} at most")),
             _ => self.say.as_ref().map(drop).ok_or("gossip says nothing of this format".into()),
         }
     }
@@ -131,31 +131,43 @@
 }
 
 impl CountsAsk {
-    pub fn of(ask: Ask) -> CountsAsk {
-        CountsAsk { token: ask.token, start: ask.start, number: ask.number }
+    pub fn of(ask: ReportRequest) -> CountsAsk {
+        CountsAsk { token: ask.token, start: ask.start, number: ask.last_sequence }
     }
 
-    pub fn ask(&self) -> Ask {
-        Ask { token: self.token, start: self.start, number: self.number }
+    pub fn ask(&self) -> ReportRequest {
+        ReportRequest { token: self.token, start: self.start, last_sequence: self.number }
     }
 }
 
 impl Counts {
-    pub fn of(part: Part) -> Counts {
-        let row = |r: Row| CountRow { key: r.key, value: r.value, least: r.least, most: r.most };
-        let rows = part.rows.into_iter().map(row).collect();
-        Counts { token: part.token, start: part.start, number: part.number, after: part.after, rows }
+    pub fn of(part: CountReport) -> Counts {
+        let row = |r: CountEntry| CountRow { key: r.key, value: r.value, least: r.min, most: r.max };
+        let rows = part.entries.into_iter().map(row).collect();
+        Counts {
+            token: part.token,
+            start: part.start,
+            number: part.sequence,
+            after: part.base_sequence,
+            rows,
+        }
     }
 
-    pub fn part(self) -> Part {
-        let row = |r: CountRow| Row { key: r.key, value: r.value, least: r.least, most: r.most };
+    pub fn part(self) -> CountReport {
+        let row = |r: CountRow| CountEntry { key: r.key, value: r.value, min: r.least, max: r.most };
         let rows = self.rows.into_iter().map(row).collect();
-        Part { token: self.token, start: self.start, number: self.number, after: self.after, rows }
+        CountReport {
+            token: self.token,
+            start: self.start,
+            sequence: self.number,
+            base_sequence: self.after,
+            entries: rows,
+        }
     }
 
     pub fn check(&self) -> Result<(), String> {
         match self.rows.len() {
-            n if n > MOST_KEYS => Err(format!("rows: {n}, {MOST_KEYS} at most")),
+            n if n > MAX_KEYS => Err(format!("rows: {n}, {MAX_KEYS} at most")),
             _ if self.rows.iter().any(|row| row.key.len() > 2 * MOST_NAME) => Err("key: is too long".into()),
             _ => Ok(()),
         }
@@ -189,31 +201,43 @@
 }
 
 impl EvidenceTold {
-    pub fn of(told: Told) -> EvidenceTold {
-        let seen = |s: Seen| SeenTold {
+    pub fn of(told: PeerReport) -> EvidenceTold {
+        let seen = |s: ServerObservation| SeenTold {
             server: s.server,
             tries: s.tries,
             dropped: s.dropped,
             age_ms: s.age.0 / 1_000_000,
         };
-        let rows = told.seen.into_iter().map(seen).collect();
-        EvidenceTold { start: told.start, number: told.number, seen: rows, tried: told.tried, bad: told.bad }
+        let rows = told.observations.into_iter().map(seen).collect();
+        EvidenceTold {
+            start: told.start,
+            number: told.sequence,
+            seen: rows,
+            tried: told.servers_tried,
+            bad: told.servers_bad,
+        }
     }
 
-    pub fn told(self) -> Told {
-        let seen = |s: SeenTold| Seen {
+    pub fn told(self) -> PeerReport {
+        let seen = |s: SeenTold| ServerObservation {
             server: s.server,
             tries: s.tries,
             dropped: s.dropped,
             age: Span::millis(s.age_ms.min(3_600_000)),
         };
         let rows = self.seen.into_iter().map(seen).collect();
-        Told { start: self.start, number: self.number, seen: rows, tried: self.tried, bad: self.bad }
+        PeerReport {
+            start: self.start,
+            sequence: self.number,
+            observations: rows,
+            servers_tried: self.tried,
+            servers_bad: self.bad,
+        }
     }
 
     pub fn check(&self) -> Result<(), String> {
         match self.seen.len() {
-            n if n > MOST_SEEN => Err(format!("seen: {n}, {MOST_SEEN} at most")),
+            n if n > MAX_OBSERVATIONS => Err(format!("seen: {n}, {MAX_OBSERVATIONS} at most")),
             _ if self.seen.iter().any(|seen| seen.server.len() > MOST_NAME) => {
                 Err("server: is too long".into())
             }
--- a/crates/member/src/sharing.rs
+++ b/crates/member/src/sharing.rs
@@ -5,11 +5,11 @@
 use crate::words::word;
 use pewtergap_agree::Id;
 use pewtergap_control::{Hint, Service};
-use pewtergap_counts::{Figure, Others, Own};
+use pewtergap_counts::{CountEstimate, LocalCounts, PeerCounts};
 use pewtergap_evidence::Evidence;
-use pewtergap_gossip::{Gossip, Pace, State};
-use pewtergap_record::{Used, MOST_USED};
-use pewtergap_shares::Terms;
+use pewtergap_gossip::{Gossip, GossipConfig, MemberState};
+use pewtergap_record::{CallUsage, MAX_USAGE_ROWS};
+use pewtergap_shares::BudgetConfig;
 use pewtergap_time::{Moment, Span};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -19,7 +19,7 @@
 pub struct Shares {
     pub every: Span,
     pub fresh: Span,
-    pub terms: Terms,
+    pub terms: BudgetConfig,
     /// Proxies of the whole fleet, and streams that one planner takes at most.
     pub proxies: f64,
     pub most_streams: f64,
@@ -55,25 +55,25 @@
     name: String,
     others_names: BTreeMap<Id, String>,
     gossip: Gossip,
-    own: Own,
+    own: LocalCounts,
     /// Our own counts among them, as we tell them: a read needs what they were, not only what they are.
-    others: Others,
+    others: PeerCounts,
     evidence: Evidence,
     told_at: Moment,
     looked: Moment,
     elsewhere: Option<f64>,
-    believed: BTreeMap<Id, State>,
+    believed: BTreeMap<Id, MemberState>,
     /// By planner: its start, tries and drops as last told; and what came of all together.
     tried_by: BTreeMap<Id, (u64, f64, f64)>,
     tried: (f64, f64),
     seed: u64,
 }
 
-fn said(state: State) -> &'static str {
+fn said(state: MemberState) -> &'static str {
     match state {
-        State::Alive => "alive",
-        State::Suspect => "suspect",
-        State::Gone => "gone",
+        MemberState::Alive => "alive",
+        MemberState::Suspect => "suspect",
+        MemberState::Gone => "gone",
     }
 }
 
@@ -84,9 +84,9 @@
             of: (0, 0),
             name: String::new(),
             others_names: BTreeMap::new(),
-            gossip: Gossip::new(Moment(0), 0, 0, Pace::of(shares.every), seed),
-            own: Own::new(0),
-            others: Others::default(),
+            gossip: Gossip::new(Moment(0), 0, 0, GossipConfig::with_probe_interval(shares.every), seed),
+            own: LocalCounts::new(0),
+            others: PeerCounts::default(),
             evidence: Evidence::new(0),
             told_at: Moment(0),
             looked: Moment(0),
@@ -100,7 +100,7 @@
 
     /// A way to a member broke: what was asked of it does not come.
     pub fn lost(&mut self, of: Id) {
-        self.others.lost(of);
+        self.others.cancel_request(of);
     }
 
     /// Another disk or start is another member: what it told as the one before is not ours to go on with.
@@ -108,20 +108,26 @@
         if self.of != seats.own {
             let (id, start) = seats.own;
             // Above whatever an earlier start of this disk may have answered suspicions with.
-            self.gossip = Gossip::new(now, id, start << 20, Pace::of(self.shares.every), self.seed ^ id);
-            (self.own, self.evidence) = (Own::new(start), Evidence::new(start));
-            self.others = Others::default();
+            self.gossip = Gossip::new(
+                now,
+                id,
+                start << 20,
+                GossipConfig::with_probe_interval(self.shares.every),
+                self.seed ^ id,
+            );
+            (self.own, self.evidence) = (LocalCounts::new(start), Evidence::new(start));
+            self.others = PeerCounts::default();
             (self.of, self.name) = (seats.own, seats.name.clone());
             self.others_names.clear();
         }
         if self.others_names != seats.others || self.others_names.is_empty() {
             self.others_names = seats.others.clone();
             let ids: Vec<Id> = self.others_names.keys().copied().collect();
-            self.gossip.know(now, ids.iter().copied());
+            self.gossip.set_members(now, ids.iter().copied());
             let all = [ids.as_slice(), &[self.of.0]].concat();
-            self.others.know(&all);
-            self.own.know(&all);
-            self.evidence.know(&ids);
+            self.others.set_members(&all);
+            self.own.set_members(&all);
+            self.evidence.set_members(&ids);
             self.believed.retain(|id, _| ids.contains(id));
         }
     }
@@ -131,17 +137,17 @@
         match kind {
             word::Kind::Gossip(gossiped) => {
                 if let Some(message) = gossiped.message() {
-                    self.gossip.hear(now, from, &message);
+                    self.gossip.receive(now, from, &message);
                     self.post(&mut wants);
                 }
             }
             word::Kind::CountsAsk(ask) if self.others_names.contains_key(&from) => {
-                let part = self.own.part(from, ask.ask());
+                let part = self.own.make_report(from, ask.ask());
                 wants.extend(part.map(|part| Wants::Tell(from, word::Kind::Counts(Counts::of(part)))));
             }
-            word::Kind::Counts(counts) => drop(self.others.told(now, from, &counts.part())),
+            word::Kind::Counts(counts) => drop(self.others.receive(now, from, &counts.part())),
             word::Kind::Evidence(told) if self.others_names.contains_key(&from) => {
-                self.evidence.told(now, from, &told.told());
+                self.evidence.receive_report(now, from, &told.told());
             }
             _ => {}
         }
@@ -149,7 +155,7 @@
     }
 
     fn post(&mut self, wants: &mut Vec<Wants>) {
-        let out = self.gossip.take();
+        let out = self.gossip.take_messages();
         wants.extend(out.iter().map(|(to, m)| Wants::Tell(*to, word::Kind::Gossip(Gossiped::of(m)))));
     }
 
@@ -170,12 +176,12 @@
         self.looked = now;
         let mut work: Vec<(String, f64)> = Vec::new();
         for (server, met) in service.sight.take() {
-            self.evidence.saw(now, &server, met.tries, met.dropped);
+            self.evidence.record_tries(now, &server, met.tries, met.dropped);
             work.push((format!("work/{server}"), (met.took / span * 100.0).round() / 100.0));
         }
         work.sort_by(|a, b| b.1.total_cmp(&a.1));
         work.truncate(MOST_WORKED);
-        self.own.only("work/", &work.into_iter().filter(|work| work.1 > 0.0).collect());
+        self.own.set_group("work/", &work.into_iter().filter(|work| work.1 > 0.0).collect());
     }
 
     /// Every now and then: says, asks, and makes hints.
@@ -185,8 +191,8 @@
         self.gossip.tick(now);
         self.post(&mut wants);
         for id in self.others_names.keys() {
-            let Some((state, _)) = self.gossip.of(now, *id) else { continue };
-            let before = self.believed.insert(*id, state).unwrap_or(State::Alive);
+            let Some((state, _)) = self.gossip.status(now, *id) else { continue };
+            let before = self.believed.insert(*id, state).unwrap_or(MemberState::Alive);
             wants.extend((before != state).then(|| Wants::Heard(*id, said(state))));
         }
         if now.since(self.told_at) < self.shares.every {
@@ -195,17 +201,20 @@
         self.told_at = now;
         self.count(now, service);
         self.add_tries();
-        self.others.late(now, self.shares.every.times(LATE));
+        self.others.expire_requests(now, self.shares.every.times(LATE));
         for id in self.others_names.keys() {
-            let ask = self.others.ask(now, *id);
+            let ask = self.others.request_report(now, *id);
             wants.extend(ask.map(|ask| Wants::Tell(*id, word::Kind::CountsAsk(CountsAsk::of(ask)))));
         }
         let own = self.of.0;
-        if let Some(part) = self.others.ask(now, own).and_then(|ask| self.own.part(own, ask)) {
-            self.others.told(now, own, &part);
+        if let Some(part) =
+            self.others.request_report(now, own).and_then(|ask| self.own.make_report(own, ask))
+        {
+            self.others.receive(now, own, &part);
         }
         if !self.others_names.is_empty() {
-            wants.push(Wants::TellAll(word::Kind::Evidence(EvidenceTold::of(self.evidence.tell(now)))));
+            wants
+                .push(Wants::TellAll(word::Kind::Evidence(EvidenceTold::of(self.evidence.make_report(now)))));
         }
         let elsewhere = self.elsewhere(now);
         let near = |a: f64, b: f64| (a - b).abs() <= NEWS * b.max(1e-9);
@@ -217,9 +226,11 @@
         }
         let zones = service.weights();
         let listed = |at: &str| service.listed(at).map(|known| (known.zone.clone(), known.weight));
-        let says = self.evidence.look(now, listed, &zones);
-        wants.extend(says.lighter.into_iter().map(|(at, part)| Wants::Hint(Hint::Lighter(at, part))));
-        wants.extend(says.ask.into_iter().map(|at| Wants::Hint(Hint::Ask(at))));
+        let says = self.evidence.evaluate(now, listed, &zones);
+        wants.extend(
+            says.weight_reductions.into_iter().map(|(at, part)| Wants::Hint(Hint::Lighter(at, part))),
+        );
+        wants.extend(says.probe.into_iter().map(|at| Wants::Hint(Hint::Ask(at))));
         wants
     }
 
@@ -253,9 +264,9 @@
     }
 
     /// A count of all planners, and of how long ago.
-    pub fn read(&self, now: Moment, key: &str, each: Option<f64>) -> Figure {
+    pub fn read(&self, now: Moment, key: &str, each: Option<f64>) -> CountEstimate {
         let ids: Vec<Id> = self.others_names.keys().copied().chain([self.of.0]).collect();
-        self.others.read(now, key, &ids, self.shares.fresh, each)
+        self.others.estimate(now, key, &ids, self.shares.fresh, each)
     }
 
     /// Tries and drops at all planners that are heard, since this one began to hear each: what one had before would make a
@@ -267,7 +278,7 @@
     fn add_tries(&mut self) {
         let own = (self.of.0, self.of.1, self.own.value("tries"), self.own.value("dropped"));
         let there = self.others_names.keys().filter_map(|id| {
-            let start = self.others.all(*id)?.0;
+            let start = self.others.values(*id)?.0;
             Some((*id, start, self.others.value(*id, "tries"), self.others.value(*id, "dropped")))
         });
         for (id, start, tries, dropped) in there.chain([own]).collect::<Vec<_>>() {
@@ -282,7 +293,7 @@
     }
 
     /// What each planner counted of each route and zone, for the books.
-    pub fn used(&self, now: Moment) -> Vec<Used> {
+    pub fn used(&self, now: Moment) -> Vec<CallUsage> {
         let mut rows = Vec::new();
         let mut add = |name: &str, disk: Id, start: u64, age: Span, values: &BTreeMap<String, f64>| {
             for (key, calls) in values {
@@ -291,9 +302,9 @@
                 else {
                     continue;
                 };
-                rows.push(Used {
+                rows.push(CallUsage {
                     planner: name.into(),
-                    disk,
+                    disk_id: disk,
                     start,
                     route: route.into(),
                     zone: zone.into(),
@@ -304,25 +315,25 @@
         };
         add(&self.name, self.of.0, self.of.1, Span(0), self.own.values());
         for (id, name) in &self.others_names {
-            if let (Some((start, values)), Some(age)) = (self.others.all(*id), self.others.age(now, *id)) {
+            if let (Some((start, values)), Some(age)) = (self.others.values(*id), self.others.age(now, *id)) {
                 add(name, *id, start, age, values);
             }
         }
-        rows.truncate(MOST_USED);
+        rows.truncate(MAX_USAGE_ROWS);
         rows
     }
 
     /// As operators see it.
     pub fn view(&self, now: Moment) -> Value {
-        let figure = |figure: Figure| {
-            json!({ "value": figure.value, "age_ms": figure.age.0 / 1_000_000, "least": figure.least,
-                "most": figure.most, "unheard": figure.unheard })
+        let figure = |figure: CountEstimate| {
+            json!({ "value": figure.value, "age_ms": figure.age.0 / 1_000_000, "least": figure.min,
+                "most": figure.max, "unheard": figure.missing_peers })
         };
         let members: Vec<Value> = self
             .others_names
             .iter()
             .map(|(id, name)| {
-                let (state, heard) = self.gossip.of(now, *id).unwrap_or((State::Gone, None));
+                let (state, heard) = self.gossip.status(now, *id).unwrap_or((MemberState::Gone, None));
                 json!({ "name": name, "state": said(state), "heard_ms": heard.map(|h| h.0 / 1_000_000),
                     "counts_ms": self.others.age(now, *id).map(|age| age.0 / 1_000_000),
                     "joined": self.others.value(*id, "joined"), "rate": self.others.value(*id, "rate") })
@@ -331,9 +342,9 @@
         let keys = self.own.values().keys().filter(|key| key.starts_with("calls/"));
         let calls: BTreeMap<&String, Value> =
             keys.map(|key| (key, figure(self.read(now, key, None)))).collect();
-        json!({ "name": self.name, "start": self.of.1, "slow": self.gossip.slow(), "members": members,
+        json!({ "name": self.name, "start": self.of.1, "slow": self.gossip.health_score(), "members": members,
             "joined": figure(self.read(now, "joined", Some(self.shares.most_streams))),
             "here": self.own.value("joined"), "elsewhere": self.elsewhere, "calls": calls,
-            "lighter": self.evidence.light(), "tellers_broken": self.evidence.broken() })
+            "lighter": self.evidence.weight_reductions(), "tellers_broken": self.evidence.unreliable_peers() })
     }
 }
--- a/crates/member/src/slices.rs
+++ b/crates/member/src/slices.rs
@@ -138,7 +138,7 @@
     }
 
     pub fn taken(&mut self, now: Moment, taken: &ProbeTaken) {
-        if self.fence.pass(&taken.duty, taken.number).is_ok() {
+        if self.fence.check(&taken.duty, taken.number).is_ok() {
             if let Some(asked) = self.asked.get_mut(&taken.server) {
                 *asked = now + self.within + WAY;
             }
@@ -146,7 +146,7 @@
     }
 
     pub fn told(&mut self, now: Moment, told: Probed) -> Option<Wants> {
-        self.fence.pass(&told.duty, told.number).ok()?;
+        self.fence.check(&told.duty, told.number).ok()?;
         self.asked.remove(&told.server);
         let end = *ENDS.get(told.end as usize)?;
         // What is no number says nothing.
@@ -176,7 +176,7 @@
     }
 
     pub fn fenced(&self) -> u64 {
-        self.fence.refused
+        self.fence.rejected
     }
 }
 
--- a/crates/member/src/together.rs
+++ b/crates/member/src/together.rs
@@ -13,7 +13,9 @@
 use crate::words::word;
 use pewtergap_control::{Asked, Hint, ProbeOver, Service};
 use pewtergap_node::{Effect, Input, Level, Link, Node, Outbox};
-use pewtergap_record::{Command, Drain, Standing, Subject, TakeNumber, What, BOOKS, RELEASE};
+use pewtergap_record::{
+    ActiveOrder, AllocateStartNumber, Command, CommandKind, Drain, Subject, ACCOUNTING_DUTY, RELEASE_DUTY,
+};
 use pewtergap_time::{Moment, Span};
 use serde_json::json;
 use std::any::Any;
@@ -140,7 +142,7 @@
 
     /// Orders in steps, where it is ours to let them go on.
     fn release(&mut self, now: Moment, out: &mut Outbox) {
-        let Some(number) = self.member.may(now, RELEASE) else { return self.releaser.rest() };
+        let Some(number) = self.member.may(now, RELEASE_DUTY) else { return self.releaser.rest() };
         let tried = self.sharing.as_ref().map_or(self.service.tried(), Sharing::tried);
         for what in self.releaser.look(now, number, &self.member.record, tried) {
             self.tell_record(now, Some(what), out);
@@ -211,31 +213,31 @@
         let held = self.member.held(now);
         let ms = now.0 / 1_000_000;
         let view = |(duty, known): (&String, &pewtergap_record::Duty)| {
-            let here = held.iter().find(|held| held.0 == *duty && held.1 == known.number);
-            json!({ "duty": duty, "holder": if known.holder == 0 { "" } else { known.name.as_str() },
-                "number": known.number, "age_ms": ms.saturating_sub(known.since), "wanted": known.wanted,
+            let here = held.iter().find(|held| held.0 == *duty && held.1 == known.fencing_token);
+            json!({ "duty": duty, "holder": if known.holder == 0 { "" } else { known.holder_name.as_str() },
+                "number": known.fencing_token, "age_ms": ms.saturating_sub(known.since_ms), "wanted": known.pinned_to,
                 "here": here.is_some(), "acts": here.is_some_and(|held| held.2) })
         };
         let duties: Vec<serde_json::Value> = self.member.record.duties().iter().map(view).collect();
-        let (books, _) = self.member.record.books();
-        json!({ "name": self.name, "duties": duties, "books": { "closed": books.closed, "arrived": books.arrived,
+        let (books, _) = self.member.record.accounting();
+        json!({ "name": self.name, "duties": duties, "books": { "closed": books.closed_period, "arrived": books.delivered_period,
                 "sent_here": self.books.as_ref().map(|books| books.sent), "refused_here": self.books.as_ref().map(|books| books.refused) },
-            "lease_ms": self.member.record.lease(), "probes": self.slices.as_ref().map(|slices| json!({ "doubts": slices.doubts, "fenced": slices.fenced() })) })
+            "lease_ms": self.member.record.lease_ms(), "probes": self.slices.as_ref().map(|slices| json!({ "doubts": slices.doubts, "fenced": slices.fenced() })) })
             .to_string()
     }
 
     /// The books, where they are ours to keep.
     fn keep_books(&mut self, now: Moment, out: &mut Outbox) {
         let Some(books) = &mut self.books else { return };
-        let Some(number) = self.member.may(now, BOOKS) else { return books.give_up(now, out) };
+        let Some(number) = self.member.may(now, ACCOUNTING_DUTY) else { return books.give_up(now, out) };
         let used = self.sharing.as_ref().map(|sharing| sharing.used(now)).unwrap_or_default();
-        let what = books.keep(now, number, self.member.record.books().0, used, out);
+        let what = books.keep(now, number, self.member.record.accounting().0, used, out);
         self.tell_record(now, what, out);
     }
 
-    fn tell_record(&mut self, now: Moment, what: Option<What>, out: &mut Outbox) {
+    fn tell_record(&mut self, now: Moment, what: Option<CommandKind>, out: &mut Outbox) {
         let Some(what) = what else { return };
-        let command = Command { id: self.member.draw(), given: now.0 / 1_000_000, what: Some(what) };
+        let command = Command { id: self.member.draw(), issued_at_ms: now.0 / 1_000_000, kind: Some(what) };
         self.ask(now, Purpose::Books, Request::Command(command), out);
     }
 
@@ -244,7 +246,12 @@
         match input {
             // The link took its time: asked again at the effect itself.
             Input::Opened { .. } => {
-                books.opened(now, self.member.may(now, BOOKS), self.member.record.books(), out);
+                books.opened(
+                    now,
+                    self.member.may(now, ACCOUNTING_DUTY),
+                    self.member.record.accounting(),
+                    out,
+                );
             }
             Input::Bytes { bytes, .. } => {
                 let what = books.bytes(now, bytes, out);
@@ -367,7 +374,7 @@
 
     fn view(&self, now: Moment, fresh: bool, age: Span) -> String {
         let among = self.among();
-        let here = |kept: &Standing| orders::part_here(kept, now, &among);
+        let here = |kept: &ActiveOrder| orders::part_here(kept, now, &among);
         admin::record_view(&self.member, fresh, age, here).to_string()
     }
 
@@ -377,13 +384,13 @@
         let grace = self.drain_grace.0 / 1_000_000;
         for told in told {
             let (started, server) = (told.started.0 / 1_000_000, told.server);
-            if self.member.record.drained(&server, started) || self.drains.len() >= MOST_DRAINS {
+            if self.member.record.is_drained(&server, started) || self.drains.len() >= MOST_DRAINS {
                 continue;
             }
             let given = told.told.0 / 1_000_000;
-            let drain = Drain { server, started, told: given, grace };
+            let drain = Drain { server, started, notified_at_ms: given, grace_ms: grace };
             let id = self.member.draw();
-            self.drains.push(Command { id, given, what: Some(What::Drain(drain)) });
+            self.drains.push(Command { id, issued_at_ms: given, kind: Some(CommandKind::Drain(drain)) });
         }
         let under_way = self.purposes.values().any(|purpose| matches!(purpose, Purpose::Drain));
         if self.drains.is_empty() || under_way {
@@ -391,9 +398,9 @@
         }
         let (ms, record) = (now.0 / 1_000_000, &self.member.record);
         // What ran out meanwhile is of no use to anybody.
-        self.drains.retain(|command| match &command.what {
-            Some(What::Drain(drain)) => {
-                !record.drained(&drain.server, drain.started) && drain.told + drain.grace > ms
+        self.drains.retain(|command| match &command.kind {
+            Some(CommandKind::Drain(drain)) => {
+                !record.is_drained(&drain.server, drain.started) && drain.notified_at_ms + drain.grace_ms > ms
             }
             _ => false,
         });
@@ -405,9 +412,12 @@
 
     fn take_number(&mut self, now: Moment, out: &mut Outbox) {
         let least = now.0.max(self.member.last_number() + 1);
-        let take = TakeNumber { planner: self.name.clone(), least };
-        let command =
-            Command { id: self.member.draw(), given: now.0 / 1_000_000, what: Some(What::TakeNumber(take)) };
+        let take = AllocateStartNumber { planner: self.name.clone(), at_least: least };
+        let command = Command {
+            id: self.member.draw(),
+            issued_at_ms: now.0 / 1_000_000,
+            kind: Some(CommandKind::AllocateStartNumber(take)),
+        };
         self.ask(now, Purpose::Number, Request::Command(command), out);
     }
 
--- a/crates/member/src/words.rs
+++ b/crates/member/src/words.rs
@@ -1,13 +1,15 @@
 //! What members say to each other and what a member writes on its disk, as protobuf, and the way to and from the
 //! machine's own types.
 
-use pewtergap_agree::{Body, Entry, Id, Index, Member, Members, Message as Told, Row, Say, Snapshot, Term};
+use pewtergap_agree::{
+    Body, Entry, Id, Index, Member, Members, Message as Told, Payload, Snapshot, Term, WalRecord,
+};
 use pewtergap_protocol::Checked;
 use prost::{Message, Oneof};
 
 /// What this build speaks and understands. Words are the same in both; commands differ, and go by the record's format,
 /// which rises once all who belong speak it.
-pub const FORMATS: (u32, u32) = pewtergap_record::FORMATS;
+pub const FORMATS: (u32, u32) = pewtergap_record::SUPPORTED_FORMATS;
 pub(crate) const MOST_NAME: usize = 256;
 const MOST_MEMBERS: usize = 64;
 /// A message: entries or a piece, and their heads.
@@ -423,14 +425,20 @@
 
 pub fn seats(members: &Members) -> Seats {
     let seat = |m: &Member| {
-        let (name, at) = (m.name.clone(), m.at.clone());
-        Seat { id: m.id, name, at, votes: m.votes, observes: m.observes }
+        let (name, at) = (m.name.clone(), m.address.clone());
+        Seat { id: m.id, name, at, votes: m.is_voter, observes: m.is_observer }
     };
     Seats { list: members.list.iter().map(seat).collect(), retired: members.retired.clone() }
 }
 
 pub fn members(seats: Seats) -> Members {
-    let member = |s: Seat| Member { id: s.id, name: s.name, at: s.at, votes: s.votes, observes: s.observes };
+    let member = |s: Seat| Member {
+        id: s.id,
+        name: s.name,
+        address: s.at,
+        is_voter: s.votes,
+        is_observer: s.observes,
+    };
     Members { list: seats.list.into_iter().map(member).collect(), retired: seats.retired }
 }
 
@@ -466,63 +474,71 @@
 }
 
 pub fn agreeing(message: &Told) -> Agreeing {
-    let say = match &message.say {
-        Say::Trial { last } => Saying::Trial(place(*last)),
-        Say::Trialled { granted } => Saying::Trialled(*granted),
-        Say::Ask { last, handed } => Saying::Ask(Ask { last: place(*last), handed: *handed }),
-        Say::Vote { granted } => Saying::Vote(*granted),
-        Say::Append { prev, entries, commit, round } => {
+    let say = match &message.payload {
+        Payload::PreVoteRequest { last_log: last } => Saying::Trial(place(*last)),
+        Payload::PreVoteResponse { granted } => Saying::Trialled(*granted),
+        Payload::VoteRequest { last_log: last, leader_transfer: handed } => {
+            Saying::Ask(Ask { last: place(*last), handed: *handed })
+        }
+        Payload::VoteResponse { granted } => Saying::Vote(*granted),
+        Payload::AppendEntries { prev, entries, commit, round } => {
             let entries = entries.iter().map(|entry| kept(0, entry)).collect();
             Saying::Append(Append { prev: place(*prev), entries, commit: *commit, round: *round })
         }
-        Say::Took { refused, matched, round } => {
+        Payload::AppendResponse { rejected: refused, match_index: matched, round } => {
             Saying::Took(Took { refused: *refused, matched: *matched, round: *round })
         }
-        Say::Piece { snapshot, at, total } => {
+        Payload::SnapshotChunk { snapshot, offset: at, total_bytes: total } => {
             Saying::Piece(Piece { snapshot: image(snapshot), at: *at, total: *total })
         }
-        Say::Got { index, bytes } => Saying::Got(place((*bytes, *index))),
-        Say::Stand => Saying::Stand(true),
+        Payload::SnapshotChunkAck { index, bytes_received: bytes } => Saying::Got(place((*bytes, *index))),
+        Payload::TimeoutNow => Saying::Stand(true),
     };
     Agreeing { term: message.term, say: Some(say) }
 }
 
 pub fn told(agreeing: Agreeing) -> Result<Told, String> {
     let say = match agreeing.say.ok_or("nothing of this format is said")? {
-        Saying::Trial(last) => Say::Trial { last: (last.term, last.index) },
-        Saying::Trialled(granted) => Say::Trialled { granted },
-        Saying::Ask(ask) => Say::Ask { last: (ask.last.term, ask.last.index), handed: ask.handed },
-        Saying::Vote(granted) => Say::Vote { granted },
-        Saying::Append(append) => Say::Append {
+        Saying::Trial(last) => Payload::PreVoteRequest { last_log: (last.term, last.index) },
+        Saying::Trialled(granted) => Payload::PreVoteResponse { granted },
+        Saying::Ask(ask) => {
+            Payload::VoteRequest { last_log: (ask.last.term, ask.last.index), leader_transfer: ask.handed }
+        }
+        Saying::Vote(granted) => Payload::VoteResponse { granted },
+        Saying::Append(append) => Payload::AppendEntries {
             prev: (append.prev.term, append.prev.index),
             entries: append.entries.into_iter().map(entry).collect::<Result<_, _>>()?,
             commit: append.commit,
             round: append.round,
         },
-        Saying::Took(took) => Say::Took { refused: took.refused, matched: took.matched, round: took.round },
-        Saying::Piece(piece) => {
-            Say::Piece { snapshot: snapshot(piece.snapshot), at: piece.at, total: piece.total }
+        Saying::Took(took) => {
+            Payload::AppendResponse { rejected: took.refused, match_index: took.matched, round: took.round }
         }
-        Saying::Got(got) => Say::Got { index: got.index, bytes: got.term },
-        Saying::Stand(_) => Say::Stand,
+        Saying::Piece(piece) => Payload::SnapshotChunk {
+            snapshot: snapshot(piece.snapshot),
+            offset: piece.at,
+            total_bytes: piece.total,
+        },
+        Saying::Got(got) => Payload::SnapshotChunkAck { index: got.index, bytes_received: got.term },
+        Saying::Stand(_) => Payload::TimeoutNow,
     };
-    Ok(Told { term: agreeing.term, say })
+    Ok(Told { term: agreeing.term, payload: say })
 }
 
-pub fn on_disk(row: &Row) -> OnDisk {
+pub fn on_disk(row: &WalRecord) -> OnDisk {
     match row {
-        Row::Hard { term, vote } => OnDisk::Hard(place((*term, *vote))),
-        Row::Entry { index, entry } => OnDisk::Entry(kept(*index, entry)),
-        Row::Snapshot(snapshot) => OnDisk::Snapshot(image(snapshot)),
+        WalRecord::HardState { term, vote } => OnDisk::Hard(place((*term, *vote))),
+        WalRecord::Entry { index, entry } => OnDisk::Entry(kept(*index, entry)),
+        WalRecord::Snapshot(snapshot) => OnDisk::Snapshot(image(snapshot)),
     }
 }
 
 /// A row of the log, if it is one.
-pub fn row(row: OnDisk) -> Result<Option<Row>, String> {
+pub fn row(row: OnDisk) -> Result<Option<WalRecord>, String> {
     Ok(Some(match row {
-        OnDisk::Hard(hard) => Row::Hard { term: hard.term, vote: hard.index },
-        OnDisk::Entry(kept) => Row::Entry { index: kept.index, entry: entry(kept)? },
-        OnDisk::Snapshot(image) => Row::Snapshot(snapshot(image)),
+        OnDisk::Hard(hard) => WalRecord::HardState { term: hard.term, vote: hard.index },
+        OnDisk::Entry(kept) => WalRecord::Entry { index: kept.index, entry: entry(kept)? },
+        OnDisk::Snapshot(image) => WalRecord::Snapshot(snapshot(image)),
         OnDisk::Identity(_) | OnDisk::Seen(_) | OnDisk::Number(_) | OnDisk::Committed(_) => return Ok(None),
     }))
 }
--- a/crates/member/tests/books.rs
+++ b/crates/member/tests/books.rs
@@ -2,7 +2,7 @@
 
 use pewtergap_member::books::{Books, Receiver};
 use pewtergap_node::{Effect, Outbox};
-use pewtergap_record::Books as Kept;
+use pewtergap_record::AccountingState as Kept;
 use pewtergap_time::{Moment, Span};
 use std::net::SocketAddr;
 
@@ -10,8 +10,8 @@
 
 #[test]
 fn nothing_is_sent_under_a_number_or_of_a_period_that_is_past_when_the_link_stands() {
-    let closed = Kept { closed: 7, at: 3, arrived: 6 };
-    let later = Kept { closed: 8, at: 9, arrived: 7 };
+    let closed = Kept { closed_period: 7, closed_at_index: 3, delivered_period: 6 };
+    let later = Kept { closed_period: 8, closed_at_index: 9, delivered_period: 7 };
     let cases = [
         ("as it was", Some(5), closed),
         ("the lease has ended", None, closed),
--- a/crates/member/tests/hand.rs
+++ b/crates/member/tests/hand.rs
@@ -1,6 +1,6 @@
 //! A member fed by hand: whom it speaks with, and what it believes of its disk.
 
-use pewtergap_agree::Times;
+use pewtergap_agree::RaftConfig;
 use pewtergap_member::words::{word, Hello, Refuse, Seat, Word};
 use pewtergap_member::{Member, Post};
 use pewtergap_node::{Effect, Input, Link, Outbox, NO_FILE};
@@ -32,7 +32,7 @@
             listen: (members.len() > 1).then_some(at),
             members: members.iter().map(|name| (name.to_string(), at)).collect(),
             from: None,
-            times: Times { beat: Span::millis(50), election: Span::millis(300) },
+            times: RaftConfig { heartbeat_interval: Span::millis(50), election_timeout: Span::millis(300) },
             patience: Span::millis(1_000),
             seed: if file.is_some() { 10 } else { 9 },
             format: 2,
@@ -168,7 +168,7 @@
 fn a_disk_that_fails_a_sync_is_not_believed_again() {
     let mut hand = Hand::new(&["a"], None);
     hand.pass(500);
-    assert!(hand.member.agree().is_some_and(|agree| agree.commit() > 0), "it has begun");
+    assert!(hand.member.agree().is_some_and(|agree| agree.commit_index() > 0), "it has begun");
     hand.disk = false;
     hand.seen.clear();
     let number = hand.now.0;
@@ -248,7 +248,7 @@
 #[test]
 fn a_planner_that_handed_a_part_back_is_renewed_again_once_that_is_committed() {
     use pewtergap_member::Request;
-    use pewtergap_record::{Command, Share, What};
+    use pewtergap_record::{BudgetShift, Command, CommandKind};
     use pewtergap_shares::Shift;
     let mut hand = Hand::new(&["a"], None);
     hand.pass(1_000);
@@ -256,8 +256,8 @@
         (1, Shift::Claim { by: 7, start: 1, base: 100_000, founders: 1, founded: true }),
         (2, Shift::Back { from: 7, units: 1, number: 1 }),
     ] {
-        let what = Some(What::Share(Share::of("cold", &shift)));
-        let command = Command { id, given: hand.now.0 / 1_000_000, what };
+        let what = Some(CommandKind::BudgetShift(BudgetShift::of("cold", &shift)));
+        let command = Command { id, issued_at_ms: hand.now.0 / 1_000_000, kind: what };
         hand.disk = true;
         hand.slow = Some(Vec::new());
         hand.member.ask(hand.now, id, Request::Command(command), &mut hand.out);
@@ -267,7 +267,7 @@
         tickets.into_iter().for_each(|ticket| hand.synced(ticket));
         hand.pass(200);
         assert!(!hand.member.taking_from(7));
-        assert!(hand.member.record.answered(id).is_some());
+        assert!(hand.member.record.past_outcome(id).is_some());
     }
 }
 
--- a/crates/member/tests/releaser.rs
+++ b/crates/member/tests/releaser.rs
@@ -1,7 +1,7 @@
 //! The releaser, fed by hand: how an order in steps goes on, and when it is taken back.
 
 use pewtergap_member::releaser::Releaser;
-use pewtergap_record::{Cap, Command, Give, Order, Record, What, Wish, RELEASE};
+use pewtergap_record::{AssignDuty, Cap, Command, CommandKind, Order, OrderAction, Record, RELEASE_DUTY};
 use pewtergap_time::{Moment, Span};
 use std::fmt::Write;
 
@@ -17,10 +17,11 @@
 }
 
 impl Hand {
-    fn apply(&mut self, what: What) -> u64 {
+    fn apply(&mut self, what: CommandKind) -> u64 {
         self.index += 1;
-        let answer =
-            self.record.apply(self.index, &Command { id: self.index, given: 1, what: Some(what.clone()) });
+        let answer = self
+            .record
+            .apply(self.index, &Command { id: self.index, issued_at_ms: 1, kind: Some(what.clone()) });
         let _ = writeln!(self.trace, "{:>5} {}: {answer:?}", self.ms, named(&what));
         self.index
     }
@@ -36,28 +37,35 @@
     }
 }
 
-fn named(what: &What) -> String {
+fn named(what: &CommandKind) -> String {
     match what {
-        What::Step(step) => format!("step to {} under {} {}", step.reached, step.number, step.why),
-        What::Give(give) => format!("{} to {}", give.duty, give.name),
-        What::Order(order) => order.wish.as_ref().map_or(String::new(), Wish::words),
+        CommandKind::RolloutStep(step) => {
+            format!("step to {} under {} {}", step.progress, step.fencing_token, step.revert_reason)
+        }
+        CommandKind::AssignDuty(give) => format!("{} to {}", give.duty, give.holder_name),
+        CommandKind::Order(order) => order.action.as_ref().map_or(String::new(), OrderAction::describe),
         _ => String::new(),
     }
 }
 
-fn give(to: u64, number: u64) -> What {
-    What::Give(Give { duty: RELEASE.into(), to, name: format!("p{to}"), number })
+fn give(to: u64, number: u64) -> CommandKind {
+    CommandKind::AssignDuty(AssignDuty {
+        duty: RELEASE_DUTY.into(),
+        holder: to,
+        holder_name: format!("p{to}"),
+        expected_fencing_token: number,
+    })
 }
 
-fn cap(route: &str) -> What {
-    let wish = Some(Wish::Cap(Cap { route: route.into(), level: 0.5 }));
-    What::Order(Order {
-        who: "x".into(),
-        why: "y".into(),
-        until: 0,
-        wish,
+fn cap(route: &str) -> CommandKind {
+    let wish = Some(OrderAction::SetCap(Cap { route: route.into(), level: 0.5 }));
+    CommandKind::Order(Order {
+        issued_by: "x".into(),
+        reason: "y".into(),
+        expires_at_ms: 0,
+        action: wish,
         steps: 3,
-        pause: 2_000,
+        step_pause_ms: 2_000,
         by_proxies: false,
     })
 }
@@ -67,7 +75,7 @@
     let releaser = Releaser::default();
     let record = Record::default();
     let mut hand = Hand { record, releaser, index: 0, ms: 0, figures: (0, 0), trace: String::new() };
-    hand.apply(What::Raise(2));
+    hand.apply(CommandKind::RaiseFormat(2));
     let first = hand.apply(give(1, 0));
     hand.apply(cap("quiet"));
     (0..4).for_each(|_| hand.second(500, 5, first));
--- a/crates/record/src/commands.rs
+++ b/crates/record/src/commands.rs
@@ -3,8 +3,8 @@
 use pewtergap_shares::Shift;
 use prost::{Message, Oneof};
 
-pub const MOST_NAME: usize = 256;
-pub const MOST_WHY: usize = 1024;
+pub const MAX_NAME_LEN: usize = 256;
+pub const MAX_REASON_LEN: usize = 1024;
 
 /// One entry of the log. `id` is drawn by whoever gives it and stays when it is given again; `given` is when, in
 /// milliseconds of the calendar.
@@ -13,54 +13,54 @@
     #[prost(fixed64, tag = "1")]
     pub id: u64,
     #[prost(uint64, tag = "2")]
-    pub given: u64,
-    #[prost(oneof = "What", tags = "3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15")]
-    pub what: Option<What>,
+    pub issued_at_ms: u64,
+    #[prost(oneof = "CommandKind", tags = "3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15")]
+    pub kind: Option<CommandKind>,
 }
 
 #[derive(Clone, PartialEq, Oneof)]
-pub enum What {
+pub enum CommandKind {
     #[prost(message, tag = "3")]
     Order(Order),
     /// A planner starts and takes the next number; nobody else ever has it.
     #[prost(message, tag = "4")]
-    TakeNumber(TakeNumber),
+    AllocateStartNumber(AllocateStartNumber),
     /// A drain was told to a planner for the first time.
     #[prost(message, tag = "5")]
     Drain(Drain),
     /// Ends what has run out by this moment, and forgets ids given long before.
     #[prost(message, tag = "6")]
-    Clean(Clean),
+    Cleanup(Cleanup),
     /// From here on commands mean what this format says; all who belong speak it.
     #[prost(uint32, tag = "7")]
-    Raise(u32),
+    RaiseFormat(u32),
     /// A duty gets a holder. From format 2 on, as all that follow.
     #[prost(message, tag = "8")]
-    Give(Give),
+    AssignDuty(AssignDuty),
     /// Its holder has stopped and hands it on.
     #[prost(message, tag = "9")]
-    Release(Release),
+    ReleaseDuty(ReleaseDuty),
     /// An operator wants a duty at a planner, or no longer anywhere.
     #[prost(message, tag = "10")]
-    Hand(Hand),
+    PinDuty(PinDuty),
     /// A period of the books is closed, what it says is fixed from here on; or it has arrived.
     #[prost(message, tag = "11")]
-    Close(Close),
+    ClosePeriod(PeriodReport),
     #[prost(message, tag = "12")]
-    Arrived(Close),
+    PeriodDelivered(PeriodReport),
     /// An order in steps is let go on, or is taken back.
     #[prost(message, tag = "13")]
-    Step(Step),
+    RolloutStep(RolloutStep),
     /// How long leases are, in milliseconds.
     #[prost(uint64, tag = "14")]
-    Lease(u64),
+    SetLease(u64),
     /// A part of a budget goes from one planner to another, or is free. From format 3 on.
     #[prost(message, tag = "15")]
-    Share(Share),
+    BudgetShift(BudgetShift),
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct Share {
+pub struct BudgetShift {
     #[prost(string, tag = "1")]
     pub budget: String,
     #[prost(oneof = "Shifts", tags = "2, 3, 4, 5")]
@@ -104,8 +104,8 @@
     pub number: u64,
 }
 
-impl Share {
-    pub fn of(budget: &str, shift: &Shift) -> Share {
+impl BudgetShift {
+    pub fn of(budget: &str, shift: &Shift) -> BudgetShift {
         let moved = |of, units, number| Moved { of, units, number };
         let shift = match *shift {
             Shift::Claim { by, start, base, founders, founded } => {
@@ -115,7 +115,7 @@
             Shift::Back { from, units, number } => Shifts::Back(moved(from, units, number)),
             Shift::End { of, number } => Shifts::End(moved(of, 0, number)),
         };
-        Share { budget: budget.into(), shift: Some(shift) }
+        BudgetShift { budget: budget.into(), shift: Some(shift) }
     }
 
     pub fn shift(&self) -> Option<Shift> {
@@ -140,75 +140,75 @@
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct Step {
+pub struct RolloutStep {
     /// The order's number.
     #[prost(uint64, tag = "1")]
-    pub order: u64,
+    pub order_index: u64,
     /// Thousandths of it.
     #[prost(uint32, tag = "2")]
-    pub reached: u32,
+    pub progress: u32,
     #[prost(uint64, tag = "3")]
-    pub number: u64,
+    pub fencing_token: u64,
     /// Why it is taken back; empty: it is not.
     #[prost(string, tag = "4")]
-    pub why: String,
+    pub revert_reason: String,
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct Give {
+pub struct AssignDuty {
     #[prost(string, tag = "1")]
     pub duty: String,
     /// The disk's number and the name of the planner.
     #[prost(fixed64, tag = "2")]
-    pub to: u64,
+    pub holder: u64,
     #[prost(string, tag = "3")]
-    pub name: String,
+    pub holder_name: String,
     /// The number that it had when this was decided; another one: decided too late.
     #[prost(uint64, tag = "4")]
-    pub number: u64,
+    pub expected_fencing_token: u64,
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct Release {
+pub struct ReleaseDuty {
     #[prost(string, tag = "1")]
     pub duty: String,
     #[prost(uint64, tag = "2")]
-    pub number: u64,
+    pub fencing_token: u64,
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct Hand {
+pub struct PinDuty {
     #[prost(string, tag = "1")]
     pub duty: String,
     /// Empty: wherever it falls.
     #[prost(string, tag = "2")]
-    pub to: String,
+    pub planner: String,
     #[prost(string, tag = "3")]
-    pub who: String,
+    pub issued_by: String,
     #[prost(string, tag = "4")]
-    pub why: String,
+    pub reason: String,
 }
 
 /// A period of the books by its id, under the number of whoever keeps them.
 #[derive(Clone, PartialEq, Message)]
-pub struct Close {
+pub struct PeriodReport {
     #[prost(uint64, tag = "1")]
     pub period: u64,
     #[prost(uint64, tag = "2")]
-    pub number: u64,
+    pub fencing_token: u64,
     /// From format 3 on: what each planner has counted of each route and zone, as its keeper has heard.
     #[prost(message, repeated, tag = "3")]
-    pub used: Vec<Used>,
+    pub usage: Vec<CallUsage>,
 }
 
 /// Calls that proxies of a zone took in on a route, since that start of that planner.
 #[derive(Clone, PartialEq, Message)]
-pub struct Used {
+pub struct CallUsage {
     #[prost(string, tag = "1")]
     pub planner: String,
     /// Its disk and which start of it: a sum begins anew with each.
     #[prost(fixed64, tag = "2")]
-    pub disk: u64,
+    pub disk_id: u64,
     #[prost(uint64, tag = "3")]
     pub start: u64,
     #[prost(string, tag = "4")]
@@ -223,61 +223,61 @@
 }
 
 /// Rows of use that one period may have.
-pub const MOST_USED: usize = 1_024;
+pub const MAX_USAGE_ROWS: usize = 1_024;
 
 /// An operator's order. The newest on a subject is in force.
 #[derive(Clone, PartialEq, Message)]
 pub struct Order {
     #[prost(string, tag = "1")]
-    pub who: String,
+    pub issued_by: String,
     #[prost(string, tag = "2")]
-    pub why: String,
+    pub reason: String,
     /// In milliseconds of the calendar; 0: until it is taken back.
     #[prost(uint64, tag = "3")]
-    pub until: u64,
-    #[prost(oneof = "Wish", tags = "4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 16, 17")]
-    pub wish: Option<Wish>,
+    pub expires_at_ms: u64,
+    #[prost(oneof = "OrderAction", tags = "4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 16, 17")]
+    pub action: Option<OrderAction>,
     /// In so many steps, with so many milliseconds between them at least; 0: it binds at once.
     #[prost(uint32, tag = "14")]
     pub steps: u32,
     #[prost(uint64, tag = "15")]
-    pub pause: u64,
+    pub step_pause_ms: u64,
     /// Steps are a share of the planners, each with its proxies, that carry it out whole. From format 3 on.
     #[prost(bool, tag = "18")]
     pub by_proxies: bool,
 }
 
 #[derive(Clone, PartialEq, Oneof)]
-pub enum Wish {
+pub enum OrderAction {
     /// A server takes no more calls, whatever the list says.
     #[prost(string, tag = "4")]
     Drain(String),
     /// It goes by the list again.
     #[prost(string, tag = "5")]
-    TakeBack(String),
+    Undrain(String),
     #[prost(message, tag = "6")]
-    Weight(Weight),
+    SetWeight(Weight),
     #[prost(string, tag = "7")]
-    FreeWeight(String),
+    ClearWeight(String),
     #[prost(message, tag = "8")]
-    Cap(Cap),
+    SetCap(Cap),
     #[prost(string, tag = "9")]
-    Uncap(String),
+    ClearCap(String),
     /// No table changes but removals.
     #[prost(message, tag = "10")]
-    HoldReleases(Clean),
+    HoldReleases(Cleanup),
     #[prost(message, tag = "11")]
-    LetReleases(Clean),
+    ResumeReleases(Cleanup),
     /// No duty moves but what is lost.
     #[prost(message, tag = "12")]
-    HoldDuties(Clean),
+    HoldDuties(Cleanup),
     #[prost(message, tag = "13")]
-    LetDuties(Clean),
+    ResumeDuties(Cleanup),
     /// All servers of a zone, whatever the list says.
     #[prost(string, tag = "16")]
     DrainZone(String),
     #[prost(string, tag = "17")]
-    TakeBackZone(String),
+    UndrainZone(String),
 }
 
 #[derive(Clone, PartialEq, Message)]
@@ -298,12 +298,12 @@
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct TakeNumber {
+pub struct AllocateStartNumber {
     #[prost(string, tag = "1")]
     pub planner: String,
     /// Above what it has counted without the record.
     #[prost(uint64, tag = "2")]
-    pub least: u64,
+    pub at_least: u64,
 }
 
 #[derive(Clone, PartialEq, Message)]
@@ -315,18 +315,18 @@
     pub started: u64,
     /// When it was told, in milliseconds of the calendar, and for how long the grace is.
     #[prost(uint64, tag = "3")]
-    pub told: u64,
+    pub notified_at_ms: u64,
     #[prost(uint64, tag = "4")]
-    pub grace: u64,
+    pub grace_ms: u64,
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct Clean {
+pub struct Cleanup {
     #[prost(uint64, tag = "1")]
-    pub now: u64,
+    pub now_ms: u64,
     /// Under which number of the duty, where there is one.
     #[prost(uint64, tag = "2")]
-    pub number: u64,
+    pub fencing_token: u64,
 }
 
 /// What an order is about: two on one subject don't stand beside each other.
@@ -340,56 +340,62 @@
     Zone(String),
 }
 
-impl Wish {
+impl OrderAction {
     /// The subject, and whether the order leaves something in force there.
     pub fn subject(&self) -> (Subject, bool) {
         match self {
-            Wish::Drain(server) => (Subject::Server(server.clone()), true),
-            Wish::TakeBack(server) => (Subject::Server(server.clone()), false),
-            Wish::Weight(weight) => (Subject::Weight(weight.server.clone()), true),
-            Wish::FreeWeight(server) => (Subject::Weight(server.clone()), false),
-            Wish::Cap(cap) => (Subject::Route(cap.route.clone()), true),
-            Wish::Uncap(route) => (Subject::Route(route.clone()), false),
-            Wish::HoldReleases(_) => (Subject::Releases, true),
-            Wish::LetReleases(_) => (Subject::Releases, false),
-            Wish::DrainZone(zone) => (Subject::Zone(zone.clone()), true),
-            Wish::TakeBackZone(zone) => (Subject::Zone(zone.clone()), false),
-            Wish::HoldDuties(_) => (Subject::Duties, true),
-            Wish::LetDuties(_) => (Subject::Duties, false),
+            OrderAction::Drain(server) => (Subject::Server(server.clone()), true),
+            OrderAction::Undrain(server) => (Subject::Server(server.clone()), false),
+            OrderAction::SetWeight(weight) => (Subject::Weight(weight.server.clone()), true),
+            OrderAction::ClearWeight(server) => (Subject::Weight(server.clone()), false),
+            OrderAction::SetCap(cap) => (Subject::Route(cap.route.clone()), true),
+            OrderAction::ClearCap(route) => (Subject::Route(route.clone()), false),
+            OrderAction::HoldReleases(_) => (Subject::Releases, true),
+            OrderAction::ResumeReleases(_) => (Subject::Releases, false),
+            OrderAction::DrainZone(zone) => (Subject::Zone(zone.clone()), true),
+            OrderAction::UndrainZone(zone) => (Subject::Zone(zone.clone()), false),
+            OrderAction::HoldDuties(_) => (Subject::Duties, true),
+            OrderAction::ResumeDuties(_) => (Subject::Duties, false),
         }
     }
 
-    pub fn words(&self) -> String {
+    pub fn describe(&self) -> String {
         match self {
-            Wish::Drain(server) => format!("drain {server}"),
-            Wish::TakeBack(server) => format!("take-back {server}"),
-            Wish::Weight(w) => format!("weight {} {}", w.server, w.weight),
-            Wish::FreeWeight(server) => format!("free-weight {server}"),
-            Wish::Cap(cap) => format!("cap {} {}", cap.route, cap.level),
-            Wish::Uncap(route) => format!("uncap {route}"),
-            Wish::HoldReleases(_) => "hold-releases".into(),
-            Wish::LetReleases(_) => "let-releases".into(),
-            Wish::DrainZone(zone) => format!("drain-zone {zone}"),
-            Wish::TakeBackZone(zone) => format!("take-back-zone {zone}"),
-            Wish::HoldDuties(_) => "hold-duties".into(),
-            Wish::LetDuties(_) => "let-duties".into(),
+            OrderAction::Drain(server) => format!("drain {server}"),
+            OrderAction::Undrain(server) => format!("take-back {server}"),
+            OrderAction::SetWeight(w) => format!("weight {} {}", w.server, w.weight),
+            OrderAction::ClearWeight(server) => format!("free-weight {server}"),
+            OrderAction::SetCap(cap) => format!("cap {} {}", cap.route, cap.level),
+            OrderAction::ClearCap(route) => format!("uncap {route}"),
+            OrderAction::HoldReleases(_) => "hold-releases".into(),
+            OrderAction::ResumeReleases(_) => "let-releases".into(),
+            OrderAction::DrainZone(zone) => format!("drain-zone {zone}"),
+            OrderAction::UndrainZone(zone) => format!("take-back-zone {zone}"),
+            OrderAction::HoldDuties(_) => "hold-duties".into(),
+            OrderAction::ResumeDuties(_) => "let-duties".into(),
         }
     }
 }
 
-impl What {
+impl CommandKind {
     /// Given by planners themselves, not by operators.
     pub(crate) fn is_own(&self) -> bool {
-        !matches!(self, What::Order(_) | What::Hand(_) | What::Clean(_) | What::Raise(_))
+        !matches!(
+            self,
+            CommandKind::Order(_)
+                | CommandKind::PinDuty(_)
+                | CommandKind::Cleanup(_)
+                | CommandKind::RaiseFormat(_)
+        )
     }
 }
 
 impl Command {
     /// What it may change for those who go by the record; none: anything.
     pub fn subject(&self) -> Option<Subject> {
-        match self.what.as_ref()? {
-            What::Order(order) => Some(order.wish.as_ref()?.subject().0),
-            What::Drain(drain) => Some(Subject::Server(drain.server.clone())),
+        match self.kind.as_ref()? {
+            CommandKind::Order(order) => Some(order.action.as_ref()?.subject().0),
+            CommandKind::Drain(drain) => Some(Subject::Server(drain.server.clone())),
             _ => None,
         }
     }
@@ -405,49 +411,54 @@
         if self.id == 0 {
             return Err("id is missing".into());
         }
-        match self.what.as_ref().ok_or("no command")? {
-            What::Order(order) => {
-                name("who", &order.who, MOST_NAME)?;
-                name("why", &order.why, MOST_WHY)?;
-                let wish = order.wish.as_ref().ok_or("no order is given")?;
+        match self.kind.as_ref().ok_or("no command")? {
+            CommandKind::Order(order) => {
+                name("who", &order.issued_by, MAX_NAME_LEN)?;
+                name("why", &order.reason, MAX_REASON_LEN)?;
+                let wish = order.action.as_ref().ok_or("no order is given")?;
                 if order.steps > 1_000 {
                     return Err(format!("steps: {} of 1000 at most", order.steps));
                 }
                 match wish {
-                    Wish::Weight(w) if !(w.weight > 0.0 && w.weight <= 1e6) => {
+                    OrderAction::SetWeight(w) if !(w.weight > 0.0 && w.weight <= 1e6) => {
                         return Err(format!("weight {} is not above 0 and at most 1000000", w.weight));
                     }
-                    Wish::Cap(cap) if !(0.0..=1.0).contains(&cap.level) => {
+                    OrderAction::SetCap(cap) if !(0.0..=1.0).contains(&cap.level) => {
                         return Err(format!("level {} is not a part between 0 and 1", cap.level));
                     }
                     _ => {}
                 }
                 match wish.subject().0 {
-                    Subject::Server(text) | Subject::Weight(text) => name("server", &text, MOST_NAME),
-                    Subject::Zone(text) => name("zone", &text, MOST_NAME),
-                    Subject::Route(text) => name("route", &text, MOST_NAME),
+                    Subject::Server(text) | Subject::Weight(text) => name("server", &text, MAX_NAME_LEN),
+                    Subject::Zone(text) => name("zone", &text, MAX_NAME_LEN),
+                    Subject::Route(text) => name("route", &text, MAX_NAME_LEN),
                     Subject::Releases | Subject::Duties => Ok(()),
                 }
             }
-            What::TakeNumber(take) => name("planner", &take.planner, MOST_NAME),
-            What::Drain(drain) => name("server", &drain.server, MOST_NAME),
-            What::Give(give) => name("duty", &give.duty, MOST_NAME),
-            What::Release(release) => name("duty", &release.duty, MOST_NAME),
-            What::Hand(hand) => {
-                name("duty", &hand.duty, MOST_NAME)?;
-                name("who", &hand.who, MOST_NAME)?;
-                name("why", &hand.why, MOST_WHY)
+            CommandKind::AllocateStartNumber(take) => name("planner", &take.planner, MAX_NAME_LEN),
+            CommandKind::Drain(drain) => name("server", &drain.server, MAX_NAME_LEN),
+            CommandKind::AssignDuty(give) => name("duty", &give.duty, MAX_NAME_LEN),
+            CommandKind::ReleaseDuty(release) => name("duty", &release.duty, MAX_NAME_LEN),
+            CommandKind::PinDuty(hand) => {
+                name("duty", &hand.duty, MAX_NAME_LEN)?;
+                name("who", &hand.issued_by, MAX_NAME_LEN)?;
+                name("why", &hand.reason, MAX_REASON_LEN)
+            }
+            CommandKind::RolloutStep(step) if step.revert_reason.len() > MAX_REASON_LEN => {
+                Err("why is too long".into())
             }
-            What::Step(step) if step.why.len() > MOST_WHY => Err("why is too long".into()),
-            What::Step(_) | What::Lease(_) => Ok(()),
-            What::Share(share) => {
-                name("budget", &share.budget, MOST_NAME)?;
+            CommandKind::RolloutStep(_) | CommandKind::SetLease(_) => Ok(()),
+            CommandKind::BudgetShift(share) => {
+                name("budget", &share.budget, MAX_NAME_LEN)?;
                 share.shift().map(drop).ok_or("nothing is shared out".into())
             }
-            What::Close(close) if close.used.len() > MOST_USED => {
-                Err(format!("{MOST_USED} rows of use at most"))
+            CommandKind::ClosePeriod(close) if close.usage.len() > MAX_USAGE_ROWS => {
+                Err(format!("{MAX_USAGE_ROWS} rows of use at most"))
             }
-            What::Clean(_) | What::Raise(_) | What::Close(_) | What::Arrived(_) => Ok(()),
+            CommandKind::Cleanup(_)
+            | CommandKind::RaiseFormat(_)
+            | CommandKind::ClosePeriod(_)
+            | CommandKind::PeriodDelivered(_) => Ok(()),
         }
     }
 }
--- a/crates/scale/src/hollow.rs
+++ b/crates/scale/src/hollow.rs
@@ -8,7 +8,7 @@
 use crate::wire::{Cut, Wire};
 use pewtergap_node::{Input, Node, Outbox};
 use pewtergap_reactor::{Clock, Handle, Place, Reactor};
-use pewtergap_record::{Standing, Wish};
+use pewtergap_record::{ActiveOrder, OrderAction};
 use pewtergap_time::{Moment, Span};
 use pewtergap_watch::{ClientConfig, SavedState, Scope, WatchClient, WatchConfig, WatchEvent};
 use prost::Message;
@@ -105,8 +105,8 @@
 
 /// The wish of an order on a weight, as the record's keys have it.
 fn weight_of(bytes: &[u8]) -> Option<f64> {
-    match Standing::decode(bytes).ok()?.order?.wish? {
-        Wish::Weight(weight) => Some(weight.weight),
+    match ActiveOrder::decode(bytes).ok()?.order?.action? {
+        OrderAction::SetWeight(weight) => Some(weight.weight),
         _ => None,
     }
 }
--- a/crates/settings/src/files.rs
+++ b/crates/settings/src/files.rs
@@ -2,10 +2,10 @@
 
 use crate::read::{Faults, Section, Share};
 use crate::script::Script;
-use pewtergap_agree::Times;
+use pewtergap_agree::RaftConfig;
 use pewtergap_control::channel::Channel as Queue;
 use pewtergap_control::{Charge, Doors, Probing, Reports, Service, Source};
-use pewtergap_duty::Lease;
+use pewtergap_duty::LeaseConfig;
 use pewtergap_member::words::FORMATS;
 use pewtergap_member::{slice_names, Duties, Post, Receiver, Shares, Together, MOST_MEMBERS, MOST_OBSERVERS};
 use pewtergap_node::Node;
@@ -13,8 +13,8 @@
     Capabilities, ChannelLimits, Contract, Fleet, KeyScope, Planner, RetrySafety, Route, Slicing, Throttle,
 };
 use pewtergap_proxy::{Front, Home, Proxy, Shunning};
-use pewtergap_record::{BOOKS, CLEANING, OBSERVERS, RELEASE};
-use pewtergap_shares::Terms;
+use pewtergap_record::{ACCOUNTING_DUTY, CLEANING_DUTY, OBSERVERS_FORMAT, RELEASE_DUTY};
+use pewtergap_shares::BudgetConfig;
 use pewtergap_tier::{ControlMachine, ControlMachineConfig, WatchTargetConfig, WatchingPlanner};
 use pewtergap_time::{Moment, Span};
 use pewtergap_watch::WatchConfig;
@@ -197,18 +197,23 @@
     if members.len() > MOST_MEMBERS || !members.is_empty() && members.len().is_multiple_of(2) {
         part.fault("members", format!("{} members: 1, 3, 5 or 7 were expected", members.len()));
     }
-    let times =
-        Times { beat: part.or("beat", Span::millis(50)), election: part.or("election", Span::millis(500)) };
-    if times.beat.times(4.0) > times.election {
-        part.clash("election", format!("{} is less than four beats of {}", times.election, times.beat));
+    let times = RaftConfig {
+        heartbeat_interval: part.or("beat", Span::millis(50)),
+        election_timeout: part.or("election", Span::millis(500)),
+    };
+    if times.heartbeat_interval.times(4.0) > times.election_timeout {
+        part.clash(
+            "election",
+            format!("{} is less than four beats of {}", times.election_timeout, times.heartbeat_interval),
+        );
     }
     let patience = part.or("patience", Span::millis(3_000));
     let listen = part.maybe("listen");
     let format = part.or("format", FORMATS.1 as usize) as u32;
     if !(FORMATS.0..=FORMATS.1).contains(&format) {
         part.fault("format", format!("{format}: this build speaks {} to {}", FORMATS.0, FORMATS.1));
-    } else if format < OBSERVERS && !observers.is_empty() {
-        part.fault("format", format!("{format}: observers need {OBSERVERS}"));
+    } else if format < OBSERVERS_FORMAT && !observers.is_empty() {
+        part.fault("format", format!("{format}: observers need {OBSERVERS_FORMAT}"));
     }
     Post {
         name: String::new(),
@@ -229,14 +234,14 @@
 }
 
 /// Duties that one planner holds at a time; left out, there are none and each does all for itself.
-fn duties(part: &Section) -> (Lease, Span, usize) {
-    let lease = Lease {
-        length: part.or("lease", Span::millis(3_000)),
-        renew: part.or("renew", Span::millis(500)),
-        pause: part.or("pause", Span::millis(500)),
-        drift: part.or("drift", Share(0.02)).0,
+fn duties(part: &Section) -> (LeaseConfig, Span, usize) {
+    let lease = LeaseConfig {
+        duration: part.or("lease", Span::millis(3_000)),
+        renew_interval: part.or("renew", Span::millis(500)),
+        max_pause: part.or("pause", Span::millis(500)),
+        max_clock_drift: part.or("drift", Share(0.02)).0,
     };
-    if let Err(why) = lease.check() {
+    if let Err(why) = lease.validate() {
         part.clash("lease", why);
     }
     let slices = part.or("slices", 1);
@@ -256,12 +261,12 @@
     if fresh < every.times(2.0) {
         part.clash("fresh", format!("{fresh} is less than twice what passes between two tellings, {every}"));
     }
-    let terms = Terms {
-        holds: part.or("holds", Span::millis(30_000)),
+    let terms = BudgetConfig {
+        share_validity: part.or("holds", Span::millis(30_000)),
         // A server that was cold under a planner's last tables is warm by then, wherever these still are.
-        lingers: contract.warmup + contract.drain_grace,
-        drift,
-        planners: fleet.planners as u64,
+        effect_timeout: contract.warmup + contract.drain_grace,
+        max_clock_drift: drift,
+        planner_count: fleet.planners as u64,
     };
     let (proxies, most_streams) = (fleet.proxies as f64, reports.most_streams as f64);
     Shares { every, fresh, terms, proxies, most_streams }
@@ -415,12 +420,12 @@
         let watch = part.maybe_part("watch", "watch", watch);
         let receiver = part.maybe_part("books", "books", books);
         let duties = part.maybe_part("duties", "duties", duties).map(|(lease, steady, slices)| {
-            let names = [Some(CLEANING), Some(RELEASE), receiver.map(|_| BOOKS)];
+            let names = [Some(CLEANING_DUTY), Some(RELEASE_DUTY), receiver.map(|_| ACCOUNTING_DUTY)];
             let names = names.into_iter().flatten().map(str::to_string);
             let names = names.chain(slice_names(&zones, slices)).collect();
             (Duties { lease, steady, names }, slices)
         });
-        let drift = duties.as_ref().map_or(0.0, |duties| duties.0.lease.drift);
+        let drift = duties.as_ref().map_or(0.0, |duties| duties.0.lease.max_clock_drift);
         let shares =
             part.maybe_part("sharing", "sharing", |part| sharing(part, &fleet, &reports, &contract, drift));
         if shares.is_some() && duties.is_none() {
--- a/crates/shares/src/lib.rs
+++ b/crates/shares/src/lib.rs
@@ -17,44 +17,44 @@
 mod dealer;
 mod purse;
 
-pub use budget::{Budget, Holding, Shift, WHOLE};
-pub use dealer::Dealer;
-pub use purse::Purse;
+pub use budget::{Budget, Holding, Shift, TOTAL_UNITS};
+pub use dealer::BudgetAllocator;
+pub use purse::LocalShare;
 
 use pewtergap_time::Span;
 
 /// How long a planner that is not heard goes on with what follows demand, and what it caused outlasts that.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terms {
+pub struct BudgetConfig {
     /// From before its last confirmed read of the record.
-    pub holds: Span,
+    pub share_validity: Span,
     /// Longer than any server stays cold, and the way of a table to its proxies.
-    pub lingers: Span,
+    pub effect_timeout: Span,
     /// By which part of it a clock may be fast or slow.
-    pub drift: f64,
+    pub max_clock_drift: f64,
     /// Planners that the fleet is meant to have: each has its base kept for it.
-    pub planners: u64,
+    pub planner_count: u64,
 }
 
-impl Terms {
+impl BudgetConfig {
     /// Half of the budget is parted evenly for good; the other half follows demand.
-    pub fn base(&self) -> u64 {
-        WHOLE / (2 * self.planners.max(1))
+    pub fn base_units(&self) -> u64 {
+        TOTAL_UNITS / (2 * self.planner_count.max(1))
     }
 
     /// By the holder's clock.
     fn believed(&self) -> Span {
-        self.holds.times(1.0 - self.drift)
+        self.share_validity.times(1.0 - self.max_clock_drift)
     }
 
     /// By the giver's clock, from when it heard the holder last until what that one caused is over.
-    pub fn waited(&self) -> Span {
-        (self.holds + self.lingers).times(1.0 + 2.0 * self.drift)
+    pub fn reclaim_delay(&self) -> Span {
+        (self.share_validity + self.effect_timeout).times(1.0 + 2.0 * self.max_clock_drift)
     }
 }
 
 /// What each should have of the part that follows demand. Nobody's demand known: even parts.
-pub fn due(pool: u64, demands: &[f64], at: usize) -> u64 {
+pub fn fair_share(pool: u64, demands: &[f64], at: usize) -> u64 {
     let all: f64 = demands.iter().map(|demand| demand.max(0.0)).sum();
     match demands.get(at) {
         Some(demand) if all > 0.0 => (pool as f64 * demand.max(0.0) / all) as u64,
--- a/crates/shares/src/purse.rs
+++ b/crates/shares/src/purse.rs
@@ -10,7 +10,7 @@
 //! | lowering | due again, nothing on its way | whole | all of it may be used |
 //! | lowering | the record says so | whole | |
 
-use crate::{Holding, Shift, Terms};
+use crate::{BudgetConfig, Holding, Shift};
 use pewtergap_time::{Moment, Span};
 
 /// More than its due by so many times, and by so much, before anything is handed back: demand swings.
@@ -27,8 +27,8 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Purse {
-    terms: Terms,
+pub struct LocalShare {
+    terms: BudgetConfig,
     own: u64,
     start: u64,
     /// Founders, and whether this is one: a base is kept for each until it claims it.
@@ -39,28 +39,28 @@
     claimed: Option<Moment>,
 }
 
-impl Purse {
-    pub fn new(terms: Terms, own: u64, start: u64, founders: u64, founded: bool) -> Purse {
-        Purse { terms, own, start, founders, founded, until: Moment(0), lowering: None, claimed: None }
+impl LocalShare {
+    pub fn new(terms: BudgetConfig, own: u64, start: u64, founders: u64, founded: bool) -> LocalShare {
+        LocalShare { terms, own, start, founders, founded, until: Moment(0), lowering: None, claimed: None }
     }
 
     /// A read of the record was confirmed and is applied here; it had been asked for at this moment.
-    pub fn renewed(&mut self, asked: Moment) {
+    pub fn on_renewed(&mut self, asked: Moment) {
         self.until = self.until.max(asked + self.terms.believed());
     }
 
     /// How much may be used at this very moment.
-    pub fn in_force(&self, now: Moment, holding: Option<&Holding>) -> u64 {
-        let Some(holding) = holding else { return if self.founded { self.terms.base() } else { 0 } };
+    pub fn usable_units(&self, now: Moment, holding: Option<&Holding>) -> u64 {
+        let Some(holding) = holding else { return if self.founded { self.terms.base_units() } else { 0 } };
         if holding.start != self.start || now >= self.until {
             return holding.base;
         }
         let most = self.lowering.as_ref().map_or(u64::MAX, |lowering| lowering.to);
-        holding.base + holding.more.min(most)
+        holding.base + holding.extra.min(most)
     }
 
     /// What the record is to be told now. `due`: of the part that follows demand, where demands are known.
-    pub fn next(&mut self, now: Moment, holding: Option<&Holding>, due: Option<u64>) -> Option<Shift> {
+    pub fn next_shift(&mut self, now: Moment, holding: Option<&Holding>, due: Option<u64>) -> Option<Shift> {
         let Some(held) = holding.filter(|held| held.start == self.start) else {
             self.lowering = None;
             if self.claimed.is_some_and(|at| now.since(at) < AGAIN) {
@@ -68,16 +68,16 @@
             }
             self.claimed = Some(now);
             let (by, start, founders, founded) = (self.own, self.start, self.founders, self.founded);
-            return Some(Shift::Claim { by, start, base: self.terms.base(), founders, founded });
+            return Some(Shift::Claim { by, start, base: self.terms.base_units(), founders, founded });
         };
-        let far = |due: u64| held.more as f64 > due as f64 * FAR && held.more - due > MUCH;
+        let far = |due: u64| held.extra as f64 > due as f64 * FAR && held.extra - due > MUCH;
         match &mut self.lowering {
             None => {
                 let to = due.filter(|due| far(*due))?;
                 self.lowering = Some(Lowering { to, since: now, given: None });
                 None
             }
-            Some(lowering) if held.more <= lowering.to => {
+            Some(lowering) if held.extra <= lowering.to => {
                 self.lowering = None;
                 None
             }
@@ -87,13 +87,14 @@
                 None
             }
             Some(lowering) => {
-                let over = now.since(lowering.since) >= self.terms.lingers.times(1.0 + self.terms.drift);
+                let over = now.since(lowering.since)
+                    >= self.terms.effect_timeout.times(1.0 + self.terms.max_clock_drift);
                 if !over || lowering.given.is_some_and(|at| now.since(at) < AGAIN) {
                     return None;
                 }
                 lowering.given = Some(now);
-                let units = held.more - lowering.to;
-                Some(Shift::Back { from: self.own, units, number: held.number })
+                let units = held.extra - lowering.to;
+                Some(Shift::Back { from: self.own, units, number: held.version })
             }
         }
     }
--- a/crates/shares/tests/schedules.rs
+++ b/crates/shares/tests/schedules.rs
@@ -1,12 +1,17 @@
 //! Planners with clocks that run off, killed, wiped, paused and cut off, under leaders that change and commands that come
 //! late or never: what all of them together can still cause never passes the whole. And the breaks this has to find.
 
-use pewtergap_shares::{Budget, Dealer, Purse, Shift, Terms, WHOLE};
+use pewtergap_shares::{Budget, BudgetAllocator, BudgetConfig, LocalShare, Shift, TOTAL_UNITS};
 use pewtergap_time::{Moment, Span};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, VecDeque};
 
-const TERMS: Terms = Terms { holds: Span::millis(400), lingers: Span::millis(300), drift: 0.02, planners: 4 };
+const TERMS: BudgetConfig = BudgetConfig {
+    share_validity: Span::millis(400),
+    effect_timeout: Span::millis(300),
+    max_clock_drift: 0.02,
+    planner_count: 4,
+};
 const FOUNDERS: usize = 3;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -28,7 +33,7 @@
     alive: bool,
     cut: bool,
     rate: f64,
-    purse: Purse,
+    purse: LocalShare,
     applied: usize,
     /// Asked for at, by its own clock, and the place it has to have applied.
     renewals: VecDeque<(Moment, Option<usize>)>,
@@ -48,7 +53,7 @@
     pending: Vec<Shift>,
     mail: VecDeque<Shift>,
     leader: usize,
-    dealer: Dealer,
+    dealer: BudgetAllocator,
     ids: u64,
     /// By disk: what was in force when.
     caused: BTreeMap<u64, VecDeque<(u64, u64)>>,
@@ -73,7 +78,7 @@
             alive: at < FOUNDERS,
             cut: false,
             rate: 0.985 + 0.01 * at as f64,
-            purse: Purse::new(terms, at as u64 + 1, 1, FOUNDERS as u64, at < FOUNDERS),
+            purse: LocalShare::new(terms, at as u64 + 1, 1, FOUNDERS as u64, at < FOUNDERS),
             applied: 0,
             renewals: VecDeque::new(),
             demand: 1.0 + at as f64,
@@ -88,7 +93,7 @@
             pending: Vec::new(),
             mail: VecDeque::new(),
             leader: 0,
-            dealer: Dealer::new(Moment(0), TERMS),
+            dealer: BudgetAllocator::new(Moment(0), TERMS),
             ids: 4,
             caused: BTreeMap::new(),
             most: 0,
@@ -96,9 +101,9 @@
         }
     }
 
-    fn terms(planted: Planted) -> Terms {
+    fn terms(planted: Planted) -> BudgetConfig {
         match planted {
-            Planted::BothEnds | Planted::FreedAtOnce => Terms { lingers: Span(0), ..TERMS },
+            Planted::BothEnds | Planted::FreedAtOnce => BudgetConfig { effect_timeout: Span(0), ..TERMS },
             _ => TERMS,
         }
     }
@@ -113,14 +118,14 @@
         let carried = match (self.planted, &shift) {
             // As if numbers were not looked at.
             (Planted::NoStarts, Shift::Back { from, units, .. }) => {
-                let number = state.holdings.get(from).map_or(0, |held| held.number);
-                state.shift(index, &Shift::Back { from: *from, units: *units, number })
+                let number = state.holdings.get(from).map_or(0, |held| held.version);
+                state.apply(index, &Shift::Back { from: *from, units: *units, number })
             }
-            _ => state.shift(index, &shift),
+            _ => state.apply(index, &shift),
         };
         let _ = carried;
-        if state.sum() != WHOLE {
-            self.wrong = Some(format!("the sum is {} after {shift:?}", state.sum()));
+        if state.total() != TOTAL_UNITS {
+            self.wrong = Some(format!("the sum is {} after {shift:?}", state.total()));
         }
         self.log.push(shift);
         self.states.push(state);
@@ -135,10 +140,10 @@
         }
         self.leader = at;
         let terms = match self.planted {
-            Planted::FreedAtOnce => Terms { lingers: Span(0), ..TERMS },
+            Planted::FreedAtOnce => BudgetConfig { effect_timeout: Span(0), ..TERMS },
             _ => TERMS,
         };
-        self.dealer = Dealer::new(self.clock(at), terms);
+        self.dealer = BudgetAllocator::new(self.clock(at), terms);
     }
 
     fn led(&self) -> bool {
@@ -166,7 +171,7 @@
             if place > applied {
                 break;
             }
-            one.purse.renewed(asked);
+            one.purse.on_renewed(asked);
             one.renewals.pop_front();
         }
         if one.renewals.len() > 4 {
@@ -178,11 +183,11 @@
         let state = &self.states[applied];
         let demands: Vec<f64> = self.all.iter().filter(|one| one.alive).map(|one| one.demand).collect();
         let place = self.all.iter().filter(|one| one.alive).position(|one| one.id == self.all[at].id);
-        let due = pewtergap_shares::due(state.pool(), &demands, place.unwrap_or(0));
+        let due = pewtergap_shares::fair_share(state.demand_pool(), &demands, place.unwrap_or(0));
         let holding = state.holdings.get(&self.all[at].id).copied();
         let said = {
             let one = &mut self.all[at];
-            one.purse.next(now, holding.as_ref(), (!one.blind).then_some(due))
+            one.purse.next_shift(now, holding.as_ref(), (!one.blind).then_some(due))
         };
         if self.mail.len() < 16 {
             self.mail.extend(said);
@@ -201,7 +206,7 @@
         }
         if let Some(open) = self.all[at].renewals.iter_mut().find(|renewal| renewal.1.is_none()) {
             open.1 = Some(committed);
-            self.dealer.renews(now, id);
+            self.dealer.on_renewal(now, id);
         }
     }
 
@@ -213,7 +218,7 @@
         // A leader goes by all that is committed: it has confirmed that it leads.
         let state = self.states[self.log.len()].clone();
         let belong = self.all.iter().map(|one| (one.id, Some(one.demand))).collect();
-        if let Some(shift) = self.dealer.next(now, &state, &belong) {
+        if let Some(shift) = self.dealer.next_shift(now, &state, &belong) {
             self.propose(shift);
         }
     }
@@ -230,7 +235,7 @@
         }
         one.start += 1;
         let start = if self.planted == Planted::NoStarts { 1 } else { one.start };
-        one.purse = Purse::new(terms, one.id, start, FOUNDERS as u64, founded);
+        one.purse = LocalShare::new(terms, one.id, start, FOUNDERS as u64, founded);
         one.renewals.clear();
         one.alive = true;
     }
@@ -242,10 +247,10 @@
             }
             let (now, one) = (self.clock(at), &self.all[at]);
             let holding = self.states[one.applied].holdings.get(&one.id);
-            let units = one.purse.in_force(now, holding);
+            let units = one.purse.usable_units(now, holding);
             self.caused.entry(one.id).or_default().push_back((self.now, units));
         }
-        let lingers = TERMS.lingers.0 / 1_000_000;
+        let lingers = TERMS.effect_timeout.0 / 1_000_000;
         let from = self.now.saturating_sub(lingers);
         let mut sum = 0;
         for caused in self.caused.values_mut() {
@@ -255,9 +260,9 @@
             sum += caused.iter().map(|c| c.1).max().unwrap_or(0);
         }
         self.most = self.most.max(sum);
-        if sum > WHOLE {
+        if sum > TOTAL_UNITS {
             let held: Vec<_> = self.caused.iter().map(|(id, c)| (*id, c.iter().map(|c| c.1).max())).collect();
-            self.wrong = Some(format!("{sum} of {WHOLE} are in force at {}: {held:?}", self.now));
+            self.wrong = Some(format!("{sum} of {TOTAL_UNITS} are in force at {}: {held:?}", self.now));
         }
     }
 }
@@ -336,7 +341,7 @@
         most = most.max(world.most);
     }
     // A bound that nothing comes near would be kept by a program that uses nothing.
-    assert!(most > WHOLE * 9 / 10, "{most}");
+    assert!(most > TOTAL_UNITS * 9 / 10, "{most}");
 }
 
 #[test]
--- a/crates/store/examples/beside_redb.rs
+++ b/crates/store/examples/beside_redb.rs
@@ -2,7 +2,7 @@
 //! then 100,000 rows read back at a start; then the last bytes cut off, and what each says of it.
 
 use hdrhistogram::Histogram;
-use pewtergap_store::{read, Pen};
+use pewtergap_store::{read_wal, WalWriter};
 use redb::{Database, Durability, ReadableDatabase, ReadableTable, TableDefinition};
 use std::fs::OpenOptions;
 use std::io::Write;
@@ -25,32 +25,32 @@
     let path = dir.join("rows");
     let _ = std::fs::remove_file(&path);
     let mut file = OpenOptions::new().create(true).append(true).open(&path)?;
-    let (mut pen, mut times) = (Pen::default(), Histogram::<u64>::new(3)?);
-    file.write_all(&pen.anew(&[]))?;
+    let (mut pen, mut times) = (WalWriter::default(), Histogram::<u64>::new(3)?);
+    file.write_all(&pen.encode_new_file(&[]))?;
     for _ in 0..EACH {
         let begin = Instant::now();
-        let (_, bytes) = pen.add(&[ROW.to_vec()]);
+        let (_, bytes) = pen.encode_append(&[ROW.to_vec()]);
         file.write_all(&bytes)?;
         file.sync_data()?;
-        pen.synced = pen.at;
+        pen.synced_len = pen.end;
         times.record(begin.elapsed().as_nanos() as u64)?;
     }
     told("file, a row and its sync", &times);
     for _ in EACH..MANY {
-        let (_, bytes) = pen.add(&[ROW.to_vec()]);
+        let (_, bytes) = pen.encode_append(&[ROW.to_vec()]);
         file.write_all(&bytes)?;
     }
     file.sync_data()?;
     let begin = Instant::now();
     let bytes = std::fs::read(&path)?;
-    let found = read(&bytes).rows.len();
+    let found = read_wal(&bytes).records.len();
     println!("file, read back: {found} rows of {} bytes in {:?}", bytes.len(), begin.elapsed());
-    let cut = read(&bytes[..bytes.len() - 10]);
-    println!("file, 10 bytes cut off: {} rows, {:?}", cut.rows.len(), cut.fault);
+    let cut = read_wal(&bytes[..bytes.len() - 10]);
+    println!("file, 10 bytes cut off: {} rows, {:?}", cut.records.len(), cut.fault);
     let mut flipped = bytes.clone();
     flipped[bytes.len() / 2] ^= 1;
-    let flipped = read(&flipped);
-    println!("file, a bit in the middle: {} rows, {:?}", flipped.rows.len(), flipped.fault);
+    let flipped = read_wal(&flipped);
+    println!("file, a bit in the middle: {} rows, {:?}", flipped.records.len(), flipped.fault);
     Ok(())
 }
 
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -13,66 +13,70 @@
 /// Length, checksum, synced length.
 const HEAD: usize = 16;
 /// A row beyond this is none of ours.
-pub const MOST_ROW: usize = 512 * 1024 * 1024;
+pub const MAX_RECORD_LEN: usize = 512 * 1024 * 1024;
 /// A disk writes sectors; what was never written reads as zeros.
 const SECTOR: usize = 512;
 
 /// How a file ends, or what is wrong with it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum WalFault {
     /// Cut off within a row, at this byte; the rows before it are whole.
-    Torn { at: u64, lost: u64 },
+    TornTail { offset: u64, lost_bytes: u64 },
     /// A row that was kept is damaged.
-    Damaged { row: usize, at: u64 },
+    Corrupt { record: usize, offset: u64 },
     /// No file of ours, or of a newer form.
-    Strange { what: String },
+    Unrecognized { reason: String },
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for WalFault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Fault::Torn { at, lost } => write!(f, "cut off at byte {at}, {lost} bytes that were not synced"),
-            Fault::Damaged { row, at } => write!(f, "row {row} at byte {at} does not fit its checksum"),
-            Fault::Strange { what } => write!(f, "{what}"),
+            WalFault::TornTail { offset: at, lost_bytes: lost } => {
+                write!(f, "cut off at byte {at}, {lost} bytes that were not synced")
+            }
+            WalFault::Corrupt { record: row, offset: at } => {
+                write!(f, "row {row} at byte {at} does not fit its checksum")
+            }
+            WalFault::Unrecognized { reason: what } => write!(f, "{what}"),
         }
     }
 }
 
 #[derive(Debug, PartialEq, Eq)]
-pub struct Found<'a> {
-    pub rows: Vec<&'a [u8]>,
+pub struct WalContents<'a> {
+    pub records: Vec<&'a [u8]>,
     /// Up to here the file is whole.
-    pub whole: u64,
-    pub fault: Option<Fault>,
+    pub valid_len: u64,
+    pub fault: Option<WalFault>,
 }
 
 /// Where the next row goes, and what is known to be on disk.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Pen {
-    pub at: u64,
-    pub synced: u64,
+pub struct WalWriter {
+    pub end: u64,
+    pub synced_len: u64,
 }
 
-impl Pen {
+impl WalWriter {
     /// The bytes of a fresh file with these rows.
-    pub fn anew(&mut self, rows: &[Vec<u8>]) -> Vec<u8> {
+    pub fn encode_new_file(&mut self, rows: &[Vec<u8>]) -> Vec<u8> {
         let mut bytes = MAGIC.to_vec();
-        (self.at, self.synced) = (MAGIC.len() as u64, 0);
-        bytes.extend(self.add(rows).1);
+        (self.end, self.synced_len) = (MAGIC.len() as u64, 0);
+        bytes.extend(self.encode_append(rows).1);
         bytes
     }
 
     /// Where these rows go, and their bytes.
-    pub fn add(&mut self, rows: &[Vec<u8>]) -> (u64, Vec<u8>) {
-        let from = self.at;
+    pub fn encode_append(&mut self, rows: &[Vec<u8>]) -> (u64, Vec<u8>) {
+        let from = self.end;
         let mut bytes = Vec::with_capacity(rows.iter().map(|row| HEAD + row.len()).sum());
         for row in rows {
             bytes.extend((row.len() as u32).to_le_bytes());
-            bytes.extend(sum(self.synced, row).to_le_bytes());
-            bytes.extend(self.synced.to_le_bytes());
+            bytes.extend(sum(self.synced_len, row).to_le_bytes());
+            bytes.extend(self.synced_len.to_le_bytes());
             bytes.extend(row);
         }
-        self.at += bytes.len() as u64;
+        self.end += bytes.len() as u64;
         (from, bytes)
     }
 }
@@ -92,23 +96,23 @@
     let told = u32::from_le_bytes(head[4..8].try_into().ok()?);
     let synced = u64::from_le_bytes(head[8..].try_into().ok()?);
     // Cheap first: noise seldom names a place before its own.
-    if synced > at as u64 || length > MOST_ROW {
+    if synced > at as u64 || length > MAX_RECORD_LEN {
         return None;
     }
     let body = bytes.get(at + HEAD..at + HEAD + length)?;
     (sum(synced, body) == told).then_some((body, synced))
 }
 
-pub fn read(bytes: &[u8]) -> Found<'_> {
-    let nothing = |fault| Found { rows: Vec::new(), whole: 0, fault };
+pub fn read_wal(bytes: &[u8]) -> WalContents<'_> {
+    let nothing = |fault| WalContents { records: Vec::new(), valid_len: 0, fault };
     if bytes.len() < MAGIC.len() {
         let lost = bytes.len() as u64;
-        return nothing(Some(Fault::Torn { at: 0, lost }));
+        return nothing(Some(WalFault::TornTail { offset: 0, lost_bytes: lost }));
     }
     if &bytes[..MAGIC.len()] != MAGIC {
         let newer = bytes[..5] == MAGIC[..5];
         let what = if newer { "written by another version of the program" } else { "no file of a member" };
-        return nothing(Some(Fault::Strange { what: what.into() }));
+        return nothing(Some(WalFault::Unrecognized { reason: what.into() }));
     }
     let (mut rows, mut at) = (Vec::new(), MAGIC.len());
     while let Some((body, _)) = row(bytes, at) {
@@ -116,12 +120,12 @@
         at += HEAD + body.len();
     }
     let fault = (at < bytes.len()).then(|| judge(bytes, at, rows.len()));
-    Found { rows, whole: at as u64, fault }
+    WalContents { records: rows, valid_len: at as u64, fault }
 }
 
 /// What the first row that is not whole means.
-fn judge(bytes: &[u8], at: usize, count: usize) -> Fault {
-    let damaged = Fault::Damaged { row: count, at: at as u64 };
+fn judge(bytes: &[u8], at: usize, count: usize) -> WalFault {
+    let damaged = WalFault::Corrupt { record: count, offset: at as u64 };
     // A later row that knew this place to be on disk.
     let later = (at + 1..bytes.len()).find_map(|from| row(bytes, from).filter(|row| row.1 > at as u64));
     if later.is_some() {
@@ -134,5 +138,5 @@
     if whole && !unwritten {
         return damaged;
     }
-    Fault::Torn { at: at as u64, lost: (bytes.len() - at) as u64 }
+    WalFault::TornTail { offset: at as u64, lost_bytes: (bytes.len() - at) as u64 }
 }
--- a/crates/tier/src/control_machine.rs
+++ b/crates/tier/src/control_machine.rs
@@ -10,7 +10,7 @@
 use pewtergap_control::{Admin, Asked};
 use pewtergap_member::{admin, Member, Post, Reply, Request, Told, DOOR, TIMERS};
 use pewtergap_node::{Effect, Input, Level, Link, Node, Outbox};
-use pewtergap_record::RELEASE;
+use pewtergap_record::RELEASE_DUTY;
 use pewtergap_time::{Moment, Span};
 use pewtergap_watch::{WatchConfig, WatchServer};
 use serde_json::json;
@@ -109,7 +109,8 @@
 
     /// Tells watchers what is applied by now.
     fn publish(&mut self, now: Moment, out: &mut Outbox) {
-        let (place, record) = (self.member.agree().map_or(0, |agree| agree.applied()), self.member.cluster());
+        let (place, record) =
+            (self.member.agree().map_or(0, |agree| agree.applied_index()), self.member.cluster());
         // One whose disk was lost reads the record anew, from its beginning: what was told stays until that is caught up.
         if place == 0 || place < self.place || !self.restored && place == self.place {
             return;
@@ -194,15 +195,15 @@
 
     /// Steps that nobody would ever let go on are refused: such an order would be in force nowhere.
     fn steps(&self, command: pewtergap_record::Command) -> Result<pewtergap_record::Command, String> {
-        let in_steps = match &command.what {
-            Some(pewtergap_record::What::Order(order)) => order.steps > 0,
+        let in_steps = match &command.kind {
+            Some(pewtergap_record::CommandKind::Order(order)) => order.steps > 0,
             _ => false,
         };
-        let held = self.member.record.duties().get(RELEASE).is_some_and(|duty| duty.holder != 0);
+        let held = self.member.record.duties().get(RELEASE_DUTY).is_some_and(|duty| duty.holder != 0);
         match in_steps && !held {
-            true => {
-                Err(format!("steps: no member holds the duty '{RELEASE}', so nobody would let them go on"))
-            }
+            true => Err(format!(
+                "steps: no member holds the duty '{RELEASE_DUTY}', so nobody would let them go on"
+            )),
             false => Ok(command),
         }
     }
--- a/crates/tier/src/keys.rs
+++ b/crates/tier/src/keys.rs
@@ -5,7 +5,7 @@
 //! | `server/NAME`, `weight/NAME`, `route/NAME`, `zone/NAME`, `releases`, `duties` | the order that is in force there, a `record::Standing` |
 //! | `drain/NAME` | of which start of a server a grace runs, a `record::Drain` |
 
-use pewtergap_record::{Drain, Record, Standing, Subject};
+use pewtergap_record::{ActiveOrder, Drain, Record, Subject};
 use prost::Message;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -27,9 +27,9 @@
 pub fn of(record: &Record, subjects: &BTreeSet<Subject>) -> Vec<Entry> {
     let mut entries = Vec::new();
     for subject in subjects {
-        entries.push((order_key(subject), record.order_on(subject).map(Message::encode_to_vec)));
+        entries.push((order_key(subject), record.active_order(subject).map(Message::encode_to_vec)));
         if let Subject::Server(name) = subject {
-            entries.push((format!("drain/{name}"), record.drain_of(name).map(Message::encode_to_vec)));
+            entries.push((format!("drain/{name}"), record.find_drain(name).map(Message::encode_to_vec)));
         }
     }
     entries
@@ -63,13 +63,13 @@
         None if key == "duties" => Subject::Duties,
         _ => return Err(strange()),
     };
-    let standing = value.map(Standing::decode).transpose().map_err(|e| format!("{key}: {e}"))?;
+    let standing = value.map(ActiveOrder::decode).transpose().map_err(|e| format!("{key}: {e}"))?;
     if let Some(standing) = &standing {
-        let wish = standing.order.as_ref().and_then(|order| order.wish.as_ref());
+        let wish = standing.order.as_ref().and_then(|order| order.action.as_ref());
         if wish.map(|wish| wish.subject().0).as_ref() != Some(&subject) {
             return Err(format!("{key}: an order on something else"));
         }
     }
-    record.set(subject.clone(), standing);
+    record.set_order(subject.clone(), standing);
     Ok(subject)
 }
--- a/crates/tier/src/watching_planner.rs
+++ b/crates/tier/src/watching_planner.rs
@@ -301,7 +301,7 @@
     fn view(&self, now: Moment) -> serde_json::Value {
         let watching = self.watching();
         let age = watching.and_then(|watching| watching.age(now));
-        let here = |kept: &pewtergap_record::Standing| orders::part_here(kept, now, &self.among);
+        let here = |kept: &pewtergap_record::ActiveOrder| orders::part_here(kept, now, &self.among);
         json!({ "fresh": false, "age_ms": age.map(|age| age.0.div_ceil(1_000_000)),
             "index": watching.map_or(0, WatchClient::index), "watching": watching.and_then(WatchClient::watching),
             "orders": admin::orders_view(&self.record, here), "drains": admin::drains_view(&self.record),
--- a/crates/tier/tests/keys.rs
+++ b/crates/tier/tests/keys.rs
@@ -1,33 +1,43 @@
 //! The record as keys and back, and what a planner keeps of it on its disk.
 
-use pewtergap_record::{Cap, Clean, Command, Drain, Order, Record, Step, Subject, Weight, What, Wish};
+use pewtergap_record::{
+    Cap, Cleanup, Command, CommandKind, Drain, Order, OrderAction, Record, RolloutStep, Subject, Weight,
+};
 use pewtergap_tier::{encode_planner_file, keys, PlannerFile};
 use pewtergap_watch::{SavedState, Scope};
 use std::collections::{BTreeMap, BTreeSet};
 
-fn order(id: u64, until: u64, wish: Wish) -> Command {
+fn order(id: u64, until: u64, wish: OrderAction) -> Command {
     let (who, why) = ("a".into(), "test".into());
-    let order = Order { who, why, until, wish: Some(wish), steps: 0, pause: 0, by_proxies: false };
-    Command { id, given: 10, what: Some(What::Order(order)) }
+    let order = Order {
+        issued_by: who,
+        reason: why,
+        expires_at_ms: until,
+        action: Some(wish),
+        steps: 0,
+        step_pause_ms: 0,
+        by_proxies: false,
+    };
+    Command { id, issued_at_ms: 10, kind: Some(CommandKind::Order(order)) }
 }
 
 fn commands() -> Vec<Command> {
-    let drain = Drain { server: "s1".into(), started: 3, told: 10, grace: 5_000 };
+    let drain = Drain { server: "s1".into(), started: 3, notified_at_ms: 10, grace_ms: 5_000 };
     let wishes = [
-        Wish::Drain("s1".into()),
-        Wish::Weight(Weight { server: "s1".into(), weight: 2.5 }),
-        Wish::Cap(Cap { route: "r".into(), level: 0.25 }),
-        Wish::DrainZone("z".into()),
-        Wish::HoldReleases(Clean::default()),
-        Wish::HoldDuties(Clean::default()),
+        OrderAction::Drain("s1".into()),
+        OrderAction::SetWeight(Weight { server: "s1".into(), weight: 2.5 }),
+        OrderAction::SetCap(Cap { route: "r".into(), level: 0.25 }),
+        OrderAction::DrainZone("z".into()),
+        OrderAction::HoldReleases(Cleanup::default()),
+        OrderAction::HoldDuties(Cleanup::default()),
     ];
     let orders = (1..).zip(wishes).map(|(id, wish)| order(id, 100, wish));
-    orders.chain([Command { id: 7, given: 10, what: Some(What::Drain(drain)) }]).collect()
+    orders.chain([Command { id: 7, issued_at_ms: 10, kind: Some(CommandKind::Drain(drain)) }]).collect()
 }
 
 /// All that `keys::of` told after each command, put together.
 fn follow(record: &mut Record, told: &mut BTreeMap<String, Vec<u8>>, index: u64, command: &Command) {
-    let touched: BTreeSet<Subject> = record.touched(command).into_iter().collect();
+    let touched: BTreeSet<Subject> = record.affected_subjects(command).into_iter().collect();
     record.apply(index, command);
     for (key, value) in keys::of(record, &touched) {
         match value {
@@ -41,15 +51,24 @@
 fn what_each_command_touches_leads_from_whole_to_whole_and_back_to_the_same_orders() {
     let (mut record, mut told) = (Record::default(), BTreeMap::new());
     let mut all = commands();
-    all.push(order(8, 0, Wish::TakeBack("s1".into())));
-    all.push(order(9, 0, Wish::Drain("s2".into())));
+    all.push(order(8, 0, OrderAction::Undrain("s1".into())));
+    all.push(order(9, 0, OrderAction::Drain("s2".into())));
     all.push(Command {
         id: 10,
-        given: 10,
-        what: Some(What::Step(Step { order: 4, reached: 500, number: 0, why: String::new() })),
+        issued_at_ms: 10,
+        kind: Some(CommandKind::RolloutStep(RolloutStep {
+            order_index: 4,
+            progress: 500,
+            fencing_token: 0,
+            revert_reason: String::new(),
+        })),
     });
     // Past all orders with an end, and long past the drain's grace.
-    all.push(Command { id: 11, given: 11, what: Some(What::Clean(Clean { now: 1 << 40, number: 0 })) });
+    all.push(Command {
+        id: 11,
+        issued_at_ms: 11,
+        kind: Some(CommandKind::Cleanup(Cleanup { now_ms: 1 << 40, fencing_token: 0 })),
+    });
     for (index, command) in (1..).zip(&all) {
         follow(&mut record, &mut told, index, command);
         assert_eq!(told, keys::whole(&record), "after {command:?}");
--- a/crates/tier/tests/planner.rs
+++ b/crates/tier/tests/planner.rs
@@ -2,7 +2,7 @@
 
 use pewtergap_node::{Effect, Input, Link, Node, Outbox, NO_FILE};
 use pewtergap_protocol::{encode, Frames};
-use pewtergap_record::{Order, Standing, Wish};
+use pewtergap_record::{ActiveOrder, Order, OrderAction};
 use pewtergap_time::{Moment, Span};
 use pewtergap_watch::messages::{Changes, EntryMessage, Kind, WatchMessage, Welcome};
 use prost::Message;
@@ -92,9 +92,14 @@
 
     fn told(&mut self, number: u64, place: u64, keys: &[&str]) {
         let entry = |key: &&str| {
-            let wish = Some(Wish::Drain(key.trim_start_matches("server/").into()));
-            let order = Some(Order { who: "a".into(), why: "test".into(), wish, ..Order::default() });
-            let value = Some(Standing { number: place, order, ..Standing::default() }.encode_to_vec());
+            let wish = Some(OrderAction::Drain(key.trim_start_matches("server/").into()));
+            let order = Some(Order {
+                issued_by: "a".into(),
+                reason: "test".into(),
+                action: wish,
+                ..Order::default()
+            });
+            let value = Some(ActiveOrder { index: place, order, ..ActiveOrder::default() }.encode_to_vec());
             EntryMessage { key: key.to_string(), index: place, value }
         };
         let entries = keys.iter().map(entry).collect();
