--- a/crates/lab/src/explore.rs
+++ b/crates/lab/src/explore.rs
@@ -5,11 +5,11 @@
 //! budget, and what lingers of what they used, is no more than the whole. Checked at the end, by the audit of cluster days: each key's orders and fresh reads fit one order, and no number is given twice.
 
 use crate::cluster::judge::{judge, Breach, Done, Op};
-use pewtergap_agree::RaftConfig;
 use pewtergap_duty::LeaseConfig;
 use pewtergap_member::words::FORMATS;
 use pewtergap_member::{Duties, Member, Post, Reply, Request, Shares, Told};
 use pewtergap_node::{Effect, Input, Node, Outbox};
+use pewtergap_raft::RaftConfig;
 use pewtergap_record::{Command, CommandKind, Order, OrderAction, Subject, Weight};
 use pewtergap_shares::{BudgetConfig, TOTAL_UNITS};
 use pewtergap_time::{Moment, Span};
--- a/crates/member/src/alone.rs
+++ b/crates/member/src/alone.rs
@@ -3,7 +3,7 @@
 use crate::disk;
 use crate::member::digest;
 use crate::words::{self, OnDisk, Seat};
-use pewtergap_agree::{Body, Snapshot, WalRecord};
+use pewtergap_raft::{Body, Snapshot, WalRecord};
 use pewtergap_record::{Command, Record};
 use pewtergap_store::WalWriter;
 use prost::Message;
--- a/crates/member/src/disk.rs
+++ b/crates/member/src/disk.rs
@@ -1,8 +1,8 @@
 //! A member's file: what is found in it at a start, and where the next rows go.
 
 use crate::words::{self, Hello, OnDisk, Place};
-use pewtergap_agree::{Index, Log, WalRecord};
 use pewtergap_node::{Effect, Outbox};
+use pewtergap_raft::{Index, Log, WalRecord};
 use pewtergap_store::{WalFault, WalWriter};
 use std::collections::{BTreeMap, VecDeque};
 
--- a/crates/member/src/member.rs
+++ b/crates/member/src/member.rs
@@ -9,12 +9,12 @@
 use crate::peers::{Heard, Lane, Peers};
 use crate::sharing::Shares;
 use crate::words::{self, word, Change, Hello, OnDisk, Place, ReadAt, Refuse, Seat, Word, FORMATS};
-use pewtergap_agree::{
-    Action as Does, Body, Id, Index, Log, Member as Seated, Members, RaftError, RaftNode, Role,
-};
-use pewtergap_agree::{RaftConfig, Snapshot};
 use pewtergap_node::{Effect, Input, Level, Link, Outbox, NO_FILE};
 use pewtergap_protocol::encode;
+use pewtergap_raft::{
+    Action as Does, Body, Id, Index, Log, Member as Seated, Members, RaftError, RaftNode, Role,
+};
+use pewtergap_raft::{RaftConfig, Snapshot};
 use pewtergap_record::{Cleanup, Command, CommandKind, Outcome, Record, Subject};
 use pewtergap_store::WalFault;
 use pewtergap_time::{Moment, Span};
@@ -553,8 +553,8 @@
                 match effect {
                     Does::Send { to, message } => {
                         let entries = match &message.payload {
-                            pewtergap_agree::Payload::AppendEntries { entries, .. } => !entries.is_empty(),
-                            say => matches!(say, pewtergap_agree::Payload::SnapshotChunk { .. }),
+                            pewtergap_raft::Payload::AppendEntries { entries, .. } => !entries.is_empty(),
+                            say => matches!(say, pewtergap_raft::Payload::SnapshotChunk { .. }),
                         };
                         let lane = if entries { Lane::Bulk } else { Lane::Urgent };
                         let word = word::Kind::Agree(words::agreeing(&message));
--- a/crates/member/src/peers.rs
+++ b/crates/member/src/peers.rs
@@ -6,9 +6,9 @@
 
 use crate::member::{MOST_MEMBERS, MOST_OBSERVERS};
 use crate::words::{word, Hello, Refuse, Word};
-use pewtergap_agree::Id;
 use pewtergap_node::{Link, Outbox};
 use pewtergap_protocol::{encode, Frames};
+use pewtergap_raft::Id;
 use pewtergap_time::{Moment, Span};
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
--- a/crates/member/src/sharing.rs
+++ b/crates/member/src/sharing.rs
@@ -3,11 +3,11 @@
 
 use crate::shared::{Counts, CountsAsk, EvidenceTold, Gossiped};
 use crate::words::word;
-use pewtergap_agree::Id;
 use pewtergap_control::{Hint, Service};
 use pewtergap_counts::{CountEstimate, LocalCounts, PeerCounts};
 use pewtergap_evidence::Evidence;
 use pewtergap_gossip::{Gossip, GossipConfig, MemberState};
+use pewtergap_raft::Id;
 use pewtergap_record::{CallUsage, MAX_USAGE_ROWS};
 use pewtergap_shares::BudgetConfig;
 use pewtergap_time::{Moment, Span};
--- a/crates/member/src/words.rs
+++ b/crates/member/src/words.rs
@@ -1,10 +1,10 @@
 //! What members say to each other and what a member writes on its disk, as protobuf, and the way to and from the
 //! machine's own types.
 
-use pewtergap_agree::{
+use pewtergap_protocol::Checked;
+use pewtergap_raft::{
     Body, Entry, Id, Index, Member, Members, Message as Told, Payload, Snapshot, Term, WalRecord,
 };
-use pewtergap_protocol::Checked;
 use prost::{Message, Oneof};
 
 /// What this build speaks and understands. Words are the same in both; commands differ, and go by the record's format,
--- a/crates/member/tests/hand.rs
+++ b/crates/member/tests/hand.rs
@@ -1,10 +1,10 @@
 //! A member fed by hand: whom it speaks with, and what it believes of its disk.
 
-use pewtergap_agree::RaftConfig;
 use pewtergap_member::words::{word, Hello, Refuse, Seat, Word};
 use pewtergap_member::{Member, Post};
 use pewtergap_node::{Effect, Input, Link, Outbox, NO_FILE};
 use pewtergap_protocol::{encode, Frames};
+use pewtergap_raft::RaftConfig;
 use pewtergap_time::{Moment, Span};
 use std::net::SocketAddr;
 
--- a/crates/agree/tests/interleavings.rs
+++ b/crates/raft/tests/interleavings.rs
@@ -2,7 +2,7 @@
 
 mod stage;
 
-use pewtergap_agree::Id;
+use pewtergap_raft::Id;
 use pewtergap_time::Span;
 use stage::*;
 use std::collections::hash_map::DefaultHasher;
--- a/crates/agree/tests/schedules.rs
+++ b/crates/raft/tests/schedules.rs
@@ -2,7 +2,7 @@
 
 mod stage;
 
-use pewtergap_agree::{RaftError, Role};
+use pewtergap_raft::{RaftError, Role};
 use proptest::prelude::*;
 use stage::*;
 
--- a/crates/agree/tests/stage/mod.rs
+++ b/crates/raft/tests/stage/mod.rs
@@ -1,7 +1,7 @@
 //! Members on a bare stage: links that keep order and break, disks that sync when told, and the checks of safety.
 #![allow(dead_code)] // each test takes what it needs
 
-use pewtergap_agree::*;
+use pewtergap_raft::*;
 use pewtergap_time::{Moment, Span};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
--- a/crates/settings/src/files.rs
+++ b/crates/settings/src/files.rs
@@ -2,7 +2,6 @@
 
 use crate::read::{Faults, Section, Share};
 use crate::script::Script;
-use pewtergap_agree::RaftConfig;
 use pewtergap_control::channel::Channel as Queue;
 use pewtergap_control::{Charge, Doors, Probing, Reports, Service, Source};
 use pewtergap_duty::LeaseConfig;
@@ -13,6 +12,7 @@
     Capabilities, ChannelLimits, Contract, Fleet, KeyScope, Planner, RetrySafety, Route, Slicing, Throttle,
 };
 use pewtergap_proxy::{Front, Home, Proxy, Shunning};
+use pewtergap_raft::RaftConfig;
 use pewtergap_record::{ACCOUNTING_DUTY, CLEANING_DUTY, OBSERVERS_FORMAT, RELEASE_DUTY};
 use pewtergap_shares::BudgetConfig;
 use pewtergap_tier::{ControlMachine, ControlMachineConfig, WatchTargetConfig, WatchingPlanner};
