--- a/crates/control/src/admin.rs
+++ b/crates/control/src/admin.rs
@@ -9,7 +9,7 @@
 const BOUNDS: Bounds = Bounds { head: 4096, body: 16 * 1024 };
 
 /// A request that came whole.
-pub struct Asked {
+pub struct AdminRequest {
     pub link: Link,
     pub method: String,
     pub target: String,
@@ -17,12 +17,12 @@
 }
 
 #[derive(Default)]
-pub struct Admin {
-    links: BTreeMap<Link, (Reader, Option<Asked>)>,
+pub struct AdminServer {
+    links: BTreeMap<Link, (Reader, Option<AdminRequest>)>,
 }
 
-impl Admin {
-    pub fn has(&self, link: Link) -> bool {
+impl AdminServer {
+    pub fn owns_link(&self, link: Link) -> bool {
         self.links.contains_key(&link)
     }
 
@@ -38,7 +38,7 @@
         self.links.remove(&link).is_some()
     }
 
-    pub fn bytes(&mut self, link: Link, bytes: &[u8], out: &mut Outbox) -> Vec<Asked> {
+    pub fn receive(&mut self, link: Link, bytes: &[u8], out: &mut Outbox) -> Vec<AdminRequest> {
         let Some((reader, open)) = self.links.get_mut(&link) else { return Vec::new() };
         reader.push(bytes);
         let mut asked = Vec::new();
@@ -47,7 +47,7 @@
                 Ok(Some(Part::Head(head))) => {
                     if let First::Request { method, target } = &head.first {
                         let (method, target) = (method.clone(), target.clone());
-                        *open = Some(Asked { link, method, target, body: Vec::new() });
+                        *open = Some(AdminRequest { link, method, target, body: Vec::new() });
                     }
                 }
                 Ok(Some(Part::Data(data))) => open.iter_mut().for_each(|asked| asked.body.extend(&data)),
@@ -65,7 +65,7 @@
 
     /// Who asked may have gone.
     pub fn answer(&self, link: Link, status: u16, kind: &str, body: &str, out: &mut Outbox) {
-        if self.has(link) {
+        if self.owns_link(link) {
             out.send(link, answer(status, &[("content-type", kind)], Some(body.as_bytes())));
         }
     }
--- a/crates/control/src/channel.rs
+++ b/crates/control/src/channel.rs
@@ -20,7 +20,7 @@
 
 /// The limit on waiting lines would be passed.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Full {
+pub struct ChannelFull {
     pub waiting: u64,
     pub more: u64,
 }
@@ -54,7 +54,7 @@
         self.waiting.len()
     }
 
-    pub fn order(&mut self, now: Moment, proxy: usize, update: Update) -> Result<(), Full> {
+    pub fn enqueue(&mut self, now: Moment, proxy: usize, update: Update) -> Result<(), ChannelFull> {
         let urgent = update.tables.iter().any(|change| !change.removed.is_empty());
         let before = self.waiting.remove(&proxy);
         let was = before.as_ref().map_or(0.0, |w| self.cost(&w.update));
@@ -68,7 +68,7 @@
         self.lines += self.cost(&next.update) - was;
         self.peak = self.peak.max(self.lines);
         if self.lines > self.most {
-            let full = Full { waiting: self.lines as u64, more: self.cost(&next.update) as u64 };
+            let full = ChannelFull { waiting: self.lines as u64, more: self.cost(&next.update) as u64 };
             self.lines -= self.cost(&next.update);
             return Err(full);
         }
@@ -78,12 +78,12 @@
     }
 
     /// When the next message may leave.
-    pub fn due(&self) -> Option<Moment> {
+    pub fn next_send_at(&self) -> Option<Moment> {
         (!self.queue.is_empty()).then_some(self.free_at)
     }
 
     /// The message that leaves now, if one may.
-    pub fn take(&mut self, now: Moment) -> Option<(usize, Update)> {
+    pub fn pop(&mut self, now: Moment) -> Option<(usize, Update)> {
         if self.free_at > now {
             return None;
         }
@@ -111,7 +111,7 @@
 }
 
 /// Lines that a message counts: each line set or removed, each level, each binding, its mark.
-pub fn lines(update: &Update) -> u32 {
+pub fn count_lines(update: &Update) -> u32 {
     let of = |change: &TableChange| change.set.len() + change.removed.len() + change.gates.len();
     let tables: usize = update.tables.iter().map(of).sum();
     (tables + update.binds.len()) as u32 + u32::from(update.mark > 0)
@@ -140,7 +140,7 @@
     }
     let mark = if later.mark > 0 { later.mark } else { first.mark };
     let mut joined = Update { turn: later.turn, mark, nonce: 0, ..first };
-    joined.lines = lines(&joined);
+    joined.lines = count_lines(&joined);
     joined
 }
 
--- a/crates/control/src/roll.rs
+++ b/crates/control/src/endpoints.rs
@@ -21,7 +21,7 @@
 }
 
 /// What changed at an address; nothing left of it is `Deleted`.
-pub type Change = (String, Endpoint);
+pub type EndpointChange = (String, Endpoint);
 
 #[derive(Deserialize, Serialize, Debug, Default)]
 #[serde(default)]
@@ -72,7 +72,7 @@
 
 /// A line of a watch.
 #[derive(Deserialize, Debug)]
-pub struct WatchLine {
+pub struct WatchEvent {
     #[serde(rename = "type")]
     pub kind: String,
     pub object: serde_json::Value,
@@ -89,7 +89,7 @@
 }
 
 /// The endpoints of a slice by address and port. What cannot be used is left out and named; the rest counts.
-pub fn endpoints(slice: &Slice, refused: &mut Vec<String>) -> Vec<Change> {
+pub fn parse_slice(slice: &Slice, refused: &mut Vec<String>) -> Vec<EndpointChange> {
     let name = &slice.metadata.name;
     let mut listed = Vec::new();
     let Some(port) = slice.ports.iter().flatten().find_map(|port| port.port) else {
@@ -135,22 +135,22 @@
 
 /// The list as held.
 #[derive(Debug, Default)]
-pub struct Roll {
-    slices: BTreeMap<String, Vec<Change>>,
+pub struct EndpointList {
+    slices: BTreeMap<String, Vec<EndpointChange>>,
     versions: BTreeMap<String, u64>,
     known: BTreeMap<String, Endpoint>,
     complete: bool,
 }
 
 /// Versions are opaque by the API's letter and rising numbers in practice; what is no number is never older.
-pub fn version(text: &str) -> u64 {
+pub fn parse_version(text: &str) -> u64 {
     text.parse().unwrap_or(u64::MAX)
 }
 
-impl Roll {
+impl EndpointList {
     /// Starts from endpoints kept on disk, which the first complete list will replace.
-    pub fn kept(known: BTreeMap<String, Endpoint>) -> Roll {
-        Roll { known, ..Roll::default() }
+    pub fn kept(known: BTreeMap<String, Endpoint>) -> EndpointList {
+        EndpointList { known, ..EndpointList::default() }
     }
 
     pub fn known(&self) -> &BTreeMap<String, Endpoint> {
@@ -158,7 +158,12 @@
     }
 
     /// A complete list: gives all that is listed now.
-    pub fn replace(&mut self, now: Moment, slices: &[Slice], refused: &mut Vec<String>) -> Vec<Change> {
+    pub fn replace(
+        &mut self,
+        now: Moment,
+        slices: &[Slice],
+        refused: &mut Vec<String>,
+    ) -> Vec<EndpointChange> {
         self.slices.clear();
         self.versions.clear();
         for slice in slices {
@@ -170,9 +175,9 @@
     }
 
     /// A slice came or changed. One that is older than what is held changes nothing.
-    pub fn put(&mut self, now: Moment, slice: &Slice, refused: &mut Vec<String>) -> Vec<Change> {
+    pub fn put(&mut self, now: Moment, slice: &Slice, refused: &mut Vec<String>) -> Vec<EndpointChange> {
         let held = self.versions.get(&slice.metadata.name).copied().unwrap_or(0);
-        let came = version(&slice.metadata.resource_version);
+        let came = parse_version(&slice.metadata.resource_version);
         if came < held && held != u64::MAX {
             refused.push(format!("slice {}: version {came} after {held}", slice.metadata.name));
             return Vec::new();
@@ -181,7 +186,7 @@
         self.update(now)
     }
 
-    pub fn delete(&mut self, now: Moment, name: &str) -> Vec<Change> {
+    pub fn delete(&mut self, now: Moment, name: &str) -> Vec<EndpointChange> {
         self.slices.remove(name);
         self.versions.remove(name);
         self.update(now)
@@ -189,13 +194,13 @@
 
     fn hold(&mut self, slice: &Slice, refused: &mut Vec<String>) {
         let name = slice.metadata.name.clone();
-        self.versions.insert(name.clone(), version(&slice.metadata.resource_version));
-        self.slices.insert(name, endpoints(slice, refused));
+        self.versions.insert(name.clone(), parse_version(&slice.metadata.resource_version));
+        self.slices.insert(name, parse_slice(slice, refused));
     }
 
     /// Joins all slices and tells what differs. An address may stand in two slices while one replaces the
     /// other: stopping in either is stopping.
-    fn update(&mut self, now: Moment) -> Vec<Change> {
+    fn update(&mut self, now: Moment) -> Vec<EndpointChange> {
         let mut listed: BTreeMap<String, Endpoint> = BTreeMap::new();
         for (at, endpoint) in self.slices.values().flatten() {
             let stands = listed.entry(at.clone()).or_insert_with(|| endpoint.clone());
--- a/crates/control/src/kept.rs
+++ b/crates/control/src/kept.rs
@@ -1,6 +1,6 @@
 //! The last list, as kept on disk for the next start.
 
-use crate::roll::Endpoint;
+use crate::endpoints::Endpoint;
 use pewtergap_planner::ListedState;
 use pewtergap_time::Moment;
 use serde::{Deserialize, Serialize};
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -2,28 +2,28 @@
 //!
 //! [`Service`] is a node (see `pewtergap-node`). It tells the module what happens and carries out what the
 //! module orders. What it must settle by itself is in small machines without I/O: which message of the channel
-//! leaves next (`channel`), what of the list is believed (`watch`, `roll`), which reports are taken in when
-//! (`intake`), how orders become versions of tables (`tables`), which probe is under way (`probes`).
+//! leaves next (`channel`), what of the list is believed (`list_watch`, `endpoints`), which reports are taken in when
+//! (`report_queue`), how orders become versions of tables (`tables`), which probe is under way (`probes`).
 #![forbid(unsafe_code)]
 
 mod admin;
 pub mod channel;
-pub mod intake;
+pub mod endpoints;
 mod kept;
+pub mod list_watch;
+mod overrides;
 pub mod probes;
-pub mod roll;
+pub mod report_queue;
 mod service;
-mod sight;
-mod standing;
 mod streams;
 pub mod tables;
-pub mod watch;
+mod traffic;
 
-pub use admin::{Admin, Asked};
+pub use admin::{AdminRequest, AdminServer};
+pub use list_watch::ListSource;
+pub use overrides::{OverrideChange, Overrides};
 pub use pewtergap_planner::ProbeOutcome;
-pub use probes::Probing;
-pub use service::{Charge, Doors, DrainTold, Hint, ProbeOver, Service};
-pub use sight::{Met, Sight};
-pub use standing::{Standing, Stands};
-pub use streams::Reports;
-pub use watch::Source;
+pub use probes::ProbeConfig;
+pub use service::{DrainNotice, ListenConfig, PeerHint, ProbeResult, Service, ServiceConfig};
+pub use streams::ReportConfig;
+pub use traffic::{ServerTotals, TrafficStats};
--- a/crates/control/src/watch.rs
+++ b/crates/control/src/list_watch.rs
@@ -3,16 +3,16 @@
 //! What may go wrong is a row of the table below. A list older than what was held is doubted: a store that was
 //! set back once showed drained servers as ready again. It is asked anew, and believed when it stays.
 
-use crate::roll::{version, Slice, SliceList, WatchLine};
+use crate::endpoints::{parse_version, Slice, SliceList, WatchEvent};
 use pewtergap_http::{request, Bounds, Head, Part, Reader, Side};
 use pewtergap_time::{Moment, Span};
 use std::net::SocketAddr;
 
 /// Where the list comes from.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Source {
+pub enum ListSource {
     /// The discovery API at an address, under a path.
-    Watch { at: SocketAddr, path: String },
+    Watch { address: SocketAddr, path: String },
     /// A file of the same objects: one `EndpointSliceList`, or a slice a line.
     File { name: String },
 }
@@ -83,7 +83,7 @@
 
 /// What the service does about the list.
 #[derive(Debug)]
-pub enum Told {
+pub enum Action {
     Dial(SocketAddr),
     Send(Vec<u8>),
     /// Close the connection; a wait follows.
@@ -97,7 +97,7 @@
     Note(&'static str, String),
 }
 
-pub struct Watch {
+pub struct ListWatch {
     at: SocketAddr,
     path: String,
     state: State,
@@ -114,9 +114,9 @@
     pub failures: u64,
 }
 
-impl Watch {
-    pub fn new(at: SocketAddr, path: String, highest: u64) -> Watch {
-        Watch {
+impl ListWatch {
+    pub fn new(at: SocketAddr, path: String, highest: u64) -> ListWatch {
+        ListWatch {
             at,
             path,
             state: Waiting,
@@ -135,19 +135,19 @@
         self.highest
     }
 
-    pub fn due(&mut self, now: Moment) -> Vec<Told> {
+    pub fn due(&mut self, now: Moment) -> Vec<Action> {
         self.step(now, Due, String::new(), Vec::new())
     }
 
-    pub fn opened(&mut self, now: Moment) -> Vec<Told> {
+    pub fn opened(&mut self, now: Moment) -> Vec<Action> {
         self.step(now, Opened, String::new(), Vec::new())
     }
 
-    pub fn closed(&mut self, now: Moment, why: String) -> Vec<Told> {
+    pub fn closed(&mut self, now: Moment, why: String) -> Vec<Action> {
         self.step(now, Broken, why, Vec::new())
     }
 
-    pub fn bytes(&mut self, now: Moment, bytes: &[u8]) -> Vec<Told> {
+    pub fn bytes(&mut self, now: Moment, bytes: &[u8]) -> Vec<Action> {
         let mut told = Vec::new();
         self.reader.push(bytes);
         while matches!(self.state, Listing | Watching) {
@@ -163,7 +163,7 @@
         told
     }
 
-    fn part(&mut self, now: Moment, part: Part, told: &mut Vec<Told>) -> (Option<Sign>, String) {
+    fn part(&mut self, now: Moment, part: Part, told: &mut Vec<Action>) -> (Option<Sign>, String) {
         match part {
             Part::Head(head) => self.head(&head),
             Part::Data(data) => {
@@ -190,13 +190,13 @@
         }
     }
 
-    fn list(&mut self, now: Moment, told: &mut Vec<Told>) -> (Option<Sign>, String) {
+    fn list(&mut self, now: Moment, told: &mut Vec<Action>) -> (Option<Sign>, String) {
         let list: SliceList = match serde_json::from_slice(&self.body) {
             Ok(list) => list,
             Err(e) => return (Some(Broken), format!("the list is not an EndpointSliceList: {e}")),
         };
         self.body = Vec::new();
-        let came = version(&list.metadata.resource_version);
+        let came = parse_version(&list.metadata.resource_version);
         if came < self.highest && self.doubts < DOUBTS {
             return (Some(Older), format!("version {came} after {}", self.highest));
         }
@@ -209,13 +209,13 @@
         (None, String::new())
     }
 
-    fn lines(&mut self, now: Moment, told: &mut Vec<Told>) -> (Option<Sign>, String) {
+    fn lines(&mut self, now: Moment, told: &mut Vec<Action>) -> (Option<Sign>, String) {
         while let Some(end) = self.body.iter().position(|b| *b == b'\n') {
             let line: Vec<u8> = self.body.drain(..=end).collect();
             if line.trim_ascii().is_empty() {
                 continue;
             }
-            let line: WatchLine = match serde_json::from_slice(&line) {
+            let line: WatchEvent = match serde_json::from_slice(&line) {
                 Ok(line) => line,
                 Err(e) => return (Some(Broken), format!("a line of the watch is not an event: {e}")),
             };
@@ -228,7 +228,7 @@
                 Ok(slice) => slice,
                 Err(e) => return (Some(Broken), format!("{} of something that is no slice: {e}", line.kind)),
             };
-            let came = version(&slice.metadata.resource_version);
+            let came = parse_version(&slice.metadata.resource_version);
             if came != u64::MAX {
                 self.highest = self.highest.max(came);
                 self.place = self.highest.to_string();
@@ -237,7 +237,7 @@
             }
             match line.kind.as_str() {
                 "ADDED" | "MODIFIED" => told.extend(self.step(now, Changed, String::new(), vec![slice])),
-                "DELETED" => told.push(Told::Delete(slice.metadata.name)),
+                "DELETED" => told.push(Action::Delete(slice.metadata.name)),
                 "BOOKMARK" => told.extend(self.step(now, Bookmark, String::new(), Vec::new())),
                 other => return (Some(Broken), format!("an event of kind '{other}'")),
             }
@@ -248,7 +248,7 @@
         (None, String::new())
     }
 
-    fn step(&mut self, now: Moment, sign: Sign, why: String, mut slices: Vec<Slice>) -> Vec<Told> {
+    fn step(&mut self, now: Moment, sign: Sign, why: String, mut slices: Vec<Slice>) -> Vec<Action> {
         let row = STEPS.iter().find(|row| row.0.contains(&self.state) && row.1 == sign);
         let Some((_, _, next, effect)) = row else { return Vec::new() };
         self.state = *next;
@@ -256,32 +256,32 @@
             Dial => {
                 self.reader = reader();
                 self.body.clear();
-                vec![Told::Dial(self.at)]
+                vec![Action::Dial(self.at)]
             }
             Ask => {
                 self.state = if self.place.is_empty() { Listing } else { Watching };
-                vec![Told::Send(self.asked())]
+                vec![Action::Send(self.asked())]
             }
             TakeAll => {
                 (self.doubts, self.wait) = (0, WAITS.0);
-                vec![Told::All(slices), Told::Send(self.asked())]
+                vec![Action::All(slices), Action::Send(self.asked())]
             }
             TakeOne => {
                 self.wait = WAITS.0;
-                slices.pop().into_iter().map(Told::Put).collect()
+                slices.pop().into_iter().map(Action::Put).collect()
             }
             Advance => Vec::new(),
             Restart => {
                 self.place.clear();
-                vec![Told::Note("list_place_too_old", why), Told::Hangup { until: now + WAITS.0 }]
+                vec![Action::Note("list_place_too_old", why), Action::Hangup { until: now + WAITS.0 }]
             }
             Doubt => {
                 self.doubts += 1;
-                vec![Told::Note("list_went_back", why), Told::Hangup { until: now + self.back_off() }]
+                vec![Action::Note("list_went_back", why), Action::Hangup { until: now + self.back_off() }]
             }
             BackOff => {
                 self.failures += 1;
-                vec![Told::Note("list_broken", why), Told::Hangup { until: now + self.back_off() }]
+                vec![Action::Note("list_broken", why), Action::Hangup { until: now + self.back_off() }]
             }
         }
     }
--- a/crates/control/src/probes.rs
+++ b/crates/control/src/probes.rs
@@ -11,14 +11,14 @@
 
 /// How servers are asked.
 #[derive(Clone, Debug)]
-pub struct Probing {
+pub struct ProbeConfig {
     pub path: String,
     /// No answer by then is silence.
-    pub within: Span,
-    pub most_open: usize,
+    pub timeout: Span,
+    pub max_open: usize,
     /// Names of utilization and of calls in hand, where the report comes as the answer's body; without them it
     /// comes in the header.
-    pub in_body: Option<(&'static [&'static str], &'static [&'static str])>,
+    pub body_fields: Option<(&'static [&'static str], &'static [&'static str])>,
 }
 
 /// Bytes of a report that are read.
@@ -33,29 +33,29 @@
 }
 
 pub struct Probes {
-    asked: Probing,
+    asked: ProbeConfig,
     open: BTreeMap<Link, Open>,
     waiting: VecDeque<usize>,
 }
 
 impl Probes {
-    pub fn new(asked: Probing) -> Probes {
+    pub fn new(asked: ProbeConfig) -> Probes {
         Probes { asked, open: BTreeMap::new(), waiting: VecDeque::new() }
     }
 
     /// So many at once from here on; those under way go on.
-    pub fn allow(&mut self, most_open: usize) {
-        self.asked.most_open = most_open;
+    pub fn set_max_open(&mut self, max_open: usize) {
+        self.asked.max_open = max_open;
     }
 
-    pub fn ask(&mut self, server: usize) {
+    pub fn enqueue(&mut self, server: usize) {
         if !self.waiting.contains(&server) && !self.open.values().any(|open| open.server == server) {
             self.waiting.push_back(server);
         }
     }
 
     /// The server's place is given up: its probe, if one is under way, ends untold.
-    pub fn forget(&mut self, server: usize) -> Option<Link> {
+    pub fn remove(&mut self, server: usize) -> Option<Link> {
         self.waiting.retain(|waiting| *waiting != server);
         self.give_up(server)
     }
@@ -67,39 +67,39 @@
 
     /// The server has started anew or listens elsewhere: what the former one still says, or its end, tells nothing of
     /// it. The probe that is under way ends untold, and the server is asked again.
-    pub fn renew(&mut self, server: usize) -> Option<Link> {
+    pub fn restart(&mut self, server: usize) -> Option<Link> {
         let link = self.give_up(server)?;
-        self.ask(server);
+        self.enqueue(server);
         Some(link)
     }
 
     /// The server to ask next, if one waits and there is room.
-    pub fn next_asked(&mut self) -> Option<usize> {
-        (self.open.len() < self.asked.most_open).then(|| self.waiting.pop_front())?
+    pub fn next_server(&mut self) -> Option<usize> {
+        (self.open.len() < self.asked.max_open).then(|| self.waiting.pop_front())?
     }
 
     /// Asked over this link; the call to write once it stands.
-    pub fn begin(&mut self, now: Moment, server: usize, link: Link) -> Moment {
-        let until = now + self.asked.within;
+    pub fn start(&mut self, now: Moment, server: usize, link: Link) -> Moment {
+        let until = now + self.asked.timeout;
         let reader = Reader::new(Side::Answers, Bounds::default());
         self.open.insert(link, Open { server, until, reader, heard: None, body: Vec::new() });
         until
     }
 
-    pub fn call(&self, host: &str) -> Vec<u8> {
+    pub fn request(&self, host: &str) -> Vec<u8> {
         request("GET", &self.asked.path, &[("host", host), ("connection", "close")], None)
     }
 
-    pub fn knows(&self, link: Link) -> bool {
+    pub fn owns_link(&self, link: Link) -> bool {
         self.open.contains_key(&link)
     }
 
-    pub fn under_way(&self) -> (usize, usize) {
+    pub fn counts(&self) -> (usize, usize) {
         (self.open.len(), self.waiting.len())
     }
 
     /// The end of the probe, when this was the end.
-    pub fn bytes(&mut self, link: Link, bytes: &[u8]) -> Option<(usize, ProbeOutcome, Load)> {
+    pub fn receive(&mut self, link: Link, bytes: &[u8]) -> Option<(usize, ProbeOutcome, Load)> {
         let open = self.open.get_mut(&link)?;
         open.reader.push(bytes);
         loop {
@@ -114,7 +114,7 @@
                     open.heard = Some((end, Load { util: report.util, in_flight: report.in_hand }));
                 }
                 Ok(Some(Part::Data(data))) => {
-                    if self.asked.in_body.is_some() && open.body.len() + data.len() <= MOST_REPORT {
+                    if self.asked.body_fields.is_some() && open.body.len() + data.len() <= MOST_REPORT {
                         open.body.extend(data);
                     }
                 }
@@ -128,7 +128,7 @@
     /// The answer is complete.
     fn whole(&mut self, link: Link) -> Option<(usize, ProbeOutcome, Load)> {
         let open = self.open.get_mut(&link)?;
-        if let (Some((util, in_hand)), Some(heard)) = (&self.asked.in_body, &mut open.heard) {
+        if let (Some((util, in_hand)), Some(heard)) = (&self.asked.body_fields, &mut open.heard) {
             let text = String::from_utf8_lossy(&open.body);
             let report = LoadReport::read_as(&text, util, in_hand);
             heard.1 = Load { util: report.util, in_flight: report.in_hand };
@@ -151,7 +151,7 @@
     }
 
     /// Probes whose time is up.
-    pub fn late(&mut self, now: Moment) -> Vec<(Link, usize)> {
+    pub fn take_timed_out(&mut self, now: Moment) -> Vec<(Link, usize)> {
         let late: Vec<Link> =
             self.open.iter().filter(|open| open.1.until <= now).map(|open| *open.0).collect();
         late.into_iter().filter_map(|link| self.open.remove(&link).map(|open| (link, open.server))).collect()
--- a/crates/control/src/intake.rs
+++ b/crates/control/src/report_queue.rs
@@ -24,7 +24,7 @@
 }
 
 #[derive(Debug)]
-pub struct Intake {
+pub struct ReportQueue {
     per_s: f64,
     /// Lines that may be taken in now, part of a second's worth at most.
     allowance: f64,
@@ -36,9 +36,9 @@
 /// A pause does not save up more than this of a second's lines.
 const SAVED: f64 = 0.2;
 
-impl Intake {
-    pub fn new(per_s: f64) -> Intake {
-        Intake { per_s, allowance: 0.0, last: None, queue: VecDeque::new(), lines: HashMap::new() }
+impl ReportQueue {
+    pub fn new(per_s: f64) -> ReportQueue {
+        ReportQueue { per_s, allowance: 0.0, last: None, queue: VecDeque::new(), lines: HashMap::new() }
     }
 
     pub fn waiting(&self) -> usize {
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -1,16 +1,16 @@
 //! The service as a node: inputs to events, orders to messages.
 
-use crate::admin::{Admin, Asked};
+use crate::admin::{AdminRequest, AdminServer};
 use crate::channel::Channel;
-use crate::intake::Intake;
+use crate::endpoints::{EndpointChange, EndpointList, Slice, SliceList};
 use crate::kept;
-use crate::probes::{Probes, Probing};
-use crate::roll::{Change, Roll, Slice, SliceList};
-use crate::sight::Sight;
-use crate::standing::{Standing, Stands};
-use crate::streams::{Reports, Sent, Stream, Streams, MOST_UNANSWERED};
+use crate::list_watch::{Action as ListAction, ListSource, ListWatch};
+use crate::overrides::{OverrideChange, Overrides};
+use crate::probes::{ProbeConfig, Probes};
+use crate::report_queue::ReportQueue;
+use crate::streams::{ReportConfig, Sent, Stream, Streams, MOST_UNANSWERED};
 use crate::tables::Tables;
-use crate::watch::{Source, Told, Watch};
+use crate::traffic::TrafficStats;
 use pewtergap_node::{Effect, Ended, Input, Level, Link, Node, Outbox};
 use pewtergap_planner::interner::Interner;
 use pewtergap_planner::{Action, Event, ListEntry, ListKind, ListedState, Load, Planner, ProbeOutcome};
@@ -22,21 +22,21 @@
 
 /// Who this planner is, and whom it serves.
 #[derive(Clone, Debug)]
-pub struct Charge {
+pub struct ServiceConfig {
     pub name: String,
     pub zones: Vec<String>,
     pub routes: Vec<String>,
     /// How long a proxy may leave a message unanswered.
-    pub deaf_after: Span,
+    pub unresponsive_after: Span,
 }
 
 /// Where it listens and whence it calls.
 #[derive(Clone, Copy, Debug)]
-pub struct Doors {
+pub struct ListenConfig {
     pub proxies: SocketAddr,
     /// Health and metrics over HTTP.
     pub admin: Option<SocketAddr>,
-    pub from: Option<IpAddr>,
+    pub source_ip: Option<IpAddr>,
 }
 
 const PROXIES: u32 = 0;
@@ -82,7 +82,7 @@
 
 /// How a probe from here ended: utilization and calls in hand, where they were told.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ProbeOver {
+pub struct ProbeResult {
     pub server: String,
     pub end: ProbeOutcome,
     pub load: (Option<f64>, Option<f64>),
@@ -90,40 +90,40 @@
 
 /// A drain that was told, which start of the server it is of, and when.
 #[derive(Clone, Debug, PartialEq)]
-pub struct DrainTold {
+pub struct DrainNotice {
     pub server: String,
     pub started: Moment,
-    pub told: Moment,
+    pub notified_at: Moment,
 }
 
 /// What other planners' words come to, for the module.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Hint {
+pub enum PeerHint {
     /// Calls per second at the proxies of all others; none: nobody knows.
-    Elsewhere(Option<f64>),
+    OtherPlannersRate(Option<f64>),
     /// Our part of what all may bring a cold server.
-    Share(Option<f64>),
+    ColdShare(Option<f64>),
     /// A server weighs less by this part.
-    Lighter(String, f64),
+    ReduceWeight(String, f64),
     /// A server is to be asked how it is.
-    Ask(String),
+    Probe(String),
 }
 
 /// Drains told and not yet taken note of by whoever keeps them.
 const MOST_DRAINS: usize = 4_096;
 
 pub struct Service {
-    charge: Charge,
-    doors: Doors,
-    reports: Reports,
-    source: Source,
+    charge: ServiceConfig,
+    doors: ListenConfig,
+    reports: ReportConfig,
+    source: ListSource,
     planner: Planner,
     /// Which start of this planner.
     epoch: u64,
     servers: Interner<String>,
     proxies: Interner<String>,
-    roll: Roll,
-    watch: Option<Watch>,
+    roll: EndpointList,
+    watch: Option<ListWatch>,
     list_link: Option<Link>,
     /// A complete list has come since the start.
     listed: bool,
@@ -132,23 +132,23 @@
     tables: Tables,
     channel: Channel,
     channel_set: Option<Moment>,
-    intake: Intake,
+    intake: ReportQueue,
     intake_set: bool,
     probes: Probes,
-    /// Probes are asked for, and told, by who stands beside: what the module wants goes to `probe_asks`, what came of those
-    /// from here to `probe_ends`.
-    pub probes_shared: bool,
+    /// Probes are asked for, and told, by who stands beside: what the module wants goes to `probe_requests`, what came of those
+    /// from here to `probe_results`.
+    pub external_probes: bool,
     probes_wanted: BTreeSet<usize>,
-    pub probe_asks: Vec<String>,
-    pub probe_ends: Vec<ProbeOver>,
-    admin: Admin,
+    pub probe_requests: Vec<String>,
+    pub probe_results: Vec<ProbeResult>,
+    admin: AdminServer,
     /// Prefixes of what is answered by others, and what waits for them.
-    pub elsewhere: &'static [&'static str],
-    pub asked: Vec<Asked>,
-    standing: Standing,
+    pub external_paths: &'static [&'static str],
+    pub external_requests: Vec<AdminRequest>,
+    standing: Overrides,
     tried: (u64, u64),
-    pub sight: Sight,
-    pub drains: Vec<DrainTold>,
+    pub traffic: TrafficStats,
+    pub drain_notices: Vec<DrainNotice>,
     events: Vec<Event>,
     turn_set: bool,
     stopping: bool,
@@ -159,13 +159,13 @@
     #[allow(clippy::too_many_arguments)]
     pub fn new(
         now: Moment,
-        charge: Charge,
-        doors: Doors,
-        source: Source,
+        charge: ServiceConfig,
+        doors: ListenConfig,
+        source: ListSource,
         planner: Planner,
         channel: Channel,
-        reports: Reports,
-        probing: Probing,
+        reports: ReportConfig,
+        probing: ProbeConfig,
     ) -> Service {
         Service {
             charge,
@@ -176,7 +176,7 @@
             epoch: now.0,
             servers: Interner::default(),
             proxies: Interner::default(),
-            roll: Roll::default(),
+            roll: EndpointList::default(),
             watch: None,
             list_link: None,
             listed: false,
@@ -185,20 +185,20 @@
             tables: Tables::default(),
             channel,
             channel_set: None,
-            intake: Intake::new(reports.intake_per_s),
+            intake: ReportQueue::new(reports.lines_per_s),
             intake_set: false,
             probes: Probes::new(probing),
-            probes_shared: false,
+            external_probes: false,
             probes_wanted: BTreeSet::new(),
-            probe_asks: Vec::new(),
-            probe_ends: Vec::new(),
-            admin: Admin::default(),
-            elsewhere: &[],
-            asked: Vec::new(),
-            standing: Standing::default(),
+            probe_requests: Vec::new(),
+            probe_results: Vec::new(),
+            admin: AdminServer::default(),
+            external_paths: &[],
+            external_requests: Vec::new(),
+            standing: Overrides::default(),
             tried: (0, 0),
-            sight: Sight::default(),
-            drains: Vec::new(),
+            traffic: TrafficStats::default(),
+            drain_notices: Vec::new(),
             events: vec![Event::Tick],
             turn_set: false,
             stopping: false,
@@ -226,59 +226,59 @@
         match bytes.and_then(kept::read) {
             Ok((version, known)) => {
                 out.log(Level::Info, "kept_list", vec![("servers", known.len().to_string())]);
-                let all: Vec<Change> = known.iter().map(|(at, e)| (at.clone(), e.clone())).collect();
-                (highest, self.roll) = (version, Roll::kept(known));
+                let all: Vec<EndpointChange> = known.iter().map(|(at, e)| (at.clone(), e.clone())).collect();
+                (highest, self.roll) = (version, EndpointList::kept(known));
                 self.tell_list(now, ListKind::Kept, &all, out);
             }
             Err(why) => out.log(Level::Info, "no_kept_list", vec![("why", why)]),
         }
         match &self.source {
-            Source::Watch { at, path } => {
-                self.watch = Some(Watch::new(*at, path.clone(), highest));
+            ListSource::Watch { address, path } => {
+                self.watch = Some(ListWatch::new(*address, path.clone(), highest));
                 out.wake(timer::LIST, now);
             }
-            Source::File { name } => out.push(Effect::Fetch { name: name.clone() }),
+            ListSource::File { name } => out.push(Effect::Fetch { name: name.clone() }),
         }
     }
 
     fn list_file(&mut self, now: Moment, bytes: Result<&[u8], String>, out: &mut Outbox) {
         match bytes.and_then(read_list_file) {
-            Ok(slices) => self.follow(now, vec![Told::All(slices)], out),
+            Ok(slices) => self.follow(now, vec![ListAction::All(slices)], out),
             // What is held stays in force.
             Err(why) => out.log(Level::Error, "list_file_refused", vec![("why", why)]),
         }
     }
 
-    fn follow(&mut self, now: Moment, told: Vec<Told>, out: &mut Outbox) {
+    fn follow(&mut self, now: Moment, told: Vec<ListAction>, out: &mut Outbox) {
         for told in told {
             let mut refused = Vec::new();
             match told {
-                Told::Dial(to) => self.list_link = Some(out.connect(to, self.doors.from)),
-                Told::Send(bytes) => {
+                ListAction::Dial(to) => self.list_link = Some(out.connect(to, self.doors.source_ip)),
+                ListAction::Send(bytes) => {
                     if let Some(link) = self.list_link {
                         out.send(link, bytes);
                     }
                 }
-                Told::Hangup { until } => {
+                ListAction::Hangup { until } => {
                     if let Some(link) = self.list_link.take() {
                         out.cut(link);
                     }
                     out.wake(timer::LIST, until);
                 }
-                Told::All(slices) => {
+                ListAction::All(slices) => {
                     let all = self.roll.replace(now, &slices, &mut refused);
                     self.listed = true;
                     self.tell_list(now, ListKind::Complete, &all, out);
                 }
-                Told::Put(slice) => {
+                ListAction::Put(slice) => {
                     let changes = self.roll.put(now, &slice, &mut refused);
                     self.tell_list(now, ListKind::Changes, &changes, out);
                 }
-                Told::Delete(name) => {
+                ListAction::Delete(name) => {
                     let changes = self.roll.delete(now, &name);
                     self.tell_list(now, ListKind::Changes, &changes, out);
                 }
-                Told::Note(event, why) => out.log(Level::Warn, event, vec![("why", why)]),
+                ListAction::Note(event, why) => out.log(Level::Warn, event, vec![("why", why)]),
             }
             for what in refused {
                 out.log(Level::Warn, "list_entry_refused", vec![("what", what)]);
@@ -286,7 +286,7 @@
         }
     }
 
-    fn tell_list(&mut self, now: Moment, kind: ListKind, changes: &[Change], out: &mut Outbox) {
+    fn tell_list(&mut self, now: Moment, kind: ListKind, changes: &[EndpointChange], out: &mut Outbox) {
         let mut entries = Vec::new();
         for (at, endpoint) in changes {
             let Some(zone) = self.charge.zones.iter().position(|zone| *zone == endpoint.zone) else {
@@ -296,9 +296,12 @@
             };
             let server = self.servers.intern(at);
             let (mut state, mut weight) = (endpoint.state, endpoint.weight);
-            if state != ListedState::Running && kind != ListKind::Kept && self.drains.len() < MOST_DRAINS {
+            if state != ListedState::Running
+                && kind != ListKind::Kept
+                && self.drain_notices.len() < MOST_DRAINS
+            {
                 let started = endpoint.started.unwrap_or_default();
-                self.drains.push(DrainTold { server: at.clone(), started, told: now });
+                self.drain_notices.push(DrainNotice { server: at.clone(), started, notified_at: now });
             }
             if state == ListedState::Running && self.standing.drained.contains(at) {
                 state = ListedState::Stopping;
@@ -337,7 +340,7 @@
 
     fn keep(&mut self, out: &mut Outbox) {
         self.keep_set = false;
-        let highest = self.watch.as_ref().map_or(0, Watch::highest);
+        let highest = self.watch.as_ref().map_or(0, ListWatch::highest);
         let bytes = kept::write(highest, self.roll.known());
         out.push(Effect::Keep { name: self.kept_name(), bytes });
     }
@@ -363,15 +366,15 @@
         let orders = self.planner.turn(now, &events);
         for order in &orders {
             match order {
-                Action::Probe { server } if self.probes_shared => {
+                Action::Probe { server } if self.external_probes => {
                     self.probes_wanted.insert(*server);
-                    self.probe_asks.push(self.servers.name(*server).clone());
+                    self.probe_requests.push(self.servers.name(*server).clone());
                 }
-                Action::Probe { server } => self.probes.ask(*server),
+                Action::Probe { server } => self.probes.enqueue(*server),
                 Action::Wake { at } => out.wake(timer::WOKEN, *at),
                 Action::Log { text } => out.log(Level::Info, "planner", vec![("text", text.clone())]),
                 Action::ReleaseServer { server } => {
-                    if let Some(link) = self.probes.forget(*server) {
+                    if let Some(link) = self.probes.remove(*server) {
                         out.cut(link);
                     }
                     self.probes_wanted.remove(server);
@@ -399,7 +402,7 @@
             out.log(Level::Info, "orders", fields);
         }
         for (proxy, update) in updates {
-            if let Err(full) = self.channel.order(now, proxy, update) {
+            if let Err(full) = self.channel.enqueue(now, proxy, update) {
                 // The module's arithmetic should never let this be; whoever it hits joins anew.
                 self.counts.channel_full += 1;
                 let fields = vec![
@@ -417,10 +420,10 @@
 
     /// Lets leave what may, and sets the timer for the next.
     fn drain(&mut self, now: Moment, out: &mut Outbox) {
-        while let Some((proxy, update)) = self.channel.take(now) {
+        while let Some((proxy, update)) = self.channel.pop(now) {
             self.send(now, proxy, update, out);
         }
-        if let Some(due) = self.channel.due() {
+        if let Some(due) = self.channel.next_send_at() {
             if self.channel_set.is_none_or(|set| set > due || set <= now) {
                 self.channel_set = Some(due);
                 out.wake(timer::CHANNEL, due);
@@ -512,7 +515,7 @@
                 stream.reported(arrivals.rows.iter().map(|row| row.calls).sum(), over);
                 for row in arrivals.rows.iter().filter(|row| (row.route as usize) < self.charge.routes.len())
                 {
-                    self.sight.calls(row.route as usize, zone, row.calls);
+                    self.traffic.calls(row.route as usize, zone, row.calls);
                     self.intake.arrivals(proxy, row.route as usize, row.calls, row.dropped, over);
                 }
                 self.set_intake(now, out);
@@ -533,7 +536,7 @@
         }
         // A name is kept for good, as an index; whoever made up a new one each time would fill the memory.
         let known = self.proxies.get(&hello.proxy).is_some();
-        if !known && self.proxies.slots() >= 4 * self.reports.most_streams {
+        if !known && self.proxies.slots() >= 4 * self.reports.max_streams {
             return Err(format!(
                 "{} proxies were named since the start, no new name is taken",
                 self.proxies.slots()
@@ -558,7 +561,7 @@
             planner: name.clone(),
             epoch,
             routes: self.charge.routes.clone(),
-            report_every_us: self.reports.every.0 / 1_000,
+            report_every_us: self.reports.interval.0 / 1_000,
         };
         out.send(link, encode(&Down::of(down::Kind::Welcome(welcome))));
         out.log(Level::Info, "joined", vec![("proxy", hello.proxy), ("zone", hello.zone)]);
@@ -606,7 +609,7 @@
             self.tried.1 = self.tried.1.saturating_add(row.dropped);
             let load = Load { util: row.util, in_flight: row.in_hand };
             let (mean, over) = (Span::micros(row.mean_us), Span::micros(sums.over_us));
-            self.sight.met(&row.server, row.tries, row.dropped, mean.seconds());
+            self.traffic.met(&row.server, row.tries, row.dropped, mean.seconds());
             self.intake.sums(server, zone, row.tries, row.dropped, mean, over, load);
         }
         self.set_intake(now, out);
@@ -649,21 +652,21 @@
     // ---- probes
 
     fn ask_next(&mut self, now: Moment, out: &mut Outbox) {
-        while let Some(server) = self.probes.next_asked() {
+        while let Some(server) = self.probes.next_server() {
             let Ok(at) = self.servers.name(server).parse::<SocketAddr>() else { continue };
-            let link = out.connect(at, self.doors.from);
+            let link = out.connect(at, self.doors.source_ip);
             self.counts.probes += 1;
-            let until = self.probes.begin(now, server, link);
+            let until = self.probes.start(now, server, link);
             out.wake(timer::PROBES, until);
-            out.send(link, self.probes.call(self.servers.name(server)));
+            out.send(link, self.probes.request(self.servers.name(server)));
         }
     }
 
     /// The end of a probe from here.
     fn probe_ended(&mut self, now: Moment, server: usize, end: ProbeOutcome, load: Load, out: &mut Outbox) {
-        if self.probes_shared {
+        if self.external_probes {
             let at = self.servers.name(server).clone();
-            self.probe_ends.push(ProbeOver { server: at, end, load: (load.util, load.in_flight) });
+            self.probe_results.push(ProbeResult { server: at, end, load: (load.util, load.in_flight) });
             if !self.probes_wanted.remove(&server) {
                 return;
             }
@@ -672,15 +675,15 @@
     }
 
     /// Asks a server from here, for whomever.
-    pub fn probe(&mut self, now: Moment, at: &str, out: &mut Outbox) {
+    pub fn probe_server(&mut self, now: Moment, at: &str, out: &mut Outbox) {
         if let Some(server) = self.servers.get(&at.to_string()) {
-            self.probes.ask(server);
+            self.probes.enqueue(server);
             self.ask_next(now, out);
         }
     }
 
     /// What another planner saw; the module hears it if it wanted to know.
-    pub fn probed(
+    pub fn remote_probe_ended(
         &mut self,
         now: Moment,
         at: &str,
@@ -699,21 +702,21 @@
     }
 
     /// What others told, for the module.
-    pub fn hint(&mut self, now: Moment, hint: Hint, out: &mut Outbox) {
+    pub fn apply_hint(&mut self, now: Moment, hint: PeerHint, out: &mut Outbox) {
         let event = match hint {
-            Hint::Elsewhere(calls) => Event::OtherPlannersRate { calls_per_s: calls },
-            Hint::Share(part) => Event::ColdShare { share: part },
-            Hint::Lighter(at, part) => match self.servers.get(&at) {
+            PeerHint::OtherPlannersRate(calls) => Event::OtherPlannersRate { calls_per_s: calls },
+            PeerHint::ColdShare(part) => Event::ColdShare { share: part },
+            PeerHint::ReduceWeight(at, part) => match self.servers.get(&at) {
                 Some(server) => Event::ReduceWeight { server, by: part },
                 None => return,
             },
-            Hint::Ask(at) => {
+            PeerHint::Probe(at) => {
                 let Some(server) = self.servers.get(&at) else { return };
-                if self.probes_shared {
+                if self.external_probes {
                     self.probes_wanted.insert(server);
-                    self.probe_asks.push(at);
+                    self.probe_requests.push(at);
                 } else {
-                    self.probes.ask(server);
+                    self.probes.enqueue(server);
                     self.ask_next(now, out);
                 }
                 return;
@@ -723,7 +726,7 @@
     }
 
     /// Proxies that are joined, and their calls per second.
-    pub fn joined(&self) -> (usize, f64) {
+    pub fn joined_proxies(&self) -> (usize, f64) {
         (self.streams.joined(), self.streams.rate())
     }
 
@@ -736,7 +739,7 @@
     }
 
     /// Listed weight of each zone.
-    pub fn weights(&self) -> BTreeMap<String, f64> {
+    pub fn zone_weights(&self) -> BTreeMap<String, f64> {
         let mut weights = BTreeMap::new();
         for known in self.roll.known().values() {
             *weights.entry(known.zone.clone()).or_default() += known.weight;
@@ -745,20 +748,20 @@
     }
 
     /// Tries of proxies here, and those dropped by servers, since the start.
-    pub fn tried(&self) -> (u64, u64) {
+    pub fn try_counts(&self) -> (u64, u64) {
         self.tried
     }
 
-    pub fn listed(&self, at: &str) -> Option<&crate::roll::Endpoint> {
+    pub fn endpoint(&self, at: &str) -> Option<&crate::endpoints::Endpoint> {
         self.roll.known().get(at)
     }
 
-    pub fn in_zone<'a>(&'a self, zone: &'a str) -> impl Iterator<Item = &'a String> + 'a {
+    pub fn servers_in_zone<'a>(&'a self, zone: &'a str) -> impl Iterator<Item = &'a String> + 'a {
         self.roll.known().iter().filter(move |known| known.1.zone == zone).map(|known| known.0)
     }
 
     /// All that are listed, once a list was heard.
-    pub fn names(&self) -> Option<impl Iterator<Item = &String> + '_> {
+    pub fn server_names(&self) -> Option<impl Iterator<Item = &String> + '_> {
         self.listed.then(|| self.roll.known().keys())
     }
 
@@ -767,7 +770,7 @@
     }
 
     fn late_probes(&mut self, now: Moment, out: &mut Outbox) {
-        for (link, server) in self.probes.late(now) {
+        for (link, server) in self.probes.take_timed_out(now) {
             out.cut(link);
             self.probe_ended(now, server, ProbeOutcome::TimedOut, Load::default(), out);
         }
@@ -777,9 +780,9 @@
     // ---- health and metrics
 
     fn admin(&mut self, link: Link, bytes: &[u8], out: &mut Outbox) {
-        for asked in self.admin.bytes(link, bytes, out) {
-            if self.elsewhere.iter().any(|prefix| asked.target.starts_with(prefix)) {
-                self.asked.push(asked);
+        for asked in self.admin.receive(link, bytes, out) {
+            if self.external_paths.iter().any(|prefix| asked.target.starts_with(prefix)) {
+                self.external_requests.push(asked);
                 continue;
             }
             let (status, body) = match asked.target.as_str() {
@@ -793,43 +796,43 @@
     }
 
     /// The answer to what was asked elsewhere; who asked may have gone.
-    pub fn answer(&mut self, link: Link, status: u16, json: &str, out: &mut Outbox) {
+    pub fn answer_admin(&mut self, link: Link, status: u16, json: &str, out: &mut Outbox) {
         self.admin.answer(link, status, "application/json", json, out);
     }
 
     /// Whether the list names this very start of a server, or an earlier one.
-    pub fn knows_start(&self, at: &str, started_ms: u64) -> bool {
+    pub fn lists_start(&self, at: &str, started_ms: u64) -> bool {
         let listed = self.roll.known().get(at).map(|known| known.started.unwrap_or_default());
         listed.is_some_and(|listed| listed.0 / 1_000_000 <= started_ms)
     }
 
     /// Which start of this planner it is; told before the start.
-    pub fn count_as(&mut self, epoch: u64) {
+    pub fn set_epoch(&mut self, epoch: u64) {
         self.epoch = epoch;
     }
 
-    pub fn standing(&self) -> &Standing {
+    pub fn overrides(&self) -> &Overrides {
         &self.standing
     }
 
     /// Operators' orders reach the module as what the list and they together say.
-    pub fn stand_by(&mut self, now: Moment, stands: &[Stands], out: &mut Outbox) {
-        let mut changes: Vec<Change> = Vec::new();
+    pub fn apply_overrides(&mut self, now: Moment, stands: &[OverrideChange], out: &mut Outbox) {
+        let mut changes: Vec<EndpointChange> = Vec::new();
         for stands in stands {
             if !self.standing.take(stands) {
                 continue;
             }
             match stands {
-                Stands::Drained(at, _) | Stands::Weighs(at, _) => {
+                OverrideChange::Drained(at, _) | OverrideChange::Weight(at, _) => {
                     let known = self.roll.known().get(at).filter(|_| !changes.iter().any(|c| c.0 == *at));
                     changes.extend(known.map(|known| (at.clone(), known.clone())));
                 }
-                Stands::Capped(name, level) => {
+                OverrideChange::Cap(name, level) => {
                     if let Some(route) = self.charge.routes.iter().position(|route| route == name) {
                         self.event(now, Event::LimitRoute { route, level: level.unwrap_or(1.0) }, out);
                     }
                 }
-                Stands::Held(on) => self.event(now, Event::HoldChanges { on: *on }, out),
+                OverrideChange::Hold(on) => self.event(now, Event::HoldChanges { on: *on }, out),
             }
         }
         if !changes.is_empty() {
@@ -839,7 +842,7 @@
 
     fn metrics(&self) -> String {
         let c = &self.counts;
-        let (probing, probes_waiting) = self.probes.under_way();
+        let (probing, probes_waiting) = self.probes.counts();
         let rows: [(&str, f64); 19] = [
             ("turns_total", c.turns as f64),
             ("joins_total", c.joins as f64),
@@ -874,8 +877,8 @@
 
     fn housekeeping(&mut self, now: Moment, out: &mut Outbox) {
         out.wake(timer::HOUSEKEEPING, now + HOUSEKEEPING);
-        let every = self.reports.every;
-        let overdue = |stream: &Stream| stream.overdue(now, every, self.charge.deaf_after);
+        let every = self.reports.interval;
+        let overdue = |stream: &Stream| stream.overdue(now, every, self.charge.unresponsive_after);
         let late: Vec<(Link, &str)> =
             self.streams.by_link.iter().filter_map(|(link, s)| overdue(s).map(|why| (*link, why))).collect();
         for (link, why) in late {
@@ -935,7 +938,7 @@
         if door == ADMIN {
             return self.admin.accepted(link, out);
         }
-        if self.streams.by_link.len() >= self.reports.most_streams {
+        if self.streams.by_link.len() >= self.reports.max_streams {
             self.counts.refused_streams += 1;
             let reason = format!("{} streams are open, no more are taken", self.streams.by_link.len());
             out.send(link, encode(&Down::of(down::Kind::Bye(Bye { reason }))));
@@ -951,7 +954,7 @@
             let told =
                 self.watch.as_mut().map(|watch| watch.closed(now, format!("the connection ended: {why:?}")));
             self.follow(now, told.unwrap_or_default(), out);
-        } else if self.probes.knows(link) {
+        } else if self.probes.owns_link(link) {
             if let Some((server, end, load)) = self.probes.closed(link, why) {
                 self.probe_ended(now, server, end, load, out);
             }
@@ -968,13 +971,13 @@
         if self.list_link == Some(link) {
             let told = self.watch.as_mut().map(|watch| watch.bytes(now, bytes)).unwrap_or_default();
             self.follow(now, told, out);
-        } else if self.probes.knows(link) {
-            if let Some((server, end, load)) = self.probes.bytes(link, bytes) {
+        } else if self.probes.owns_link(link) {
+            if let Some((server, end, load)) = self.probes.receive(link, bytes) {
                 out.cut(link);
                 self.probe_ended(now, server, end, load, out);
                 self.ask_next(now, out);
             }
-        } else if self.admin.has(link) {
+        } else if self.admin.owns_link(link) {
             self.admin(link, bytes, out);
         } else {
             self.heard(now, link, bytes, out);
@@ -1027,7 +1030,7 @@
             Input::Due { timer } => self.due(now, timer, out),
             Input::Reload => {
                 out.log(Level::Info, "reload", Vec::new());
-                if let Source::File { name } = &self.source {
+                if let ListSource::File { name } = &self.source {
                     out.push(Effect::Fetch { name: name.clone() });
                 }
             }
--- a/crates/control/src/streams.rs
+++ b/crates/control/src/streams.rs
@@ -7,12 +7,12 @@
 
 /// How proxies report, and how long one may keep silent.
 #[derive(Clone, Copy, Debug)]
-pub struct Reports {
-    pub every: Span,
+pub struct ReportConfig {
+    pub interval: Span,
     /// Lines of reports that the module takes in a second.
-    pub intake_per_s: f64,
+    pub lines_per_s: f64,
     /// Streams at once; one more is refused.
-    pub most_streams: usize,
+    pub max_streams: usize,
 }
 
 /// Reports that a proxy may miss before its stream counts as broken.
@@ -80,9 +80,9 @@
     }
 
     /// Why the stream should be closed now, if it should.
-    pub fn overdue(&self, now: Moment, every: Span, deaf_after: Span) -> Option<&'static str> {
+    pub fn overdue(&self, now: Moment, every: Span, unresponsive_after: Span) -> Option<&'static str> {
         let silent = now.since(self.heard) > every.times(MISSED);
-        let deaf = self.unanswered.front().is_some_and(|sent| now.since(sent.at) > deaf_after);
+        let deaf = self.unanswered.front().is_some_and(|sent| now.since(sent.at) > unresponsive_after);
         match (self.proxy, silent, deaf) {
             (None, true, _) => Some("no hello"),
             (_, true, _) => Some("silent"),
--- a/crates/control/src/tables.rs
+++ b/crates/control/src/tables.rs
@@ -3,7 +3,7 @@
 //! Each table has a version that rises by one with each turn that changes it. A proxy that is bound anew gets
 //! the whole table, one that follows it the change from the version it was sent last.
 
-use crate::channel::lines;
+use crate::channel::count_lines;
 use pewtergap_planner::interner::Interner;
 use pewtergap_planner::{Action, ResendPolicy};
 use pewtergap_protocol::{Bind, Gate, Line, TableChange, Update};
@@ -113,7 +113,7 @@
                 }
             }
             if !update.tables.is_empty() || !update.binds.is_empty() {
-                update.lines = lines(&update);
+                update.lines = count_lines(&update);
                 updates.push((*proxy, update));
             }
         }
--- a/crates/control/tests/parts.rs
+++ b/crates/control/tests/parts.rs
@@ -1,10 +1,10 @@
 //! The service's small machines, as short printed traces.
 
-use pewtergap_control::channel::{lines, Channel};
-use pewtergap_control::intake::Intake;
-use pewtergap_control::roll::{Endpoint, Roll, Slice};
+use pewtergap_control::channel::{count_lines, Channel};
+use pewtergap_control::endpoints::{Endpoint, EndpointList, Slice};
+use pewtergap_control::list_watch::{Action as ListAction, ListWatch};
+use pewtergap_control::report_queue::ReportQueue;
 use pewtergap_control::tables::Tables;
-use pewtergap_control::watch::{Told, Watch};
 use pewtergap_planner::interner::Interner;
 use pewtergap_planner::{Action, Load, ResendPolicy};
 use pewtergap_protocol::{Line, TableChange, Update};
@@ -23,7 +23,7 @@
     let removed: Vec<String> = removed.iter().map(|server| server.to_string()).collect();
     let table = TableChange { table, from, to: from + 1, set, removed, ..TableChange::default() };
     let mut update = Update { tables: vec![table], mark: from as u32, ..Update::default() };
-    update.lines = lines(&update);
+    update.lines = count_lines(&update);
     update
 }
 
@@ -41,13 +41,13 @@
     let mut channel = Channel::new(100.0, 3.0, 1000.0);
     let mut trace = String::new();
     for proxy in 0..3 {
-        channel.order(ms(0), proxy, change(1, 1, &[("a", 1.0), ("b", 2.0)], &[])).unwrap();
+        channel.enqueue(ms(0), proxy, change(1, 1, &[("a", 1.0), ("b", 2.0)], &[])).unwrap();
     }
-    channel.order(ms(5), 2, change(1, 2, &[], &["b"])).unwrap();
-    channel.order(ms(6), 1, change(1, 2, &[("b", 3.0)], &[])).unwrap();
+    channel.enqueue(ms(5), 2, change(1, 2, &[], &["b"])).unwrap();
+    channel.enqueue(ms(6), 1, change(1, 2, &[("b", 3.0)], &[])).unwrap();
     trace += &format!("{} lines wait\n", channel.lines());
     for at in 10..400 {
-        while let Some((proxy, update)) = channel.take(ms(at)) {
+        while let Some((proxy, update)) = channel.pop(ms(at)) {
             trace += &format!("{at} ms to {proxy}: {} lines, {}\n", update.lines, shown(&update));
         }
     }
@@ -60,7 +60,8 @@
     let mut refused = 0;
     for turn in 0..1_000u64 {
         let server = format!("s{turn}");
-        refused += usize::from(channel.order(ms(turn), 7, change(1, turn, &[(&server, 1.0)], &[])).is_err());
+        refused +=
+            usize::from(channel.enqueue(ms(turn), 7, change(1, turn, &[(&server, 1.0)], &[])).is_err());
         assert!(channel.lines() <= 50.0);
     }
     assert!(refused > 10, "{refused}");
@@ -103,7 +104,7 @@
 
 #[test]
 fn reports_are_taken_in_at_their_rate_and_joined_while_they_wait() {
-    let mut intake = Intake::new(50.0);
+    let mut intake = ReportQueue::new(50.0);
     let load = Load { util: Some(0.5), in_flight: None };
     for _ in 0..100 {
         for server in 0..40 {
@@ -129,7 +130,7 @@
 
 #[test]
 fn slices_become_changes_and_what_cannot_be_used_is_named() {
-    let mut roll = Roll::default();
+    let mut roll = EndpointList::default();
     let mut trace = String::new();
     let mut say = |what: &str, changes: Vec<(String, Endpoint)>, refused: &[String]| {
         trace += &format!("{what}\n");
@@ -163,31 +164,31 @@
 
 /// A watch on a bare stage, what it wants done as text.
 struct Stage {
-    watch: Watch,
+    watch: ListWatch,
     trace: String,
 }
 
 impl Stage {
     fn new(highest: u64) -> Stage {
         let at = SocketAddr::from(([127, 0, 0, 1], 7000));
-        Stage { watch: Watch::new(at, "/slices".into(), highest), trace: String::new() }
+        Stage { watch: ListWatch::new(at, "/slices".into(), highest), trace: String::new() }
     }
 
-    fn say(&mut self, what: &str, told: Vec<Told>) {
+    fn say(&mut self, what: &str, told: Vec<ListAction>) {
         self.trace += &format!("{what}\n");
         for told in told {
             self.trace += &match told {
-                Told::Dial(at) => format!("  dial {at}\n"),
-                Told::Send(bytes) => {
+                ListAction::Dial(at) => format!("  dial {at}\n"),
+                ListAction::Send(bytes) => {
                     format!("  {}\n", String::from_utf8_lossy(&bytes).lines().next().unwrap_or(""))
                 }
-                Told::Hangup { until } => format!("  hang up, wait {}\n", until.since(START)),
-                Told::All(slices) => format!("  all: {} slices\n", slices.len()),
-                Told::Put(slice) => {
+                ListAction::Hangup { until } => format!("  hang up, wait {}\n", until.since(START)),
+                ListAction::All(slices) => format!("  all: {} slices\n", slices.len()),
+                ListAction::Put(slice) => {
                     format!("  put {} version {}\n", slice.metadata.name, slice.metadata.resource_version)
                 }
-                Told::Delete(name) => format!("  delete {name}\n"),
-                Told::Note(event, why) => format!("  {event}: {why}\n"),
+                ListAction::Delete(name) => format!("  delete {name}\n"),
+                ListAction::Note(event, why) => format!("  {event}: {why}\n"),
             };
         }
     }
@@ -272,7 +273,7 @@
         let cut = rng.usize(0..bytes.len());
         for part in [&bytes[..cut], &bytes[cut..]] {
             let heard = stage.watch.bytes(START, part);
-            broken += usize::from(heard.iter().any(|told| matches!(told, Told::Note(..))));
+            broken += usize::from(heard.iter().any(|told| matches!(told, ListAction::Note(..))));
         }
     }
     assert!(broken > 500, "{broken}");
--- a/crates/control/tests/service.rs
+++ b/crates/control/tests/service.rs
@@ -1,7 +1,9 @@
 //! The service as a node: proxies that do not read, refuse, flood or come twice; a list kept for the next start.
 
 use pewtergap_control::channel::Channel as Queue;
-use pewtergap_control::{Charge, Doors, Probing, Reports, Service, Source, Standing};
+use pewtergap_control::{
+    ListSource, ListenConfig, Overrides, ProbeConfig, ReportConfig, Service, ServiceConfig,
+};
 use pewtergap_node::{Effect, Ended, Input, Link, Node, Outbox};
 use pewtergap_planner::*;
 use pewtergap_protocol::{down, encode, up, Ack, Down, Frames, Hello, Nack, Up};
@@ -70,17 +72,26 @@
     };
     let slicing = Slicing { slices: 0, exclusive: false, write_stop_delay: ms(0), write_linger: ms(0) };
     let planner = Planner::new(START, 7, fleet, vec![route], channel, contract, capabilities, slicing);
-    let charge = Charge {
+    let charge = ServiceConfig {
         name: "a".into(),
         zones: vec!["north".into()],
         routes: vec!["order".into()],
-        deaf_after: ms(3_000),
+        unresponsive_after: ms(3_000),
     };
-    let doors = Doors { proxies: listen, admin: None, from: None };
-    let reports = Reports { every: ms(1_000), intake_per_s: 100.0, most_streams: 5 };
-    let probing = Probing { path: "/healthz".into(), within: ms(500), most_open: 4, in_body: None };
+    let doors = ListenConfig { proxies: listen, admin: None, source_ip: None };
+    let reports = ReportConfig { interval: ms(1_000), lines_per_s: 100.0, max_streams: 5 };
+    let probing = ProbeConfig { path: "/healthz".into(), timeout: ms(500), max_open: 4, body_fields: None };
     let queue = Queue::new(lines_per_s, 3.0, 400.0);
-    Service::new(START, charge, doors, Source::File { name: "list".into() }, planner, queue, reports, probing)
+    Service::new(
+        START,
+        charge,
+        doors,
+        ListSource::File { name: "list".into() },
+        planner,
+        queue,
+        reports,
+        probing,
+    )
 }
 
 impl Stage {
@@ -107,9 +118,9 @@
         self.carry_out();
     }
 
-    fn orders(&mut self, standing: Standing) {
-        let stands = self.service.standing().towards(&standing);
-        self.service.stand_by(self.now, &stands, &mut self.out);
+    fn orders(&mut self, standing: Overrides) {
+        let stands = self.service.overrides().diff(&standing);
+        self.service.apply_overrides(self.now, &stands, &mut self.out);
         self.carry_out();
     }
 
@@ -317,7 +328,7 @@
     stage.pass(300);
     stage.ack(proxy);
     stage.trace += "# drained by order, in the same turn\n";
-    let drained = Standing { drained: ["10.0.0.2:80".to_string()].into(), ..Standing::default() };
+    let drained = Overrides { drained: ["10.0.0.2:80".to_string()].into(), ..Overrides::default() };
     stage.orders(drained.clone());
     stage.pass(100);
     stage.ack(proxy);
@@ -327,7 +338,7 @@
     stage.trace += "# a weight is held, and a cap\n";
     let caps = [("order".to_string(), 0.5)].into();
     let weights = [("10.0.0.3:80".to_string(), 0.25)].into();
-    stage.orders(Standing { weights, caps, ..drained });
+    stage.orders(Overrides { weights, caps, ..drained });
     for _ in 0..8 {
         let before = stage.streams[&proxy].2;
         stage.say(proxy, up::Kind::Beat(pewtergap_protocol::Beat {}));
@@ -337,7 +348,7 @@
         }
     }
     stage.trace += "# all taken back\n";
-    stage.orders(Standing::default());
+    stage.orders(Overrides::default());
     stage.pass(300);
     insta::assert_snapshot!(stage.trace);
 }
--- a/crates/lab/src/relay.rs
+++ b/crates/lab/src/relay.rs
@@ -9,7 +9,7 @@
 use crate::bell::{Bell, Rung};
 use crate::record::{Kind, Row};
 use crate::words::{ATTEMPT, CALL, MEANT, RAN, WORK};
-use pewtergap_control::roll::{endpoints, Slice, SliceList, WatchLine};
+use pewtergap_control::endpoints::{parse_slice, Slice, SliceList, WatchEvent};
 use pewtergap_http::{Bounds, First, Head, Part, Reader, Side};
 use pewtergap_node::{Effect, Ended, Input, Link, Node, Outbox};
 use pewtergap_planner::ListedState;
@@ -541,7 +541,7 @@
             }
             while let Some(end) = body.iter().position(|b| *b == b'\n').filter(|_| *watching) {
                 let line: Vec<u8> = body.drain(..=end).collect();
-                let Ok(line) = serde_json::from_slice::<WatchLine>(&line) else { continue };
+                let Ok(line) = serde_json::from_slice::<WatchEvent>(&line) else { continue };
                 let Ok(slice) = serde_json::from_value::<Slice>(line.object) else { continue };
                 if matches!(line.kind.as_str(), "ADDED" | "MODIFIED") {
                     let names = self.listed(now, party, &slice);
@@ -559,7 +559,7 @@
     /// A slice was told to a planner: one row an endpoint; the servers it names.
     fn listed(&mut self, now: Moment, party: &Party, slice: &Slice) -> BTreeSet<String> {
         let mut names = BTreeSet::new();
-        for (at, endpoint) in endpoints(slice, &mut Vec::new()) {
+        for (at, endpoint) in parse_slice(slice, &mut Vec::new()) {
             let name = self.names.get(&at).cloned().unwrap_or(at);
             let state = if endpoint.state == ListedState::Stopping { "stopping" } else { "running" };
             names.insert(name.clone());
--- a/crates/member/src/orders.rs
+++ b/crates/member/src/orders.rs
@@ -4,7 +4,7 @@
 //! by that part of the way from the listed one, a zone's drain by that part of its servers, the same ones everywhere. Where
 //! the steps are by proxies, that part of the planners carry it out whole, each with all its proxies.
 
-use pewtergap_control::{Service, Standing, Stands};
+use pewtergap_control::{OverrideChange, Overrides, Service};
 use pewtergap_record::{ActiveOrder as Kept, OrderAction, Record, Subject};
 use pewtergap_time::Moment;
 use std::collections::BTreeSet;
@@ -50,13 +50,13 @@
 }
 
 fn weight(service: &Service, at: &str, wished: f64, part: f64) -> f64 {
-    let listed = service.listed(at).map_or(wished, |listed| listed.weight);
+    let listed = service.endpoint(at).map_or(wished, |listed| listed.weight);
     listed + (wished - listed) * part
 }
 
 /// That part of a zone's servers, by a hash of their names: who joins the list moves nobody else in or out.
 fn of_zone(service: &Service, zone: &str, part: f64) -> BTreeSet<String> {
-    let mut all: Vec<&String> = service.in_zone(zone).collect();
+    let mut all: Vec<&String> = service.servers_in_zone(zone).collect();
     all.sort_by_key(|at| xxh3_64(at.as_bytes()));
     let most = (all.len() as f64 * part).ceil() as usize;
     all.into_iter().take(most).cloned().collect()
@@ -65,12 +65,12 @@
 fn runs(record: &Record, service: &Service, now: Moment, at: &str) -> bool {
     let drain =
         record.find_drain(at).filter(|drain| drain.notified_at_ms + drain.grace_ms > now.0 / 1_000_000);
-    drain.is_some_and(|drain| service.knows_start(&drain.server, drain.started))
+    drain.is_some_and(|drain| service.lists_start(&drain.server, drain.started))
 }
 
 /// All of it.
-pub fn whole(record: &Record, service: &Service, now: Moment, among: &Among) -> Standing {
-    let mut standing = Standing::default();
+pub fn whole(record: &Record, service: &Service, now: Moment, among: &Among) -> Overrides {
+    let mut standing = Overrides::default();
     for (subject, kept) in record.orders() {
         let Some((wish, part)) = in_force(kept, now, among) else { continue };
         match (subject, wish) {
@@ -100,7 +100,7 @@
     now: Moment,
     subjects: &BTreeSet<Subject>,
     among: &Among,
-) -> Option<Vec<Stands>> {
+) -> Option<Vec<OverrideChange>> {
     let zones = record.orders().rev().take_while(|(subject, _)| **subject > Subject::Releases);
     let zones = zones.filter(|(subject, _)| matches!(subject, Subject::Zone(_))).count();
     let mut all = Vec::new();
@@ -109,17 +109,17 @@
         all.push(match (subject, wish) {
             (Subject::Server(_), _) if zones > 0 => return None,
             (Subject::Server(at), wish) => {
-                Stands::Drained(at.clone(), wish.is_some() || runs(record, service, now, at))
+                OverrideChange::Drained(at.clone(), wish.is_some() || runs(record, service, now, at))
             }
             (Subject::Weight(at), Some((OrderAction::SetWeight(w), part))) => {
-                Stands::Weighs(at.clone(), Some(weight(service, at, w.weight, part)))
+                OverrideChange::Weight(at.clone(), Some(weight(service, at, w.weight, part)))
             }
-            (Subject::Weight(at), _) => Stands::Weighs(at.clone(), None),
+            (Subject::Weight(at), _) => OverrideChange::Weight(at.clone(), None),
             (Subject::Route(route), Some((OrderAction::SetCap(cap), part))) => {
-                Stands::Capped(route.clone(), Some(1.0 - (1.0 - cap.level) * part))
+                OverrideChange::Cap(route.clone(), Some(1.0 - (1.0 - cap.level) * part))
             }
-            (Subject::Route(route), _) => Stands::Capped(route.clone(), None),
-            (Subject::Releases, wish) => Stands::Held(wish.is_some()),
+            (Subject::Route(route), _) => OverrideChange::Cap(route.clone(), None),
+            (Subject::Releases, wish) => OverrideChange::Hold(wish.is_some()),
             (Subject::Zone(_), _) => return None,
             (Subject::Duties, _) => continue,
         });
--- a/crates/member/src/sharing.rs
+++ b/crates/member/src/sharing.rs
@@ -3,7 +3,7 @@
 
 use crate::shared::{Counts, CountsAsk, EvidenceTold, Gossiped};
 use crate::words::word;
-use pewtergap_control::{Hint, Service};
+use pewtergap_control::{PeerHint, Service};
 use pewtergap_counts::{CountEstimate, LocalCounts, PeerCounts};
 use pewtergap_evidence::Evidence;
 use pewtergap_gossip::{Gossip, GossipConfig, MemberState};
@@ -37,7 +37,7 @@
 pub enum Wants {
     Tell(Id, word::Kind),
     TellAll(word::Kind),
-    Hint(Hint),
+    Hint(PeerHint),
     /// What is believed of a member has changed.
     Heard(Id, &'static str),
 }
@@ -161,13 +161,13 @@
 
     /// What passed here since the last look, into our own counts.
     fn count(&mut self, now: Moment, service: &mut Service) {
-        let (joined, rate) = service.joined();
+        let (joined, rate) = service.joined_proxies();
         self.own.set("joined", joined as f64);
         self.own.set("rate", rate);
-        let (tries, dropped) = service.tried();
+        let (tries, dropped) = service.try_counts();
         self.own.set("tries", tries as f64);
         self.own.set("dropped", dropped as f64);
-        let by: Vec<(usize, usize, u64)> = service.sight.by_route_and_zone().collect();
+        let by: Vec<(usize, usize, u64)> = service.traffic.calls_by_route_and_zone().collect();
         for (route, zone, calls) in by {
             let key = format!("calls/{}/{}", service.routes()[route], service.zones()[zone]);
             self.own.set(&key, calls as f64);
@@ -175,9 +175,9 @@
         let span = now.since(self.looked).seconds().max(1e-3);
         self.looked = now;
         let mut work: Vec<(String, f64)> = Vec::new();
-        for (server, met) in service.sight.take() {
+        for (server, met) in service.traffic.take_server_totals() {
             self.evidence.record_tries(now, &server, met.tries, met.dropped);
-            work.push((format!("work/{server}"), (met.took / span * 100.0).round() / 100.0));
+            work.push((format!("work/{server}"), (met.total_seconds / span * 100.0).round() / 100.0));
         }
         work.sort_by(|a, b| b.1.total_cmp(&a.1));
         work.truncate(MOST_WORKED);
@@ -222,15 +222,17 @@
             && elsewhere != self.elsewhere
         {
             self.elsewhere = elsewhere;
-            wants.push(Wants::Hint(Hint::Elsewhere(elsewhere)));
+            wants.push(Wants::Hint(PeerHint::OtherPlannersRate(elsewhere)));
         }
-        let zones = service.weights();
-        let listed = |at: &str| service.listed(at).map(|known| (known.zone.clone(), known.weight));
+        let zones = service.zone_weights();
+        let listed = |at: &str| service.endpoint(at).map(|known| (known.zone.clone(), known.weight));
         let says = self.evidence.evaluate(now, listed, &zones);
         wants.extend(
-            says.weight_reductions.into_iter().map(|(at, part)| Wants::Hint(Hint::Lighter(at, part))),
+            says.weight_reductions
+                .into_iter()
+                .map(|(at, part)| Wants::Hint(PeerHint::ReduceWeight(at, part))),
         );
-        wants.extend(says.probe.into_iter().map(|at| Wants::Hint(Hint::Ask(at))));
+        wants.extend(says.probe.into_iter().map(|at| Wants::Hint(PeerHint::Probe(at))));
         wants
     }
 
--- a/crates/member/src/together.rs
+++ b/crates/member/src/together.rs
@@ -11,7 +11,7 @@
 use crate::sharing::{Seats, Sharing, Wants as Shared};
 use crate::slices::{Holder, Slices, Wants};
 use crate::words::word;
-use pewtergap_control::{Asked, Hint, ProbeOver, Service};
+use pewtergap_control::{AdminRequest, PeerHint, ProbeResult, Service};
 use pewtergap_node::{Effect, Input, Level, Link, Node, Outbox};
 use pewtergap_record::{
     ActiveOrder, AllocateStartNumber, Command, CommandKind, Drain, Subject, ACCOUNTING_DUTY, RELEASE_DUTY,
@@ -69,9 +69,9 @@
 
 impl Together {
     pub fn new(mut service: Service, home: Post, drain_grace: Span) -> Together {
-        service.elsewhere = ELSEWHERE;
-        service.probes_shared = home.slices.0 > 0;
-        service.sight.on = home.shares.is_some();
+        service.external_paths = ELSEWHERE;
+        service.external_probes = home.slices.0 > 0;
+        service.traffic.enabled = home.shares.is_some();
         Together {
             service,
             releaser: Releaser::default(),
@@ -117,7 +117,7 @@
         if std::mem::replace(&mut self.started, true) {
             return;
         }
-        self.service.count_as(number);
+        self.service.set_epoch(number);
         self.service.handle(now, Input::Start, out);
         self.stand_by(now, None, out);
     }
@@ -136,53 +136,53 @@
         let among = self.among();
         let these = subjects.and_then(|subjects| orders::of(record, &self.service, now, subjects, &among));
         let whole = || orders::whole(record, &self.service, now, &among);
-        let stands = these.unwrap_or_else(|| self.service.standing().towards(&whole()));
-        self.service.stand_by(now, &stands, out);
+        let stands = these.unwrap_or_else(|| self.service.overrides().diff(&whole()));
+        self.service.apply_overrides(now, &stands, out);
     }
 
     /// Orders in steps, where it is ours to let them go on.
     fn release(&mut self, now: Moment, out: &mut Outbox) {
         let Some(number) = self.member.may(now, RELEASE_DUTY) else { return self.releaser.rest() };
-        let tried = self.sharing.as_ref().map_or(self.service.tried(), Sharing::tried);
+        let tried = self.sharing.as_ref().map_or(self.service.try_counts(), Sharing::tried);
         for what in self.releaser.look(now, number, &self.member.record, tried) {
             self.tell_record(now, Some(what), out);
         }
     }
 
-    fn asked(&mut self, now: Moment, asked: Asked, out: &mut Outbox) {
-        let Asked { link, method, target, body } = asked;
+    fn asked(&mut self, now: Moment, asked: AdminRequest, out: &mut Outbox) {
+        let AdminRequest { link, method, target, body } = asked;
         let refuse = |why: String| json!({ "refused": why }).to_string();
         match (method.as_str(), target.as_str()) {
             ("POST", "/orders") => match admin::order(&body) {
                 Ok(command) => self.ask(now, Purpose::Answer(link), Request::Command(command), out),
-                Err(why) => self.service.answer(link, 400, &refuse(why), out),
+                Err(why) => self.service.answer_admin(link, 400, &refuse(why), out),
             },
             ("POST", "/duties") => match admin::hand(&body) {
                 Ok(command) => self.ask(now, Purpose::Answer(link), Request::Command(command), out),
-                Err(why) => self.service.answer(link, 400, &refuse(why), out),
+                Err(why) => self.service.answer_admin(link, 400, &refuse(why), out),
             },
             ("GET", "/shared") => {
                 let view = self.shared_view(now);
-                self.service.answer(link, 200, &view, out);
+                self.service.answer_admin(link, 200, &view, out);
             }
             ("GET", "/duties") => {
                 let view = self.duties_view(now);
-                self.service.answer(link, 200, &view, out);
+                self.service.answer_admin(link, 200, &view, out);
             }
             ("POST", "/members") => match admin::change(&body, &self.member.seats(now)) {
                 Ok(change) => self.ask(now, Purpose::Answer(link), Request::Change(change), out),
-                Err(why) => self.service.answer(link, 400, &refuse(why), out),
+                Err(why) => self.service.answer_admin(link, 400, &refuse(why), out),
             },
             ("GET", "/record?stale") => self.ask(now, Purpose::Look(link), Request::Stale, out),
             ("GET", "/record") => self.ask(now, Purpose::Look(link), Request::Fresh, out),
             ("GET", "/members") => {
                 let view = admin::members_view(&self.name, &self.member, now);
-                self.service.answer(link, 200, &view, out);
+                self.service.answer_admin(link, 200, &view, out);
             }
             _ => {
                 let why =
                     "there are POST /orders, /members, /duties, GET /members, /duties, /shared, /record and /record?stale";
-                self.service.answer(link, 404, &refuse(why.into()), out);
+                self.service.answer_admin(link, 404, &refuse(why.into()), out);
             }
         }
     }
@@ -195,14 +195,14 @@
             }
             (Some(Purpose::Answer(link)), reply) => {
                 let (status, body) = admin::reply(&reply);
-                self.service.answer(link, status, &body.to_string(), out);
+                self.service.answer_admin(link, status, &body.to_string(), out);
             }
             (Some(Purpose::Look(link)), Reply::Look { fresh, age }) => {
                 let view = self.view(now, fresh, age);
-                self.service.answer(link, 200, &view, out);
+                self.service.answer_admin(link, 200, &view, out);
             }
             (Some(Purpose::Look(link)), _) => {
-                self.service.answer(link, 503, &json!({ "answer": "too much waits" }).to_string(), out);
+                self.service.answer_admin(link, 503, &json!({ "answer": "too much waits" }).to_string(), out);
             }
             (Some(Purpose::Drain | Purpose::Books) | None, _) => {}
         }
@@ -279,7 +279,7 @@
         if self.sharing.is_some() && self.started {
             let share = self.member.cold_share(now);
             if std::mem::replace(&mut self.lent, share) != share {
-                self.service.hint(now, Hint::Share(share), out);
+                self.service.apply_hint(now, PeerHint::ColdShare(share), out);
             }
         }
     }
@@ -299,7 +299,7 @@
                         self.member.share(to, kind.clone(), out);
                     }
                 }
-                Shared::Hint(hint) => self.service.hint(now, hint, out),
+                Shared::Hint(hint) => self.service.apply_hint(now, hint, out),
                 Shared::Heard(id, state) => {
                     let name = self.member.sharers().remove(&id).unwrap_or_default();
                     out.log(Level::Info, "member_believed", vec![("member", name), ("state", state.into())]);
@@ -325,11 +325,13 @@
 
     /// What the module wants asked, and what came of probes from here.
     fn probes_wanted(&mut self, now: Moment, out: &mut Outbox) {
-        let (asks, ends) =
-            (std::mem::take(&mut self.service.probe_asks), std::mem::take(&mut self.service.probe_ends));
+        let (asks, ends) = (
+            std::mem::take(&mut self.service.probe_requests),
+            std::mem::take(&mut self.service.probe_results),
+        );
         for server in asks {
             let Some(duty) = self.slice_of(&server) else {
-                self.service.probe(now, &server, out);
+                self.service.probe_server(now, &server, out);
                 continue;
             };
             let (ours, (id, linked)) = (self.member.may(now, &duty), self.member.holder(&duty));
@@ -337,7 +339,7 @@
             let wants = self.slices.as_mut().and_then(|all| all.wanted(now, duty, server, ours, holder));
             wants.into_iter().for_each(|wants| self.do_probes(now, wants, out));
         }
-        for ProbeOver { server, end, load } in ends {
+        for ProbeResult { server, end, load } in ends {
             let Some(duty) = self.slice_of(&server) else { continue };
             let ours = self.member.may(now, &duty);
             let wants = self.slices.as_mut().and_then(|all| all.ended(now, duty, server, end, load, ours));
@@ -365,10 +367,12 @@
 
     fn do_probes(&mut self, now: Moment, wants: Wants, out: &mut Outbox) {
         match wants {
-            Wants::Here(server) => self.service.probe(now, &server, out),
+            Wants::Here(server) => self.service.probe_server(now, &server, out),
             Wants::Tell(to, kind) => self.member.tell(to, kind, out),
             Wants::TellAll(kind) => self.member.tell_all(&kind, out),
-            Wants::Heard { server, end, load } => self.service.probed(now, &server, end, load, out),
+            Wants::Heard { server, end, load } => {
+                self.service.remote_probe_ended(now, &server, end, load, out)
+            }
         }
     }
 
@@ -380,14 +384,14 @@
 
     /// Drains that the list told are kept, in the background: tables have changed already.
     fn keep_drains(&mut self, now: Moment, out: &mut Outbox) {
-        let told = std::mem::take(&mut self.service.drains);
+        let told = std::mem::take(&mut self.service.drain_notices);
         let grace = self.drain_grace.0 / 1_000_000;
         for told in told {
             let (started, server) = (told.started.0 / 1_000_000, told.server);
             if self.member.record.is_drained(&server, started) || self.drains.len() >= MOST_DRAINS {
                 continue;
             }
-            let given = told.told.0 / 1_000_000;
+            let given = told.notified_at.0 / 1_000_000;
             let drain = Drain { server, started, notified_at_ms: given, grace_ms: grace };
             let id = self.member.draw();
             self.drains.push(Command { id, issued_at_ms: given, kind: Some(CommandKind::Drain(drain)) });
@@ -425,7 +429,7 @@
     fn settle(&mut self, now: Moment, out: &mut Outbox) {
         loop {
             let (asked, told) =
-                (std::mem::take(&mut self.service.asked), std::mem::take(&mut self.member.told));
+                (std::mem::take(&mut self.service.external_requests), std::mem::take(&mut self.member.told));
             if asked.is_empty() && told.is_empty() {
                 break;
             }
--- a/crates/pewtergap/tests/crossings.rs
+++ b/crates/pewtergap/tests/crossings.rs
@@ -75,10 +75,10 @@
     for proxy in &mut proxies {
         let mut reader = Reader::new(Bounds { bytes: 1 << 20, items: 8_192 });
         reader.push(&proxy.rest());
-        while let Some(message) = reader.take().expect("nothing that cannot be read") {
+        while let Some(message) = reader.next_message().expect("nothing that cannot be read") {
             whole += usize::from(message.first() == Some(&&b"CONFIG"[..]));
         }
-        assert_eq!(reader.held(), 0, "a message is left half written");
+        assert_eq!(reader.buffered(), 0, "a message is left half written");
     }
     assert!(whole > 0, "the orders before the end have gone out");
 }
--- a/crates/pewtergap/tests/peer/mod.rs
+++ b/crates/pewtergap/tests/peer/mod.rs
@@ -1,6 +1,6 @@
 //! A planner as a process, and scripted peers that hold both sides of a crossing and let them go in the order wanted.
 
-use pewtergap_resp::{write, Bounds, Reader};
+use pewtergap_resp::{write_array, Bounds, Reader};
 use socket2::SockRef;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -273,7 +273,7 @@
 
     pub fn say(&mut self, text: &str) {
         let mut bytes = Vec::new();
-        write(text.split(' '), &mut bytes);
+        write_array(text.split(' '), &mut bytes);
         self.raw(&bytes);
     }
 
@@ -281,7 +281,7 @@
     pub fn hear(&mut self) -> String {
         let mut buffer = [0; 4_096];
         loop {
-            if let Some(items) = self.reader.take().expect("a message") {
+            if let Some(items) = self.reader.next_message().expect("a message") {
                 return String::from_utf8_lossy(&items.join(&b' ')).into_owned();
             }
             let count = self.stream.read(&mut buffer).expect("bytes");
--- a/crates/platform/src/node.rs
+++ b/crates/platform/src/node.rs
@@ -7,11 +7,11 @@
 use crate::server_list::{Answer, News, ServerList, Target};
 use crate::tables::Tables;
 use pewtergap_control::probes::Probes;
-use pewtergap_control::Probing;
+use pewtergap_control::ProbeConfig;
 use pewtergap_node::{Effect, Ended, Input, Level, Link, Node, Outbox};
 use pewtergap_planner::interner::Interner;
 use pewtergap_planner::{Action, Event, ListEntry, ListKind, ListedState, Load, Planner, ProbeOutcome};
-use pewtergap_resp::{nack, pong, read, Reader, Said, IN_HAND, UTIL};
+use pewtergap_resp::{nack, parse, pong, Message, Reader, IN_FLIGHT, UTIL};
 use pewtergap_time::{Moment, Span};
 use std::any::Any;
 use std::collections::{BTreeMap, VecDeque};
@@ -137,11 +137,11 @@
             empties.min(LONGEST_EMPTIES).times(2.0) + start.channel.max_transit.times(2.0);
         let drain_grace = start.contract.drain_grace;
         let planner = start.build_planner(now, seed);
-        let probing = Probing {
+        let probing = ProbeConfig {
             path: "/metrics/load".into(),
-            within: PROBED,
-            most_open: most_probes(limits),
-            in_body: Some((UTIL, IN_HAND)),
+            timeout: PROBED,
+            max_open: most_probes(limits),
+            body_fields: Some((UTIL, IN_FLIGHT)),
         };
         Platform {
             name,
@@ -322,7 +322,7 @@
     /// A server is another one, or none, under its name: what its probe brings would be told of the wrong one.
     fn former_probe(&mut self, server: usize, out: &mut Outbox) {
         let gone = self.endpoints[server].is_none();
-        let link = if gone { self.probes.forget(server) } else { self.probes.renew(server) };
+        let link = if gone { self.probes.remove(server) } else { self.probes.restart(server) };
         if let Some(link) = link {
             out.cut(link);
         }
@@ -349,7 +349,7 @@
         let orders = self.planner.turn(now, &events);
         for order in &orders {
             match order {
-                Action::Probe { server } => self.probes.ask(*server),
+                Action::Probe { server } => self.probes.enqueue(*server),
                 Action::Wake { at } => {
                     self.woken = Some(*at);
                     out.wake(timer::WOKEN, *at);
@@ -358,7 +358,7 @@
                     self.log(now, Level::Info, "planner", vec![("text", text.clone())], out)
                 }
                 Action::ReleaseServer { server } => {
-                    if let Some(link) = self.probes.forget(*server) {
+                    if let Some(link) = self.probes.remove(*server) {
                         out.cut(link);
                     }
                     self.tally.tries.remove(server);
@@ -403,10 +403,10 @@
     // ---- probes
 
     fn ask_next(&mut self, now: Moment, out: &mut Outbox) {
-        while let Some(server) = self.probes.next_asked() {
+        while let Some(server) = self.probes.next_server() {
             let Some((at, _)) = self.endpoints.get(server).copied().flatten() else { continue };
             let link = out.connect(at, None);
-            let until = self.probes.begin(now, server, link);
+            let until = self.probes.start(now, server, link);
             out.wake(timer::PROBES, until);
         }
     }
@@ -436,7 +436,7 @@
     }
 
     fn late_probes(&mut self, now: Moment, out: &mut Outbox) {
-        for (link, server) in self.probes.late(now) {
+        for (link, server) in self.probes.take_timed_out(now) {
             out.cut(link);
             self.probed(now, (server, ProbeOutcome::TimedOut, Load::default()), out);
         }
@@ -507,7 +507,7 @@
                 let fields = vec![("discovery", config.discovery.to_string())];
                 self.log(now, Level::Info, "configuration", fields, out);
                 self.limits = config.limits;
-                self.probes.allow(most_probes(self.limits));
+                self.probes.set_max_open(most_probes(self.limits));
                 if config.discovery != self.discovery.at() {
                     self.discovery.move_to(now, config.discovery, out);
                     out.wake(timer::DISCOVERY, self.discovery.until());
@@ -536,21 +536,22 @@
                 self.discovery.opened(now, out);
                 out.wake(timer::DISCOVERY, self.discovery.until());
             }
-            Input::Opened { link } if self.probes.knows(link) => {
-                let call = self.probes.call(&self.name);
+            Input::Opened { link } if self.probes.owns_link(link) => {
+                let call = self.probes.request(&self.name);
                 out.send(link, call);
             }
             Input::Opened { .. } => {}
             Input::Bytes { link, bytes } if self.discovery.has(link) => self.discovery_heard(now, bytes, out),
-            Input::Bytes { link, bytes } if self.probes.knows(link) => {
-                if let Some(probed) = self.probes.bytes(link, bytes) {
+            Input::Bytes { link, bytes } if self.probes.owns_link(link) => {
+                if let Some(probed) = self.probes.receive(link, bytes) {
                     out.cut(link);
                     self.probed(now, probed, out);
                 }
             }
             Input::Bytes { link, bytes } => self.heard(now, link, bytes, out),
             Input::Closed { link, why } if self.discovery.has(link) => self.discovery_ended(now, why, out),
-            Input::Closed { link, why } if self.probes.knows(link) => match self.probes.closed(link, why) {
+            Input::Closed { link, why } if self.probes.owns_link(link) => match self.probes.closed(link, why)
+            {
                 Some(probed) => self.probed(now, probed, out),
                 None => self.no_room(now, out),
             },
--- a/crates/platform/src/node/streams.rs
+++ b/crates/platform/src/node/streams.rs
@@ -22,7 +22,7 @@
     /// Ends a connection; one that has not joined is told why.
     pub(super) fn turn_away(&mut self, now: Moment, link: Link, why: &str, out: &mut Outbox) {
         let Some(peer) = self.peers.all.remove(&link) else { return };
-        self.peers.held -= peer.reader.held();
+        self.peers.held -= peer.reader.buffered();
         self.gone(now, link, &peer, out);
         if peer.stand == Stand::Stranger {
             self.tally.turned_away += 1;
@@ -53,7 +53,7 @@
 
     pub(super) fn closed(&mut self, now: Moment, link: Link, why: Ended, out: &mut Outbox) {
         if let Some(peer) = self.peers.all.remove(&link) {
-            self.peers.held -= peer.reader.held();
+            self.peers.held -= peer.reader.buffered();
             if why == Ended::Overflow {
                 let fields = vec![("stand", format!("{:?}", peer.stand)), ("why", "does not read".into())];
                 self.log(now, Level::Warn, "closed", fields, out);
@@ -64,7 +64,7 @@
 
     pub(super) fn heard(&mut self, now: Moment, link: Link, bytes: &[u8], out: &mut Outbox) {
         let Some(mut peer) = self.peers.all.remove(&link) else { return };
-        self.peers.held -= peer.reader.held();
+        self.peers.held -= peer.reader.buffered();
         if peer.stand == Stand::Proxy {
             self.speaks(now, link, peer.proxy, out);
         }
@@ -73,7 +73,7 @@
         let heard = self.listen_to(now, link, &mut peer, out);
         let collects = (before != peer.stand && peer.stand == Stand::Collector).then_some(peer.zone);
         peer.reader.shrink();
-        self.peers.held += peer.reader.held();
+        self.peers.held += peer.reader.buffered();
         self.peers.all.insert(link, peer);
         let most = (self.limits.memory_mb * 1024 * 1024 / HELD) as usize;
         match heard {
@@ -167,8 +167,10 @@
     ) -> Result<(), String> {
         let Peer { stand, reader, since, proxy, zone: at } = peer;
         loop {
-            let Some(items) = reader.take().map_err(|wrong| wrong.to_string())? else { return Ok(()) };
-            let said = read(&items);
+            let Some(items) = reader.next_message().map_err(|wrong| wrong.to_string())? else {
+                return Ok(());
+            };
+            let said = parse(&items);
             let what = said.as_ref().map_or(Kind::Spoilt, kind);
             let (next, does) = transition(*stand, what);
             let omitted = match (does, said) {
@@ -178,10 +180,10 @@
                 }
                 (Does::Admit, Ok(said)) => {
                     match said {
-                        Said::Joins { proxy: number, zone, calls_per_s, bare } => {
+                        Message::Joins { proxy: number, zone, calls_per_s, bare } => {
                             *proxy = self.join(now, link, (number, zone, calls_per_s, bare), out)?;
                         }
-                        Said::Collects { zone } => {
+                        Message::Collects { zone } => {
                             let known = self.zones.iter().position(|known| known == zone);
                             *at = known.ok_or("az: the zone does not exist")?;
                         }
@@ -255,11 +257,11 @@
         now: Moment,
         stand: Stand,
         own: usize,
-        said: Said<'_>,
+        said: Message<'_>,
         out: &mut Outbox,
     ) -> Result<(), &'static str> {
         let event = match said {
-            Said::Sums(sums) => {
+            Message::ServerStats(sums) => {
                 let zone = self.zones.iter().position(|known| known == sums.zone);
                 let zone = zone.ok_or("the zone does not exist")?;
                 let server = self.servers.get(&sums.server.to_string()).ok_or("the server is not known")?;
@@ -279,7 +281,7 @@
                     load,
                 }
             }
-            Said::Arrivals { proxy: number, route, calls, dropped, over } => {
+            Message::Arrivals { proxy: number, route, calls, dropped, over } => {
                 let proxy = self.proxies.get(&number).filter(|at| self.joined(*at));
                 let proxy = proxy.ok_or("the proxy has not joined")?;
                 if stand == Stand::Proxy && proxy != own {
@@ -290,7 +292,7 @@
                 self.tally.arrivals += 1;
                 Event::Arrivals { proxy, route, calls: calls as f64, dropped: dropped as f64, period: over }
             }
-            Said::Applied { proxy: number, mark, after } => {
+            Message::Applied { proxy: number, mark, after } => {
                 if self.proxies.get(&number) != Some(own) {
                     return Err("the proxy is another");
                 }
@@ -301,7 +303,9 @@
                 self.tally.worst_applied = self.tally.worst_applied.max(after);
                 Event::Applied { proxy: own, mark }
             }
-            Said::Ping | Said::Collects { .. } | Said::Joins { .. } => return Err("not from such a peer"),
+            Message::Ping | Message::Collects { .. } | Message::Joins { .. } => {
+                return Err("not from such a peer")
+            }
         };
         self.event(now, event, out);
         Ok(())
--- a/crates/platform/src/peers.rs
+++ b/crates/platform/src/peers.rs
@@ -1,7 +1,7 @@
 //! Who stands behind a connection, and what a message from such a one does.
 
 use pewtergap_node::Link;
-use pewtergap_resp::{Bounds, Reader, Said};
+use pewtergap_resp::{Bounds, Message, Reader};
 use pewtergap_time::{Moment, Span};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -34,14 +34,14 @@
     Spoilt,
 }
 
-pub fn kind(said: &Said) -> Kind {
+pub fn kind(said: &Message) -> Kind {
     match said {
-        Said::Ping => Kind::Ping,
-        Said::Collects { .. } => Kind::Collects,
-        Said::Sums(_) => Kind::Sums,
-        Said::Joins { .. } => Kind::Joins,
-        Said::Applied { .. } => Kind::Applied,
-        Said::Arrivals { .. } => Kind::Arrivals,
+        Message::Ping => Kind::Ping,
+        Message::Collects { .. } => Kind::Collects,
+        Message::ServerStats(_) => Kind::Sums,
+        Message::Joins { .. } => Kind::Joins,
+        Message::Applied { .. } => Kind::Applied,
+        Message::Arrivals { .. } => Kind::Arrivals,
     }
 }
 
--- a/crates/platform/src/tables.rs
+++ b/crates/platform/src/tables.rs
@@ -2,7 +2,7 @@
 
 use pewtergap_planner::interner::Interner;
 use pewtergap_planner::{Action, ResendPolicy};
-use pewtergap_resp::Part;
+use pewtergap_resp::ConfigPart;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
@@ -101,7 +101,7 @@
                 continue;
             }
             let (bytes, lines) = written.entry(news.clone()).or_insert_with(|| {
-                let mut parts: Vec<Part> = Vec::new();
+                let mut parts: Vec<ConfigPart> = Vec::new();
                 for (mask, table, whole) in news {
                     if let Some(standing) = self.tables.get(&table) {
                         standing.parts(mask, whole, servers, routes, &mut parts);
@@ -120,7 +120,7 @@
 }
 
 /// The mark goes with the last part: it answers for all of the message.
-fn finish(mut parts: Vec<Part>, mark: Option<u64>) -> (Rc<[u8]>, usize) {
+fn finish(mut parts: Vec<ConfigPart>, mark: Option<u64>) -> (Rc<[u8]>, usize) {
     let mut bytes = Vec::new();
     if let Some(last) = parts.last_mut() {
         last.mark = mark;
@@ -142,7 +142,7 @@
         whole: bool,
         servers: &Interner<String>,
         routes: &[String],
-        into: &mut Vec<Part>,
+        into: &mut Vec<ConfigPart>,
     ) {
         let names = |mask: u64| -> Vec<String> {
             let named = routes.iter().enumerate().filter(|(at, _)| mask >> (*at).min(63) & 1 == 1);
@@ -156,11 +156,11 @@
         };
         let begin = into.len();
         for lines in lines.chunks(LINES_A_PART) {
-            into.push(Part { routes: names(mask), lines: lines.to_vec(), ..Part::default() });
+            into.push(ConfigPart { routes: names(mask), lines: lines.to_vec(), ..ConfigPart::default() });
         }
         if whole {
             if into.len() == begin {
-                into.push(Part { routes: names(mask), ..Part::default() });
+                into.push(ConfigPart { routes: names(mask), ..ConfigPart::default() });
             }
             into[begin].whole = true;
         }
@@ -175,10 +175,10 @@
             match into.last_mut() {
                 Some(last) if carried && last.gate.is_none() => last.gate = Some((*level, *how)),
                 _ if mask != 0 && for_routes == 0 => {}
-                _ => into.push(Part {
+                _ => into.push(ConfigPart {
                     routes: names(for_routes),
                     gate: Some((*level, *how)),
-                    ..Part::default()
+                    ..ConfigPart::default()
                 }),
             }
         }
--- a/crates/platform/tests/hand/mod.rs
+++ b/crates/platform/tests/hand/mod.rs
@@ -2,7 +2,7 @@
 
 use pewtergap_node::{Effect, Input, Link, Node, Outbox};
 use pewtergap_platform::{Config, Platform};
-use pewtergap_resp::{write, Bounds, Reader};
+use pewtergap_resp::{write_array, Bounds, Reader};
 use pewtergap_time::{Moment, Span};
 use std::net::SocketAddr;
 
@@ -100,7 +100,7 @@
 
     pub fn say(&mut self, link: Link, text: &str) {
         let mut bytes = Vec::new();
-        write(text.split(' '), &mut bytes);
+        write_array(text.split(' '), &mut bytes);
         self.give(Input::Bytes { link, bytes: &bytes });
     }
 
@@ -127,7 +127,7 @@
             let mut reader = Reader::new(Bounds { bytes: 1 << 20, items: 100 });
             reader.push(bytes);
             let mut parts = Vec::new();
-            while let Ok(Some(items)) = reader.take() {
+            while let Ok(Some(items)) = reader.next_message() {
                 parts.push(String::from_utf8_lossy(&items.join(&b' ')).into_owned());
             }
             match parts.is_empty() {
--- a/crates/resp/src/array.rs
+++ b/crates/resp/src/array.rs
@@ -18,13 +18,13 @@
 
 /// Why a stream cannot be read any further.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Wrong {
+pub struct FramingError {
     /// Byte of the stream at which it goes wrong.
     pub at: u64,
     pub what: String,
 }
 
-impl fmt::Display for Wrong {
+impl fmt::Display for FramingError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "byte {}: {}", self.at, self.what)
     }
@@ -75,7 +75,7 @@
     }
 
     /// Bytes held of a message that is not complete.
-    pub fn held(&self) -> usize {
+    pub fn buffered(&self) -> usize {
         self.buffer.len() - self.from
     }
 
@@ -89,7 +89,7 @@
     }
 
     /// Bytes of memory taken.
-    pub fn taken(&self) -> usize {
+    pub fn capacity(&self) -> usize {
         self.buffer.capacity()
     }
 
@@ -101,7 +101,7 @@
     }
 
     /// The next message, its items as they came.
-    pub fn take(&mut self) -> Result<Option<Vec<&[u8]>>, Wrong> {
+    pub fn next_message(&mut self) -> Result<Option<Vec<&[u8]>>, FramingError> {
         if self.failed {
             return Err(self.wrong("the stream could not be read before"));
         }
@@ -123,12 +123,12 @@
         }
     }
 
-    fn wrong(&self, what: &str) -> Wrong {
-        Wrong { at: self.passed + self.at as u64, what: what.into() }
+    fn wrong(&self, what: &str) -> FramingError {
+        FramingError { at: self.passed + self.at as u64, what: what.into() }
     }
 
     /// Whether a message is complete.
-    fn step(&mut self) -> Result<bool, Wrong> {
+    fn step(&mut self) -> Result<bool, FramingError> {
         let left = match self.left {
             Some(left) => left,
             None => {
@@ -167,7 +167,7 @@
     }
 
     /// A line of a mark and a number; nothing if it has not come whole.
-    fn header(&mut self, mark: u8, what: &str) -> Result<Option<usize>, Wrong> {
+    fn header(&mut self, mark: u8, what: &str) -> Result<Option<usize>, FramingError> {
         let rest = &self.buffer[self.at..];
         let Some(first) = rest.first() else { return Ok(None) };
         if *first != mark {
@@ -192,7 +192,7 @@
 }
 
 /// One message: its kind and whatever follows.
-pub fn write<'a>(items: impl IntoIterator<Item = &'a str>, into: &mut Vec<u8>) {
+pub fn write_array<'a>(items: impl IntoIterator<Item = &'a str>, into: &mut Vec<u8>) {
     let items: Vec<&str> = items.into_iter().collect();
     into.extend_from_slice(format!("*{}\r\n", items.len()).as_bytes());
     for item in items {
--- a/crates/resp/src/lib.rs
+++ b/crates/resp/src/lib.rs
@@ -5,7 +5,7 @@
 #![forbid(unsafe_code)]
 
 mod array;
-mod words;
+mod messages;
 
-pub use array::{write, Bounds, Reader, Wrong};
-pub use words::{nack, pong, read, Part, Said, Spoilt, Sums, IN_HAND, UTIL};
+pub use array::{write_array, Bounds, FramingError, Reader};
+pub use messages::{nack, parse, pong, ConfigPart, InvalidMessage, Message, ServerStats, IN_FLIGHT, UTIL};
--- a/crates/resp/src/words.rs
+++ b/crates/resp/src/messages.rs
@@ -19,11 +19,11 @@
 /// Names in a load report. The protocol's page has the first; servers were seen to send the second, the words of
 /// the settings. Read by the first alone the planner took every server for one of unknown load.
 pub const UTIL: &[&str] = &["util", "cpu"];
-pub const IN_HAND: &[&str] = &["inflight", "active"];
+pub const IN_FLIGHT: &[&str] = &["inflight", "active"];
 
 /// Of a server's tries, as proxies of a zone saw them.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Sums<'a> {
+pub struct ServerStats<'a> {
     pub zone: &'a str,
     pub server: &'a str,
     pub tries: u64,
@@ -35,13 +35,13 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Said<'a> {
+pub enum Message<'a> {
     Ping,
     /// A collector states its zone.
     Collects {
         zone: &'a str,
     },
-    Sums(Sums<'a>),
+    ServerStats(ServerStats<'a>),
     Joins {
         proxy: u64,
         zone: &'a str,
@@ -64,13 +64,13 @@
 
 /// Why a message is left out.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Spoilt {
+pub struct InvalidMessage {
     pub kind: String,
     pub field: &'static str,
     pub what: &'static str,
 }
 
-impl fmt::Display for Spoilt {
+impl fmt::Display for InvalidMessage {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.field {
             "" => write!(f, "{}: {}", self.kind, self.what),
@@ -90,11 +90,11 @@
 }
 
 impl<'a> Fields<'a> {
-    fn spoilt(&self, field: &'static str, what: &'static str) -> Spoilt {
-        Spoilt { kind: shown(self.kind), field, what }
+    fn spoilt(&self, field: &'static str, what: &'static str) -> InvalidMessage {
+        InvalidMessage { kind: shown(self.kind), field, what }
     }
 
-    fn text_or_none(&self, field: &'static str) -> Result<Option<&'a str>, Spoilt> {
+    fn text_or_none(&self, field: &'static str) -> Result<Option<&'a str>, InvalidMessage> {
         let mut found = self.pairs.chunks(2).filter(|pair| pair[0] == field.as_bytes());
         let Some(pair) = found.next() else { return Ok(None) };
         if found.next().is_some() {
@@ -103,11 +103,11 @@
         std::str::from_utf8(pair[1]).map(Some).map_err(|_| self.spoilt(field, "is not text"))
     }
 
-    fn text(&self, field: &'static str) -> Result<&'a str, Spoilt> {
+    fn text(&self, field: &'static str) -> Result<&'a str, InvalidMessage> {
         self.text_or_none(field)?.ok_or(self.spoilt(field, "is missing"))
     }
 
-    fn whole(&self, field: &'static str, most: u64) -> Result<u64, Spoilt> {
+    fn whole(&self, field: &'static str, most: u64) -> Result<u64, InvalidMessage> {
         let text = self.text(field)?;
         if text.is_empty() || !text.bytes().all(|b| b.is_ascii_digit()) {
             return Err(self.spoilt(field, "is not a whole number"));
@@ -115,7 +115,7 @@
         text.parse().ok().filter(|n| *n <= most).ok_or(self.spoilt(field, "is out of range"))
     }
 
-    fn checked(&self, field: &'static str, text: &str, most: f64) -> Result<f64, Spoilt> {
+    fn checked(&self, field: &'static str, text: &str, most: f64) -> Result<f64, InvalidMessage> {
         let number = text.parse::<f64>().map_err(|_| self.spoilt(field, "is not a number"))?;
         match (0.0..=most).contains(&number) {
             true => Ok(number),
@@ -123,28 +123,28 @@
         }
     }
 
-    fn number(&self, field: &'static str, most: f64) -> Result<f64, Spoilt> {
+    fn number(&self, field: &'static str, most: f64) -> Result<f64, InvalidMessage> {
         self.checked(field, self.text(field)?, most)
     }
 
-    fn span(&self, field: &'static str) -> Result<Span, Spoilt> {
+    fn span(&self, field: &'static str) -> Result<Span, InvalidMessage> {
         Ok(Span::of_seconds(self.number(field, LONGEST_MS)? / 1e3))
     }
 
     /// A time over which something was counted is not nothing.
-    fn window(&self) -> Result<Span, Spoilt> {
+    fn window(&self) -> Result<Span, InvalidMessage> {
         match self.span("window")? {
             Span(0) => Err(self.spoilt("window", "is out of range")),
             span => Ok(span),
         }
     }
 
-    fn counts(&self) -> Result<(u64, u64), Spoilt> {
+    fn counts(&self) -> Result<(u64, u64), InvalidMessage> {
         Ok((self.whole("n", MOST_CALLS)?, self.whole("bad", MOST_CALLS)?))
     }
 
     /// Utilization and calls in hand; a report that is told must be readable as a whole.
-    fn report(&self) -> Result<(Option<f64>, Option<f64>), Spoilt> {
+    fn report(&self) -> Result<(Option<f64>, Option<f64>), InvalidMessage> {
         let (mut util, mut in_hand) = (None, None);
         let text = self.text_or_none("report")?.unwrap_or("");
         for pair in text.split(',').filter(|pair| !pair.is_empty()) {
@@ -152,14 +152,14 @@
             let value = self.checked("report", value, MOST_LOAD)?;
             match name {
                 name if UTIL.contains(&name) => util = Some(value),
-                name if IN_HAND.contains(&name) => in_hand = Some(value),
+                name if IN_FLIGHT.contains(&name) => in_hand = Some(value),
                 _ => {}
             }
         }
         Ok((util, in_hand))
     }
 
-    fn flag(&self, field: &'static str) -> Result<bool, Spoilt> {
+    fn flag(&self, field: &'static str) -> Result<bool, InvalidMessage> {
         match self.text(field)? {
             "1" => Ok(true),
             "0" => Ok(false),
@@ -168,17 +168,17 @@
     }
 }
 
-pub fn read<'a>(items: &'a [&'a [u8]]) -> Result<Said<'a>, Spoilt> {
+pub fn parse<'a>(items: &'a [&'a [u8]]) -> Result<Message<'a>, InvalidMessage> {
     let Some((kind, pairs)) = items.split_first() else {
-        return Err(Spoilt { kind: String::new(), field: "", what: "no kind" });
+        return Err(InvalidMessage { kind: String::new(), field: "", what: "no kind" });
     };
     let fields = Fields { kind, pairs };
     if pairs.len() % 2 == 1 {
         return Err(fields.spoilt("", "a name without a value"));
     }
     Ok(match *kind {
-        b"PING" => Said::Ping,
-        b"SOURCE" => Said::Collects { zone: fields.text("az")? },
+        b"PING" => Message::Ping,
+        b"SOURCE" => Message::Collects { zone: fields.text("az")? },
         b"LOAD" => {
             let (tries, dropped) = fields.counts()?;
             if dropped > tries {
@@ -192,15 +192,24 @@
             };
             let (util, in_hand) = fields.report()?;
             let (zone, server) = (fields.text("az")?, fields.text("host")?);
-            Said::Sums(Sums { zone, server, tries, dropped, mean, over: fields.window()?, util, in_hand })
+            Message::ServerStats(ServerStats {
+                zone,
+                server,
+                tries,
+                dropped,
+                mean,
+                over: fields.window()?,
+                util,
+                in_hand,
+            })
         }
-        b"SUBSCRIBE" => Said::Joins {
+        b"SUBSCRIBE" => Message::Joins {
             proxy: fields.whole("sidecar", MOST_NUMBER)?,
             zone: fields.text("az")?,
             calls_per_s: fields.number("share", MOST_RATE)?,
             bare: fields.flag("standing")?,
         },
-        b"ACK" => Said::Applied {
+        b"ACK" => Message::Applied {
             proxy: fields.whole("sidecar", MOST_NUMBER)?,
             mark: fields.whole("version", MOST_NUMBER)?,
             after: fields.span("lag_ms")?,
@@ -209,7 +218,7 @@
             // Calls that came in one window may be dropped in the next: on a calm day more were than came.
             let (calls, dropped) = fields.counts()?;
             let (proxy, route) = (fields.whole("sidecar", MOST_NUMBER)?, fields.text("kind")?);
-            Said::Arrivals { proxy, route, calls, dropped, over: fields.window()? }
+            Message::Arrivals { proxy, route, calls, dropped, over: fields.window()? }
         }
         _ => return Err(fields.spoilt("", "the kind is not known")),
     })
@@ -218,20 +227,20 @@
 /// The answer to a sign of life.
 pub fn pong() -> Vec<u8> {
     let mut bytes = Vec::new();
-    array::write(["PONG"], &mut bytes);
+    array::write_array(["PONG"], &mut bytes);
     bytes
 }
 
 /// For whoever is turned away.
 pub fn nack(why: &str) -> Vec<u8> {
     let mut bytes = Vec::new();
-    array::write(["NACK", "why", why], &mut bytes);
+    array::write_array(["NACK", "why", why], &mut bytes);
     bytes
 }
 
 /// One part of an order to a proxy; what is empty is left out.
 #[derive(Clone, Debug, Default)]
-pub struct Part {
+pub struct ConfigPart {
     /// Names of the routes it is for; none for all.
     pub routes: Vec<String>,
     /// The lines are the whole table.
@@ -242,7 +251,7 @@
     pub mark: Option<u64>,
 }
 
-impl Part {
+impl ConfigPart {
     /// `more`: another part of the same message follows.
     pub fn write(&self, more: bool, into: &mut Vec<u8>) {
         let routes = self.routes.join("+");
@@ -270,6 +279,6 @@
         if more {
             field("more", "1");
         }
-        array::write(items, into);
+        array::write_array(items, into);
     }
 }
--- a/crates/resp/tests/messages.rs
+++ b/crates/resp/tests/messages.rs
@@ -1,20 +1,20 @@
 //! The wire: any pieces give the same messages, lengths are refused before anything is kept for them, and what is
 //! spoilt is named.
 
-use pewtergap_resp::{nack, pong, read, write, Bounds, Part, Reader};
+use pewtergap_resp::{nack, parse, pong, write_array, Bounds, ConfigPart, Reader};
 use std::fmt::Write;
 
 const BOUNDS: Bounds = Bounds { bytes: 4096, items: 16 };
 
 fn message(text: &str) -> Vec<u8> {
     let mut bytes = Vec::new();
-    write(text.split(' '), &mut bytes);
+    write_array(text.split(' '), &mut bytes);
     bytes
 }
 
 fn shown(text: &str) -> String {
     let items: Vec<&[u8]> = text.split(' ').map(str::as_bytes).collect();
-    match read(&items) {
+    match parse(&items) {
         Ok(said) => format!("{text}\n    {said:?}"),
         Err(spoilt) => format!("{text}\n    left out: {spoilt}"),
     }
@@ -63,7 +63,7 @@
     for piece in pieces {
         reader.push(piece);
         loop {
-            match reader.take() {
+            match reader.next_message() {
                 Ok(None) => break,
                 Ok(Some(items)) => {
                     let items: Vec<_> = items.iter().map(|item| String::from_utf8_lossy(item)).collect();
@@ -72,9 +72,9 @@
                 Err(wrong) => return format!("{seen}{wrong}"),
             }
         }
-        assert!(reader.held() <= BOUNDS.bytes + piece.len());
+        assert!(reader.buffered() <= BOUNDS.bytes + piece.len());
     }
-    format!("{seen}{} held", reader.held())
+    format!("{seen}{} held", reader.buffered())
 }
 
 #[test]
@@ -124,12 +124,12 @@
 fn a_large_read_is_given_back_though_the_next_message_has_begun() {
     let mut reader = Reader::new(Bounds { bytes: 1 << 20, items: 16 });
     reader.push(&[message("PING").repeat(10_000), b"*2\r\n$4\r\nPI".to_vec()].concat());
-    while let Ok(Some(_)) = reader.take() {}
+    while let Ok(Some(_)) = reader.next_message() {}
     reader.shrink();
-    assert_eq!(reader.held(), 10);
-    assert!(reader.taken() <= 8 * 1024, "{} bytes kept", reader.taken());
+    assert_eq!(reader.buffered(), 10);
+    assert!(reader.capacity() <= 8 * 1024, "{} bytes kept", reader.capacity());
     reader.push(b"NG\r\n$1\r\nx\r\n");
-    assert_eq!(reader.take().map(|items| items.map(|items| items.len())), Ok(Some(2)));
+    assert_eq!(reader.next_message().map(|items| items.map(|items| items.len())), Ok(Some(2)));
 }
 
 #[test]
@@ -144,10 +144,10 @@
         let mut reader = Reader::new(BOUNDS);
         for piece in stream.chunks(chance.usize(1..40)) {
             reader.push(piece);
-            while let Ok(Some(items)) = reader.take() {
-                let _ = read(&items);
+            while let Ok(Some(items)) = reader.next_message() {
+                let _ = parse(&items);
             }
-            assert!(reader.held() <= BOUNDS.bytes + 40);
+            assert!(reader.buffered() <= BOUNDS.bytes + 40);
         }
     }
 }
@@ -155,7 +155,7 @@
 #[test]
 fn orders_have_the_fields_in_the_protocols_order() {
     let lines = vec![("s-1".to_string(), 1.5), ("s-2".to_string(), 0.0)];
-    let full = Part {
+    let full = ConfigPart {
         routes: vec!["lookup".into(), "order".into()],
         whole: true,
         lines,
@@ -164,7 +164,7 @@
     };
     let mut bytes = Vec::new();
     full.write(true, &mut bytes);
-    Part { mark: Some(7), ..Part::default() }.write(false, &mut bytes);
+    ConfigPart { mark: Some(7), ..ConfigPart::default() }.write(false, &mut bytes);
     bytes.extend(pong());
     bytes.extend(nack("no room"));
     insta::assert_snapshot!(through([&bytes[..]].into_iter()));
--- a/crates/settings/src/files.rs
+++ b/crates/settings/src/files.rs
@@ -3,7 +3,7 @@
 use crate::read::{Faults, Section, Share};
 use crate::script::Script;
 use pewtergap_control::channel::Channel as Queue;
-use pewtergap_control::{Charge, Doors, Probing, Reports, Service, Source};
+use pewtergap_control::{ListSource, ListenConfig, ProbeConfig, ReportConfig, Service, ServiceConfig};
 use pewtergap_duty::LeaseConfig;
 use pewtergap_member::words::FORMATS;
 use pewtergap_member::{slice_names, Duties, Post, Receiver, Shares, Together, MOST_MEMBERS, MOST_OBSERVERS};
@@ -26,17 +26,17 @@
 
 /// What `pewtergap run` starts from.
 pub struct ServiceFile {
-    pub charge: Charge,
-    pub doors: Doors,
-    pub source: Source,
+    pub charge: ServiceConfig,
+    pub doors: ListenConfig,
+    pub source: ListSource,
     pub fleet: Fleet,
     pub routes: Vec<Route>,
     pub channel: ChannelLimits,
     pub contract: Contract,
     pub capabilities: Capabilities,
     pub slicing: Slicing,
-    pub reports: Reports,
-    pub probing: Probing,
+    pub reports: ReportConfig,
+    pub probing: ProbeConfig,
     /// Who agrees with this planner on what it holds for others; alone unless others are named.
     pub post: Post,
     /// Whom it watches instead of being a member.
@@ -130,13 +130,13 @@
     routes
 }
 
-fn source(part: &Section) -> Source {
+fn source(part: &Section) -> ListSource {
     match part.kind() {
-        "list_watch" => Source::Watch {
-            at: part.need("address"),
+        "list_watch" => ListSource::Watch {
+            address: part.need("address"),
             path: part.or("path", "/apis/discovery.k8s.io/v1/endpointslices".to_string()),
         },
-        _ => Source::File { name: part.need("name") },
+        _ => ListSource::File { name: part.need("name") },
     }
 }
 
@@ -252,7 +252,7 @@
 }
 
 /// What planners share; left out, they share nothing.
-fn sharing(part: &Section, fleet: &Fleet, reports: &Reports, contract: &Contract, drift: f64) -> Shares {
+fn sharing(part: &Section, fleet: &Fleet, reports: &ReportConfig, contract: &Contract, drift: f64) -> Shares {
     let every = part.or("every", Span::millis(500));
     let fresh = part.or("fresh", Span::millis(3_000));
     if every < Span::millis(50) {
@@ -268,7 +268,7 @@
         max_clock_drift: drift,
         planner_count: fleet.planners as u64,
     };
-    let (proxies, most_streams) = (fleet.proxies as f64, reports.most_streams as f64);
+    let (proxies, most_streams) = (fleet.proxies as f64, reports.max_streams as f64);
     Shares { every, fresh, terms, proxies, most_streams }
 }
 
@@ -388,11 +388,11 @@
             part.clash("channel", what);
         }
         let probing = part.within("probes", "probes", |part| {
-            let probing = Probing {
+            let probing = ProbeConfig {
                 path: part.or("path", "/healthz".to_string()),
-                within: part.or("within", Span::millis(500)),
-                most_open: part.or("most_open", 64),
-                in_body: None,
+                timeout: part.or("within", Span::millis(500)),
+                max_open: part.or("most_open", 64),
+                body_fields: None,
             };
             (part.or("on", true), part.or("carry_load", false), probing)
         });
@@ -403,15 +403,15 @@
             ejects_servers: part.or("proxies_shun", false),
             resend_wait_factor: 0.0,
         };
-        let reports = part.within("reports", "reports", |part| Reports {
-            every: part.or("every", Span::millis(1_000)),
-            intake_per_s: part.or("intake_per_s", 1_000.0),
-            most_streams: part.or("most_streams", 16_384),
+        let reports = part.within("reports", "reports", |part| ReportConfig {
+            interval: part.or("every", Span::millis(1_000)),
+            lines_per_s: part.or("intake_per_s", 1_000.0),
+            max_streams: part.or("most_streams", 16_384),
         });
-        let doors = Doors {
+        let doors = ListenConfig {
             proxies: part.need("listen"),
             admin: part.maybe("admin"),
-            from: part.maybe("source_address"),
+            source_ip: part.maybe("source_address"),
         };
         let post = part.within("cluster", "cluster", cluster);
         if !post.members.is_empty() && post.listen.is_none() {
@@ -439,7 +439,7 @@
             );
             part.clash("sharing", what);
         }
-        let slices = (duties.as_ref().map_or(0, |duties| duties.1), probing.2.within);
+        let slices = (duties.as_ref().map_or(0, |duties| duties.1), probing.2.timeout);
         let duties = duties.map(|duties| duties.0);
         if receiver.is_some() && duties.is_none() {
             part.fault("books", "duties() is missing: one planner at a time keeps them");
@@ -449,19 +449,19 @@
             let what = "a planner that watches is no member: cluster(), duties(), sharing() and books() are for those that are";
             part.fault("watch", what);
         }
-        let watch = watch.map(|watch| WatchTargetConfig { planner: name.clone(), source_ip: doors.from, ..watch });
-        let deaf_after = Span(contract.drain_grace.0.saturating_mul(4).max(Span::millis(5_000).0));
+        let watch = watch.map(|watch| WatchTargetConfig { planner: name.clone(), source_ip: doors.source_ip, ..watch });
+        let unresponsive_after = Span(contract.drain_grace.0.saturating_mul(4).max(Span::millis(5_000).0));
         ServiceFile {
-            charge: Charge {
+            charge: ServiceConfig {
                 name: name.clone(),
                 zones,
                 routes: routes.iter().map(|r| r.name.clone()).collect(),
-                deaf_after,
+                unresponsive_after,
             },
             doors,
             source: part
                 .need_part("list", &["list_watch", "list_file"], source)
-                .unwrap_or(Source::File { name: String::new() }),
+                .unwrap_or(ListSource::File { name: String::new() }),
             fleet,
             routes: routes.into_iter().map(|route| route.planned).collect(),
             channel,
@@ -470,7 +470,7 @@
             slicing: Slicing { slices: 0, exclusive: false, write_stop_delay: Span(0), write_linger: Span(0) },
             reports,
             probing: probing.2,
-            post: Post { name: name.clone(), from: doors.from, duties, receiver, shares, slices, ..post },
+            post: Post { name: name.clone(), from: doors.source_ip, duties, receiver, shares, slices, ..post },
             watch,
             seed: part.maybe("seed"),
             dir: part.or("state_dir", ".".to_string()).into(),
--- a/crates/tier/src/control_machine.rs
+++ b/crates/tier/src/control_machine.rs
@@ -7,7 +7,7 @@
 //! | a read was confirmed | all that had been kept when it was asked for is applied here |
 
 use crate::keys;
-use pewtergap_control::{Admin, Asked};
+use pewtergap_control::{AdminRequest, AdminServer};
 use pewtergap_member::{admin, Member, Post, Reply, Request, Told, DOOR, TIMERS};
 use pewtergap_node::{Effect, Input, Level, Link, Node, Outbox};
 use pewtergap_record::RELEASE_DUTY;
@@ -59,7 +59,7 @@
     config: ControlMachineConfig,
     member: Member,
     serving: WatchServer,
-    admin: Admin,
+    admin: AdminServer,
     tokens: u64,
     purposes: BTreeMap<u64, Purpose>,
     /// Up to here watchers are told.
@@ -78,7 +78,7 @@
         ControlMachine {
             serving: WatchServer::new(watch_config, post.name.clone(), config.seed),
             member: Member::new(post),
-            admin: Admin::default(),
+            admin: AdminServer::default(),
             tokens: 0,
             purposes: BTreeMap::new(),
             place: 0,
@@ -155,8 +155,8 @@
 
     // ---- operators
 
-    fn asked(&mut self, now: Moment, asked: Asked, out: &mut Outbox) {
-        let Asked { link, method, target, body } = asked;
+    fn asked(&mut self, now: Moment, asked: AdminRequest, out: &mut Outbox) {
+        let AdminRequest { link, method, target, body } = asked;
         let (path, query) = target.split_once('?').unwrap_or((&target, ""));
         let refused = match (method.as_str(), path) {
             ("POST", "/orders") => match admin::order(&body).and_then(|command| self.steps(command)) {
@@ -338,12 +338,12 @@
             Input::Accepted { link, door: ADMIN, .. } => self.admin.accepted(link, out),
             Input::Accepted { link, .. } if self.stopping => out.cut(link),
             Input::Accepted { link, .. } => self.serving.accepted(now, link, out),
-            Input::Bytes { link, bytes } if self.admin.has(link) => {
-                for asked in self.admin.bytes(link, bytes, out) {
+            Input::Bytes { link, bytes } if self.admin.owns_link(link) => {
+                for asked in self.admin.receive(link, bytes, out) {
                     self.asked(now, asked, out);
                 }
             }
-            Input::Closed { link, .. } if self.admin.has(link) => drop(self.admin.closed(link)),
+            Input::Closed { link, .. } if self.admin.owns_link(link) => drop(self.admin.closed(link)),
             Input::Opened { link } | Input::Bytes { link, .. } | Input::Closed { link, .. } => {
                 if self.serving.owns_link(link) {
                     self.serving.handle(now, input, out);
--- a/crates/tier/src/watching_planner.rs
+++ b/crates/tier/src/watching_planner.rs
@@ -12,7 +12,7 @@
 
 use crate::keys;
 use crate::planner_file::{self, PlannerFile};
-use pewtergap_control::{Asked, Service};
+use pewtergap_control::{AdminRequest, Service};
 use pewtergap_member::{admin, orders};
 use pewtergap_node::{Effect, Input, Level, Link, Node, Outbox, NO_FILE};
 use pewtergap_record::{Record, Subject};
@@ -74,7 +74,7 @@
 
 impl WatchingPlanner {
     pub fn new(mut service: Service, watches: WatchTargetConfig) -> WatchingPlanner {
-        service.elsewhere = ELSEWHERE;
+        service.external_paths = ELSEWHERE;
         let routes = service.routes().iter().cloned().collect();
         WatchingPlanner {
             scope: Scope { servers: None, routes: Some(routes) },
@@ -192,7 +192,7 @@
             watch_config: WatchConfig { timer: WATCHING, ..self.watches.watch_config },
         };
         self.stage = Stage::Up(Box::new(WatchClient::new(home, watched)));
-        self.service.count_as(self.start);
+        self.service.set_epoch(self.start);
         self.service.handle(now, Input::Start, out);
         self.stand_by(now, None, out);
         self.watch(now, Input::Start, out);
@@ -215,9 +215,9 @@
     fn stand_by(&mut self, now: Moment, subjects: Option<&BTreeSet<Subject>>, out: &mut Outbox) {
         let (record, service, among) = (&self.record, &self.service, &self.among);
         let these = subjects.and_then(|subjects| orders::of(record, service, now, subjects, among));
-        let whole = || service.standing().towards(&orders::whole(record, service, now, among));
+        let whole = || service.overrides().diff(&orders::whole(record, service, now, among));
         let stands = these.unwrap_or_else(whole);
-        self.service.stand_by(now, &stands, out);
+        self.service.apply_overrides(now, &stands, out);
     }
 
     fn watch(&mut self, now: Moment, input: Input<'_>, out: &mut Outbox) {
@@ -257,7 +257,9 @@
 
     /// Servers that are listed have to be in scope; some that are not any more do no harm.
     fn rescope(&mut self, now: Moment, out: &mut Outbox) {
-        let Some(listed) = self.service.names().map(|names| names.collect::<BTreeSet<_>>()) else { return };
+        let Some(listed) = self.service.server_names().map(|names| names.collect::<BTreeSet<_>>()) else {
+            return;
+        };
         let fits = match &self.scope.servers {
             _ if listed.len() > MAX_SCOPE_NAMES => self.scope.servers.is_none(),
             Some(known) => {
@@ -285,8 +287,8 @@
 
     // ---- operators
 
-    fn asked(&mut self, now: Moment, asked: Asked, out: &mut Outbox) {
-        let Asked { link, method, target, .. } = asked;
+    fn asked(&mut self, now: Moment, asked: AdminRequest, out: &mut Outbox) {
+        let AdminRequest { link, method, target, .. } = asked;
         let (status, view) = match (method.as_str(), target.as_str()) {
             ("GET", "/record" | "/record?stale") => (200, self.view(now)),
             _ => {
@@ -295,7 +297,7 @@
                 (404, json!({ "refused": why, "machines": machines }))
             }
         };
-        self.service.answer(link, status, &view.to_string(), out);
+        self.service.answer_admin(link, status, &view.to_string(), out);
     }
 
     fn view(&self, now: Moment) -> serde_json::Value {
@@ -340,8 +342,8 @@
             input => self.service.handle(now, input, out),
         }
         // Drains that the list tells are kept by nobody here.
-        self.service.drains.clear();
-        for asked in std::mem::take(&mut self.service.asked) {
+        self.service.drain_notices.clear();
+        for asked in std::mem::take(&mut self.service.external_requests) {
             self.asked(now, asked, out);
         }
     }
