--- a/crates/capacity/src/bounds.rs
+++ b/crates/capacity/src/bounds.rs
@@ -48,7 +48,7 @@
             Voter,
             "members of the record, each planner one",
             7.0,
-            "member: MOST_MEMBERS",
+            "member: MAX_MEMBERS",
             whole(size.planners),
             "tier between record and planners: few vote, the others watch",
         ),
--- a/crates/capacity/tests/bounds.rs
+++ b/crates/capacity/tests/bounds.rs
@@ -6,7 +6,7 @@
 fn bounds_of_the_page_are_the_programs_own() {
     let size = Size::read(TARGET.0, TARGET.1).expect("the target");
     let own = [
-        ("member: MOST_MEMBERS", pewtergap_member::MOST_MEMBERS),
+        ("member: MAX_MEMBERS", pewtergap_member::MAX_MEMBERS),
         ("record: MAX_ORDERS", pewtergap_record::MAX_ORDERS),
         ("record: MAX_IDS", pewtergap_record::MAX_IDS),
         ("record: MAX_BUDGETS", pewtergap_record::MAX_BUDGETS),
--- a/crates/lab/src/cluster/drill.rs
+++ b/crates/lab/src/cluster/drill.rs
@@ -5,7 +5,7 @@
 use super::{name, record_file, ClusterDay, Director, CEILING};
 use crate::ask;
 use crate::cluster::links::Links;
-use pewtergap_member::words::FORMATS;
+use pewtergap_member::messages::FORMATS;
 use rustix::process::Signal;
 use serde_json::{json, Value};
 use std::time::{Duration, Instant};
--- a/crates/lab/src/cluster/links.rs
+++ b/crates/lab/src/cluster/links.rs
@@ -4,7 +4,7 @@
 //! each other and speaks on its own links only, a cut of one door is a cut in one direction.
 
 use crate::bell::{Bell, Rung};
-use pewtergap_member::words::{word, Saying, Word};
+use pewtergap_member::messages::{peer_message, PeerMessage, RaftPayload};
 use pewtergap_node::{Effect, Input, Link, Node, Outbox};
 use pewtergap_protocol::Frames;
 use pewtergap_time::{Moment, Span};
@@ -32,7 +32,7 @@
 #[derive(Default)]
 struct Half {
     queue: VecDeque<(Moment, Vec<u8>)>,
-    frames: Frames<Word>,
+    frames: Frames<PeerMessage>,
     ended: bool,
 }
 
@@ -202,21 +202,25 @@
     while let Ok(Some(word)) = pair.halves[way].frames.take() {
         pair.words.fetch_add(1, Ordering::Relaxed);
         match word.kind {
-            Some(word::Kind::Hello(hello)) => {
+            Some(peer_message::Kind::Hello(hello)) => {
                 pair.who[0] = hello.id;
                 pair.start = hello.start;
                 seen.push(Seen::Hello { name: hello.name, id: hello.id, start: hello.start });
             }
-            Some(word::Kind::Welcome(hello)) => {
+            Some(peer_message::Kind::Welcome(hello)) => {
                 pair.who[1] = hello.id;
             }
-            Some(word::Kind::Agree(agreeing)) => match agreeing.say {
-                Some(Saying::Vote(true)) => {
+            Some(peer_message::Kind::Raft(agreeing)) => match agreeing.payload {
+                Some(RaftPayload::VoteResponse(true)) => {
                     let (by, start) = (pair.who[0], pair.start);
                     seen.push(Seen::Vote { by, start, term: agreeing.term, to: pair.who[1] });
                 }
-                Some(Saying::Piece(piece)) => seen.push(Seen::Piece { at: piece.at, total: piece.total }),
-                Some(Saying::Append(_)) => seen.push(Seen::Leads { id: pair.who[0], term: agreeing.term }),
+                Some(RaftPayload::SnapshotChunk(piece)) => {
+                    seen.push(Seen::Piece { at: piece.offset, total: piece.total_bytes })
+                }
+                Some(RaftPayload::AppendEntries(_)) => {
+                    seen.push(Seen::Leads { id: pair.who[0], term: agreeing.term })
+                }
                 _ => {}
             },
             _ => {}
--- a/crates/lab/src/explore.rs
+++ b/crates/lab/src/explore.rs
@@ -6,8 +6,8 @@
 
 use crate::cluster::judge::{judge, Breach, Done, Op};
 use pewtergap_duty::LeaseConfig;
-use pewtergap_member::words::FORMATS;
-use pewtergap_member::{Duties, Member, Post, Reply, Request, Shares, Told};
+use pewtergap_member::messages::FORMATS;
+use pewtergap_member::{DutyConfig, Member, MemberConfig, MemberEvent, Reply, Request, SharingConfig};
 use pewtergap_node::{Effect, Input, Node, Outbox};
 use pewtergap_raft::RaftConfig;
 use pewtergap_record::{Command, CommandKind, Order, OrderAction, Subject, Weight};
@@ -96,7 +96,7 @@
             Input::Word(word) => {
                 let parts: Vec<u64> = word.split(' ').filter_map(|part| part.parse().ok()).collect();
                 match parts.as_slice() {
-                    [token] => member.ask(now, *token, Request::Fresh, out),
+                    [token] => member.request(now, *token, Request::LinearizableRead, out),
                     [token, id, key, value, given] => {
                         let weight = Weight { server: format!("s{key}"), weight: *value as f64 };
                         let wish = Some(OrderAction::SetWeight(weight));
@@ -108,7 +108,7 @@
                         };
                         let what = Some(CommandKind::Order(order));
                         let command = Command { id: *id, issued_at_ms: *given, kind: what };
-                        member.ask(now, *token, Request::Command(command), out);
+                        member.request(now, *token, Request::Command(command), out);
                     }
                     _ => {}
                 }
@@ -121,8 +121,8 @@
             Input::Due { timer: GONE } => out.push(Effect::Exit { code: 0 }),
             input => member.handle(now, input, out),
         }
-        for told in std::mem::take(&mut member.told) {
-            let Told::Reply { token, reply } = told else { continue };
+        for told in std::mem::take(&mut member.events) {
+            let MemberEvent::Reply { token, reply } = told else { continue };
             let weights = member.record.orders().filter_map(|(subject, kept)| {
                 let (Subject::Weight(at), Some(OrderAction::SetWeight(weight))) =
                     (subject, &kept.order.as_ref()?.action)
@@ -226,7 +226,7 @@
         search
     }
 
-    fn shares(&self) -> Shares {
+    fn shares(&self) -> SharingConfig {
         let lingers = if self.planted == Some(Planted::FreedAtOnce) { Span(0) } else { LINGERS };
         let (holds, planners) = (Span::millis(700), self.places.len() as u64);
         let terms = BudgetConfig {
@@ -235,12 +235,12 @@
             max_clock_drift: LEASE.max_clock_drift,
             planner_count: planners,
         };
-        Shares {
-            every: Span::millis(100),
-            fresh: Span::millis(1_000),
+        SharingConfig {
+            interval: Span::millis(100),
+            max_age: Span::millis(1_000),
             terms,
             proxies: 0.0,
-            most_streams: 0.0,
+            max_streams: 0.0,
         }
     }
 
@@ -263,7 +263,7 @@
         for at in 0..self.places.len() {
             if self.world.runs(self.places[at]) && !self.paused[at] {
                 let member = hold(&self.members[at]);
-                let share = member.cold_share(self.world.clock(self.places[at]));
+                let share = member.cold_budget_share(self.world.clock(self.places[at]));
                 used.insert(member.id(), (share.unwrap_or(0.0) * TOTAL_UNITS as f64).round() as u64);
             }
         }
@@ -298,21 +298,25 @@
     /// A member starts on its machine, with what the disk has.
     fn node(&mut self, at: usize) -> (Arc<Mutex<Member>>, Arc<Mutex<Answers>>) {
         let all = (0..self.places.len()).map(|at| (format!("m{at}"), address(at))).collect();
-        let post = Post {
+        let post = MemberConfig {
             name: format!("m{at}"),
             listen: Some(address(at)),
-            members: all,
-            from: None,
+            founders: all,
+            source_ip: None,
             times: RaftConfig { heartbeat_interval: Span::millis(50), election_timeout: Span::millis(300) },
-            patience: Span::millis(2_000),
+            request_timeout: Span::millis(2_000),
             seed: self.world.rng.u64(..),
-            format: FORMATS.1,
-            duties: Some(Duties { lease: LEASE, steady: Span::millis(1_000), names: self.duties.clone() }),
-            receiver: None,
-            shares: Some(self.shares()),
-            slices: (0, Span(0)),
+            max_format: FORMATS.1,
+            duties: Some(DutyConfig {
+                lease: LEASE,
+                rejoin_delay: Span::millis(1_000),
+                names: self.duties.clone(),
+            }),
+            accounting: None,
+            sharing: Some(self.shares()),
+            probe_slices: (0, Span(0)),
             observers: Vec::new(),
-            watches: false,
+            serves_watches: false,
         };
         let member = Arc::new(Mutex::new(Member::new(post)));
         let answers = Arc::new(Mutex::new(Answers::default()));
@@ -351,7 +355,7 @@
             let answers = std::mem::take(&mut hold(&self.answers[at]).0);
             for (token, reply, found) in answers {
                 let order = self.twins.get(&token).copied().unwrap_or(token);
-                if let Reply::Kept(number) = reply {
+                if let Reply::Committed(number) = reply {
                     let known = *self.numbers.entry(order).or_insert(number);
                     if known != number {
                         let at = self.world.now().since(BEGIN).seconds();
@@ -362,17 +366,17 @@
                 let Some(mut op) = self.asked.remove(&token) else { continue };
                 op.returned = self.world.now();
                 op.done = match reply {
-                    Reply::Kept(number) => Done::Kept(number),
+                    Reply::Committed(number) => Done::Kept(number),
                     // What one was told by nobody the other may have given.
-                    Reply::Refused(_) | Reply::NoMajority
+                    Reply::Rejected(_) | Reply::NoMajority
                         if self.twins.values().any(|first| *first == token) =>
                     {
                         Done::Unknown
                     }
-                    Reply::Refused(_) | Reply::NoMajority => Done::Not,
+                    Reply::Rejected(_) | Reply::NoMajority => Done::Not,
                     Reply::Unknown => Done::Unknown,
-                    Reply::Look { fresh: true, .. } => Done::Found(found),
-                    Reply::Look { .. } => Done::Nothing,
+                    Reply::ReadReady { fresh: true, .. } => Done::Found(found),
+                    Reply::ReadReady { .. } => Done::Nothing,
                 };
                 self.ops.push(op);
             }
@@ -385,7 +389,7 @@
             for at in 0..self.places.len() {
                 if self.world.runs(self.places[at]) {
                     let now = self.world.clock(self.places[at]);
-                    let may = hold(&self.members[at]).may(now, duty);
+                    let may = hold(&self.members[at]).fencing_token(now, duty);
                     acting.extend(may.map(|number| (at, number)));
                 }
             }
@@ -455,7 +459,7 @@
     fn whole(&self) -> bool {
         let fine = |at: &usize| {
             let member = hold(&self.members[*at]);
-            member.agree().is_some_and(|agree| {
+            member.raft().is_some_and(|agree| {
                 let list = &agree.members().list;
                 list.len() == self.places.len() && list.iter().all(|m| m.is_voter) && agree.leader().is_some()
             })
--- a/crates/lab/src/sharing.rs
+++ b/crates/lab/src/sharing.rs
@@ -9,7 +9,7 @@
 use pewtergap_counts::{LocalCounts, PeerCounts};
 use pewtergap_evidence::Evidence;
 use pewtergap_gossip::{Gossip, GossipConfig, MemberState, Message};
-use pewtergap_member::shared::{Counts, CountsAsk, EvidenceTold, Gossiped};
+use pewtergap_member::sharing_messages::{CountsRequest, CountsResponse, EvidenceReport, GossipMessage};
 use pewtergap_protocol::encode;
 use pewtergap_time::{Moment, Span};
 use serde::Serialize;
@@ -60,12 +60,12 @@
                 evidence[at].record_tries(now, name, tries, dropped);
             }
             let told = evidence[at].make_report(now);
-            let length = encode(&EvidenceTold::of(told.clone())).len() + HEAD;
+            let length = encode(&EvidenceReport::from_evidence(told.clone())).len() + HEAD;
             for to in (0..planners as usize).filter(|to| *to != at) {
                 let Some(ask) = others[at].request_report(now, to as u64) else { continue };
-                bytes += encode(&CountsAsk::of(ask)).len() + HEAD;
+                bytes += encode(&CountsRequest::from_ask(ask)).len() + HEAD;
                 if let Some(part) = own[to].make_report(at as u64, ask) {
-                    bytes += encode(&Counts::of(part.clone())).len() + HEAD;
+                    bytes += encode(&CountsResponse::from_part(part.clone())).len() + HEAD;
                     others[at].receive(now, to as u64, &part);
                 }
                 bytes += length;
@@ -88,7 +88,7 @@
                     break;
                 }
                 for (from, to, message) in std::mem::take(&mut ways) {
-                    bytes += encode(&Gossiped::of(&message)).len() + HEAD;
+                    bytes += encode(&GossipMessage::from_gossip(&message)).len() + HEAD;
                     gossip[to as usize - 1].receive(now, from, &message);
                 }
             }
--- a/crates/member/src/books.rs
+++ b/crates/member/src/accounting.rs
@@ -25,7 +25,7 @@
 
 /// Where the books go, and how long a period is.
 #[derive(Clone, Copy, Debug)]
-pub struct Receiver {
+pub struct AccountingConfig {
     pub at: SocketAddr,
     pub period: Span,
 }
@@ -39,8 +39,8 @@
     until: Moment,
 }
 
-pub struct Books {
-    receiver: Receiver,
+pub struct AccountingSender {
+    receiver: AccountingConfig,
     from: Option<IpAddr>,
     sending: Option<Sending>,
     rests_until: Moment,
@@ -48,9 +48,9 @@
     pub refused: u64,
 }
 
-impl Books {
-    pub fn new(receiver: Receiver, from: Option<IpAddr>) -> Books {
-        Books { receiver, from, sending: None, rests_until: Moment(0), sent: 0, refused: 0 }
+impl AccountingSender {
+    pub fn new(receiver: AccountingConfig, from: Option<IpAddr>) -> AccountingSender {
+        AccountingSender { receiver, from, sending: None, rests_until: Moment(0), sent: 0, refused: 0 }
     }
 
     pub fn has(&self, link: Link) -> bool {
--- a/crates/member/src/admin.rs
+++ b/crates/member/src/admin.rs
@@ -1,8 +1,8 @@
 //! What is asked at an admin door of who keeps the record, and how it is answered: bytes to commands, and what is known to
 //! text. The doors themselves are elsewhere.
 
-use crate::member::{Member, Reply, SeatView};
-use crate::words::Change;
+use crate::member::{Member, MemberView, Reply};
+use crate::messages::MemberChange;
 use pewtergap_record::{
     ActiveOrder, Cap, Cleanup, Command, CommandKind, Drain, Order, OrderAction, PinDuty, Record, Weight,
 };
@@ -116,35 +116,39 @@
 }
 
 /// The command of an order that was given.
-pub fn order(body: &[u8]) -> Result<Command, String> {
+pub fn parse_order(body: &[u8]) -> Result<Command, String> {
     serde_json::from_slice::<Given>(body).map_err(|e| e.to_string())?.command()
 }
 
 /// The command by which a duty is wanted somewhere.
-pub fn hand(body: &[u8]) -> Result<Command, String> {
+pub fn parse_duty_placement(body: &[u8]) -> Result<Command, String> {
     serde_json::from_slice::<Handed>(body).map_err(|e| e.to_string())?.command()
 }
 
 /// A change of members; `seats`: who belongs now.
-pub fn change(body: &[u8], seats: &[SeatView]) -> Result<Change, String> {
+pub fn parse_member_change(body: &[u8], seats: &[MemberView]) -> Result<MemberChange, String> {
     let changed: Changed = serde_json::from_slice(body).map_err(|e| e.to_string())?;
     let seat = seats.iter().find(|seat| seat.name == changed.name);
     let old = seat.filter(|_| changed.replace).map(|seat| u64::from_str_radix(&seat.id, 16));
-    Ok(Change { name: changed.name, at: changed.at, old: old.and_then(Result::ok).unwrap_or(0) })
+    Ok(MemberChange {
+        name: changed.name,
+        address: changed.at,
+        replaced_id: old.and_then(Result::ok).unwrap_or(0),
+    })
 }
 
 /// Status and body of the answer to what was asked for.
-pub fn reply(reply: &Reply) -> (u16, Value) {
+pub fn render_reply(reply: &Reply) -> (u16, Value) {
     match reply {
-        Reply::Kept(number) => (200, json!({ "answer": "kept", "number": number })),
-        Reply::Refused(why) => (409, json!({ "answer": "refused", "why": why })),
+        Reply::Committed(number) => (200, json!({ "answer": "kept", "number": number })),
+        Reply::Rejected(why) => (409, json!({ "answer": "refused", "why": why })),
         Reply::NoMajority => (503, json!({ "answer": "no majority" })),
-        Reply::Unknown | Reply::Look { .. } => (504, json!({ "answer": "unknown" })),
+        Reply::Unknown | Reply::ReadReady { .. } => (504, json!({ "answer": "unknown" })),
     }
 }
 
 pub fn members_view(name: &str, member: &Member, now: Moment) -> String {
-    json!({ "name": name, "members": member.seats(now) }).to_string()
+    json!({ "name": name, "members": member.member_views(now) }).to_string()
 }
 
 /// Orders in force; `here`: which part of each is carried out where it is looked at.
@@ -167,8 +171,8 @@
 /// What a member's record holds.
 pub fn record_view(member: &Member, fresh: bool, age: Span, here: impl Fn(&ActiveOrder) -> f64) -> Value {
     let record = &member.record;
-    let (applied, term) = member.agree().map_or((0, 0), |agree| (agree.applied_index(), agree.term()));
+    let (applied, term) = member.raft().map_or((0, 0), |agree| (agree.applied_index(), agree.term()));
     json!({ "fresh": fresh, "age_ms": age.0 / 1_000_000, "index": applied, "term": term,
         "format": record.format(), "number": record.last_start_number(), "orders": orders_view(record, here),
-        "drains": drains_view(record), "start": member.start_of_disk(), "id": format!("{:016x}", member.id()) })
+        "drains": drains_view(record), "start": member.disk_starts(), "id": format!("{:016x}", member.id()) })
 }
--- a/crates/member/src/disk.rs
+++ b/crates/member/src/disk.rs
@@ -1,6 +1,6 @@
 //! A member's file: what is found in it at a start, and where the next rows go.
 
-use crate::words::{self, Hello, OnDisk, Place};
+use crate::messages::{self, DiskRecordKind, Hello, LogPosition};
 use pewtergap_node::{Effect, Outbox};
 use pewtergap_raft::{Index, Log, WalRecord};
 use pewtergap_store::{WalFault, WalWriter};
@@ -31,13 +31,15 @@
     let mut found = Found { whole: file.valid_len, torn, ..Found::default() };
     let mut rows: Vec<WalRecord> = Vec::new();
     for (at, bytes) in file.records.into_iter().enumerate() {
-        let row = words::read(bytes).map_err(|e| strange(format!("row {at}: {e}")))?;
+        let row = messages::record_from_bytes(bytes).map_err(|e| strange(format!("row {at}: {e}")))?;
         match row {
-            OnDisk::Identity(identity) => found.identity = Some(identity),
-            OnDisk::Seen(hello) => drop(found.seen.insert(hello.name.clone(), hello)),
-            OnDisk::Number(number) => found.number = found.number.max(number.index),
-            OnDisk::Committed(index) => found.committed = found.committed.max(index),
-            other => rows.extend(words::row(other).map_err(|e| strange(format!("row {at}: {e}")))?),
+            DiskRecordKind::Identity(identity) => found.identity = Some(identity),
+            DiskRecordKind::PeerSeen(hello) => drop(found.seen.insert(hello.name.clone(), hello)),
+            DiskRecordKind::StartNumber(number) => found.number = found.number.max(number.index),
+            DiskRecordKind::Committed(index) => found.committed = found.committed.max(index),
+            other => {
+                rows.extend(messages::decode_record(other).map_err(|e| strange(format!("row {at}: {e}")))?)
+            }
         }
     }
     found.log = Log::from_records(rows).map_err(strange)?;
@@ -83,16 +85,16 @@
         self.tickets
     }
 
-    pub fn add(&mut self, rows: Vec<OnDisk>, what: Kept, out: &mut Outbox) {
-        let rows: Vec<Vec<u8>> = rows.into_iter().map(words::write).collect();
+    pub fn add(&mut self, rows: Vec<DiskRecordKind>, what: Kept, out: &mut Outbox) {
+        let rows: Vec<Vec<u8>> = rows.into_iter().map(messages::record_to_bytes).collect();
         let (at, bytes) = self.pen.encode_append(&rows);
         let ticket = self.note(what);
         out.push(Effect::Append { name: self.name.clone(), at, bytes, ticket });
     }
 
     /// In place of all that was written before.
-    pub fn anew(&mut self, rows: Vec<OnDisk>, what: Kept, out: &mut Outbox) {
-        let rows: Vec<Vec<u8>> = rows.into_iter().map(words::write).collect();
+    pub fn anew(&mut self, rows: Vec<DiskRecordKind>, what: Kept, out: &mut Outbox) {
+        let rows: Vec<Vec<u8>> = rows.into_iter().map(messages::record_to_bytes).collect();
         let bytes = self.pen.encode_new_file(&rows);
         let ticket = self.note(what);
         out.push(Effect::Replace { name: self.name.clone(), bytes, ticket });
@@ -119,9 +121,9 @@
 }
 
 /// All but the log that belongs at the head of a file.
-pub fn head(identity: &Hello, seen: &BTreeMap<String, Hello>, number: u64) -> Vec<OnDisk> {
-    let mut rows = vec![OnDisk::Identity(identity.clone())];
-    rows.extend(seen.values().cloned().map(OnDisk::Seen));
-    rows.extend((number > 0).then_some(OnDisk::Number(Place { term: 0, index: number })));
+pub fn head(identity: &Hello, seen: &BTreeMap<String, Hello>, number: u64) -> Vec<DiskRecordKind> {
+    let mut rows = vec![DiskRecordKind::Identity(identity.clone())];
+    rows.extend(seen.values().cloned().map(DiskRecordKind::PeerSeen));
+    rows.extend((number > 0).then_some(DiskRecordKind::StartNumber(LogPosition { term: 0, index: number })));
     rows
 }
--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -4,27 +4,27 @@
 //! no other members named it is a cluster of one, the same code on its own disk.
 #![forbid(unsafe_code)]
 
+pub mod accounting;
 pub mod admin;
-mod alone;
-pub mod books;
 mod disk;
 mod member;
+pub mod messages;
 pub mod orders;
 mod peers;
-pub mod releaser;
-pub mod shared;
+mod planner_node;
+mod recovery;
+pub mod rollout;
 mod sharing;
+pub mod sharing_messages;
 mod slices;
-mod together;
-pub mod words;
 
-pub use alone::{alone, GoesOn};
-pub use books::Receiver;
+pub use accounting::AccountingConfig;
 pub use member::{
-    digest, Duties, Member, PartView, Post, Reply, Request, SeatView, Told, DOOR, MOST_MEMBERS,
-    MOST_OBSERVERS, TIMERS,
+    founders_digest, BudgetView, DutyConfig, Member, MemberConfig, MemberEvent, MemberView, Reply, Request,
+    FIRST_TIMER, MAX_MEMBERS, MAX_OBSERVERS, MEMBER_LISTENER,
 };
-pub use orders::Among;
-pub use sharing::{Shares, COLD};
-pub use slices::names as slice_names;
-pub use together::Together;
+pub use orders::PlannerSet;
+pub use planner_node::PlannerNode;
+pub use recovery::{recover_single_member, Recovered};
+pub use sharing::{SharingConfig, COLD_BUDGET};
+pub use slices::probe_duty_names;
--- a/crates/member/src/member.rs
+++ b/crates/member/src/member.rs
@@ -4,11 +4,14 @@
 //! majority has it on disk. A command is given to the leader again and again until then; its id keeps it from being
 //! made twice. What ran out of time is `Unknown` if it was ever given to anybody, `NoMajority` if not.
 
-use crate::books::Receiver;
+use crate::accounting::AccountingConfig;
 use crate::disk::{self, Disk, Kept};
+use crate::messages::{
+    self, peer_message, DiskRecordKind, Hello, LogPosition, MemberChange, MemberInfo, PeerMessage, ReadIndex,
+    Rejection, FORMATS,
+};
 use crate::peers::{Heard, Lane, Peers};
-use crate::sharing::Shares;
-use crate::words::{self, word, Change, Hello, OnDisk, Place, ReadAt, Refuse, Seat, Word, FORMATS};
+use crate::sharing::SharingConfig;
 use pewtergap_node::{Effect, Input, Level, Link, Outbox, NO_FILE};
 use pewtergap_protocol::encode;
 use pewtergap_raft::{
@@ -23,9 +26,9 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::{IpAddr, SocketAddr};
 
-pub use duties::Duties;
+pub use duties::DutyConfig;
 use duties::Office;
-pub use parted::PartView;
+pub use parted::BudgetView;
 use parted::Till;
 
 mod duties;
@@ -35,10 +38,10 @@
 mod requests;
 
 /// Doors and timers of a member lie beyond those of the service beside it.
-pub const DOOR: u32 = 16;
+pub const MEMBER_LISTENER: u32 = 16;
 const TICK: u64 = 1_000;
 const HOUSE: u64 = 1_001;
-pub const TIMERS: u64 = 1_000;
+pub const FIRST_TIMER: u64 = 1_000;
 
 const HOUSEKEEPING: Span = Span::millis(50);
 /// A command that is not yet kept is given to the leader again after this.
@@ -50,63 +53,63 @@
 /// Ids that were replaced, remembered.
 const MOST_RETIRED: usize = 64;
 /// Members that vote or learn in order to.
-pub const MOST_MEMBERS: usize = 7;
+pub const MAX_MEMBERS: usize = 7;
 /// Members that never vote.
-pub const MOST_OBSERVERS: usize = 32;
+pub const MAX_OBSERVERS: usize = 32;
 
 /// Who this member is and whom it knows of.
 #[derive(Clone, Debug)]
-pub struct Post {
+pub struct MemberConfig {
     pub name: String,
     /// Where other members come in; none for one that is alone.
     pub listen: Option<SocketAddr>,
     /// The founding members and where each is reached from here, this one among them.
-    pub members: Vec<(String, SocketAddr)>,
-    pub from: Option<IpAddr>,
+    pub founders: Vec<(String, SocketAddr)>,
+    pub source_ip: Option<IpAddr>,
     pub times: RaftConfig,
     /// Within this a request is answered, one way or another.
-    pub patience: Span,
+    pub request_timeout: Span,
     pub seed: u64,
     /// The newest format that is spoken: an older one for as long as a roll-out may have to go back.
-    pub format: u32,
+    pub max_format: u32,
     /// None: there are no duties.
-    pub duties: Option<Duties>,
+    pub duties: Option<DutyConfig>,
     /// Where the books go, if they are kept.
-    pub receiver: Option<Receiver>,
+    pub accounting: Option<AccountingConfig>,
     /// None: nothing is shared.
-    pub shares: Option<Shares>,
+    pub sharing: Option<SharingConfig>,
     /// Slices of each zone's servers, 0: every planner asks all of them; and how long a probe may take.
-    pub slices: (usize, Span),
+    pub probe_slices: (usize, Span),
     /// Who is let in as an observer, and where each is reached from here.
     pub observers: Vec<(String, SocketAddr)>,
     /// It serves watches: others tell it whom they serve.
-    pub watches: bool,
+    pub serves_watches: bool,
 }
 
 #[derive(Clone, Debug)]
 pub enum Request {
     Command(Command),
-    Change(Change),
+    MemberChange(MemberChange),
     /// What the record holds now, or else what is known here.
-    Fresh,
-    Stale,
+    LinearizableRead,
+    StaleRead,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
-    Kept(u64),
-    Refused(String),
+    Committed(u64),
+    Rejected(String),
     NoMajority,
     Unknown,
     /// Read it now. Fresh: it holds all that was kept when it was asked for. Otherwise of so long ago.
-    Look {
+    ReadReady {
         fresh: bool,
         age: Span,
     },
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Told {
+pub enum MemberEvent {
     Reply {
         token: u64,
         reply: Reply,
@@ -114,17 +117,17 @@
     /// The record was read from a snapshot: what led to it is not known.
     Restored,
     /// The record says something else of these; none: of anything.
-    Changed(Option<BTreeSet<Subject>>),
+    SubjectsChanged(Option<BTreeSet<Subject>>),
     /// The number of this start is on disk.
-    Numbered(u64),
+    StartNumberStored(u64),
     /// About probes, from a member.
-    Probes(Id, word::Kind),
+    Probe(Id, peer_message::Kind),
     /// Of what members share.
-    Shared(Id, word::Kind),
+    Sharing(Id, peer_message::Kind),
     /// Whom another control machine serves.
     Roster(String, RosterUpdate),
     /// A way to a member broke.
-    Lost(Id),
+    PeerLost(Id),
 }
 
 struct Waiting {
@@ -150,7 +153,7 @@
 }
 
 pub struct Member {
-    home: Post,
+    home: MemberConfig,
     rng: fastrand::Rng,
     stage: Stage,
     own: Hello,
@@ -178,7 +181,7 @@
     asked_anew: Moment,
     office: Option<Office>,
     /// Who belongs, by others: for as long as this one does not.
-    hearsay: Vec<Seat>,
+    hearsay: Vec<MemberInfo>,
     /// As far as the disk says that entries are committed.
     committed: Index,
     tick_set: Option<Moment>,
@@ -187,24 +190,28 @@
     given_up: bool,
     /// Its door is open and its timers run.
     open: bool,
-    pub told: Vec<Told>,
+    pub events: Vec<MemberEvent>,
     /// Where watches are served: all subjects that commands may have changed since they were taken.
-    pub touched: BTreeSet<Subject>,
+    pub touched_subjects: BTreeSet<Subject>,
 }
 
 impl Member {
-    pub fn new(home: Post) -> Member {
+    pub fn new(home: MemberConfig) -> Member {
         let rng = fastrand::Rng::with_seed(home.seed);
-        let own =
-            Hello { lowest: FORMATS.0, highest: home.format, name: home.name.clone(), ..Hello::default() };
         let own = Hello {
-            lease: home.duties.as_ref().map_or(0, |d| d.lease.duration.0 / 1_000_000),
-            shares: home.shares.is_some(),
-            watches: home.watches,
+            min_format: FORMATS.0,
+            max_format: home.max_format,
+            name: home.name.clone(),
+            ..Hello::default()
+        };
+        let own = Hello {
+            lease_ms: home.duties.as_ref().map_or(0, |d| d.lease.duration.0 / 1_000_000),
+            shares: home.sharing.is_some(),
+            serves_watches: home.serves_watches,
             ..own
         };
         Member {
-            peers: Peers::new(home.from),
+            peers: Peers::new(home.source_ip),
             disk: Disk::new(format!("{}.record", home.name)),
             rng,
             stage: Stage::Opening,
@@ -224,7 +231,7 @@
             raised: Moment(0),
             asked_anew: Moment(0),
             office: home.duties.clone().map(|duties| {
-                let till = home.shares.map(|shares| Till::new(shares.terms));
+                let till = home.sharing.map(|shares| Till::new(shares.terms));
                 Office::new(duties, till)
             }),
             hearsay: Vec::new(),
@@ -233,21 +240,21 @@
             stopping: false,
             given_up: false,
             open: false,
-            told: Vec::new(),
-            touched: BTreeSet::new(),
+            events: Vec::new(),
+            touched_subjects: BTreeSet::new(),
             home,
         }
     }
 
-    pub fn has(&self, link: Link) -> bool {
+    pub fn owns_link(&self, link: Link) -> bool {
         self.peers.has(link)
     }
 
-    pub fn file(&self) -> String {
+    pub fn file_name(&self) -> String {
         format!("{}.record", self.home.name)
     }
 
-    pub fn agree(&self) -> Option<&RaftNode> {
+    pub fn raft(&self) -> Option<&RaftNode> {
         match &self.stage {
             Stage::Member(agree) => Some(agree),
             _ => None,
@@ -259,20 +266,20 @@
     }
 
     /// Of which cluster its record is; 0: it belongs to none yet.
-    pub fn cluster(&self) -> u64 {
-        self.own.cluster
+    pub fn cluster_id(&self) -> u64 {
+        self.own.cluster_id
     }
 
-    pub fn start_of_disk(&self) -> u64 {
+    pub fn disk_starts(&self) -> u64 {
         self.own.start
     }
 
-    pub fn last_number(&self) -> u64 {
+    pub fn last_start_number(&self) -> u64 {
         self.number
     }
 
     fn alone(&self) -> bool {
-        self.home.members.iter().all(|member| member.0 == self.home.name)
+        self.home.founders.iter().all(|member| member.0 == self.home.name)
     }
 
     // ---- links
@@ -280,15 +287,15 @@
     /// Who is dialled: founders where the settings say, others where the operator said.
     fn know(&mut self, now: Moment, out: &mut Outbox) {
         let mut wanted: BTreeMap<String, Option<SocketAddr>> = BTreeMap::new();
-        match self.agree().filter(|agree| !agree.members().list.is_empty()) {
+        match self.raft().filter(|agree| !agree.members().list.is_empty()) {
             Some(agree) => {
                 for member in &agree.members().list {
                     wanted.insert(member.name.clone(), member.address.parse().ok());
                 }
             }
-            None => wanted.extend(self.home.members.iter().map(|member| (member.0.clone(), None))),
+            None => wanted.extend(self.home.founders.iter().map(|member| (member.0.clone(), None))),
         }
-        for (name, at) in &self.home.members {
+        for (name, at) in &self.home.founders {
             if let Some(known) = wanted.get_mut(name) {
                 // Where the operator has said nothing newer, the settings tell.
                 *known = known.or(Some(*at));
@@ -297,30 +304,30 @@
         if !self.belongs() {
             for seat in &self.hearsay {
                 let at = wanted.entry(seat.name.clone()).or_default();
-                *at = at.or(seat.at.parse().ok());
+                *at = at.or(seat.address.parse().ok());
             }
         }
         wanted.remove(&self.home.name);
         self.peers.know(now, &wanted, out);
     }
 
-    fn refuse(&mut self, link: Link, refuse: Refuse, out: &mut Outbox) {
+    fn refuse(&mut self, link: Link, refuse: Rejection, out: &mut Outbox) {
         let reason = refuse.reason.clone();
-        out.send(link, encode(&Word::of(word::Kind::Refuse(refuse))));
+        out.send(link, encode(&PeerMessage::new(peer_message::Kind::Reject(refuse))));
         out.finish(link);
         self.peers.came.remove(&link);
         out.log(Level::Warn, "member_refused", vec![("why", reason)]);
     }
 
     fn refuse_retired(&mut self, link: Link, id: Id, out: &mut Outbox) {
-        let settled = self.agree().is_some_and(|agree| agree.committed_members().retired.contains(&id));
-        let refuse = Refuse::of("an older incarnation: its place was given up or to another disk");
-        self.refuse(link, Refuse { given_up: settled, ..refuse }, out);
+        let settled = self.raft().is_some_and(|agree| agree.committed_members().retired.contains(&id));
+        let refuse = Rejection::new("an older incarnation: its place was given up or to another disk");
+        self.refuse(link, Rejection { given_up: settled, ..refuse }, out);
     }
 
     /// Who was let in before its place was given up is told so: nobody else speaks to it any more.
     fn part(&mut self, out: &mut Outbox) {
-        let Some(agree) = self.agree() else { return };
+        let Some(agree) = self.raft() else { return };
         let members = agree.committed_members();
         let ids = self.peers.came.iter().filter_map(|(link, came)| Some((*link, came.hello.as_ref()?.id)));
         let gone: Vec<(Link, Id)> = ids.filter(|(_, id)| members.retired.contains(id)).collect();
@@ -333,31 +340,32 @@
     fn hello(&mut self, link: Link, hello: Hello, out: &mut Outbox) {
         // One that knows less than the record needs would carry out commands as something else.
         let stands = self.record.format();
-        if hello.lowest > self.home.format || hello.highest < stands {
-            let (lowest, highest) = (hello.lowest, hello.highest);
-            let why = format!("speaks formats {lowest} to {highest}, we {stands} to {}", self.home.format);
-            return self.refuse(link, Refuse::of(&why), out);
+        if hello.min_format > self.home.max_format || hello.max_format < stands {
+            let (lowest, highest) = (hello.min_format, hello.max_format);
+            let why =
+                format!("speaks formats {lowest} to {highest}, we {stands} to {}", self.home.max_format);
+            return self.refuse(link, Rejection::new(&why), out);
         }
-        if hello.cluster != 0 && self.own.cluster != 0 && hello.cluster != self.own.cluster {
-            return self.refuse(link, Refuse::of("of another cluster"), out);
+        if hello.cluster_id != 0 && self.own.cluster_id != 0 && hello.cluster_id != self.own.cluster_id {
+            return self.refuse(link, Rejection::new("of another cluster"), out);
         }
-        let members = self.agree().map(|agree| agree.members().clone()).unwrap_or_default();
+        let members = self.raft().map(|agree| agree.members().clone()).unwrap_or_default();
         // Before its name is looked for: one that was taken out has none any more.
         if members.retired.contains(&hello.id) {
             return self.refuse_retired(link, hello.id, out);
         }
         let known = members.find_by_name(&hello.name).is_some()
-            || members.list.is_empty() && self.home.members.iter().any(|member| member.0 == hello.name);
+            || members.list.is_empty() && self.home.founders.iter().any(|member| member.0 == hello.name);
         let known = known || self.home.observers.iter().any(|observer| observer.0 == hello.name);
         let known = known || !self.belongs() && self.hearsay.iter().any(|seat| seat.name == hello.name);
         if !known || hello.name == self.own.name {
-            return self.refuse(link, Refuse::of("a stranger: no member has this name"), out);
+            return self.refuse(link, Rejection::new("a stranger: no member has this name"), out);
         }
         if let Some(seen) = self.seen.get(&hello.name).filter(|seen| seen.id == hello.id) {
             if (hello.start, hello.nonce) != (seen.start, seen.nonce) && hello.start <= seen.start {
                 return self.refuse(
                     link,
-                    Refuse { old_copy: true, ..Refuse::of("its disk is an older copy of itself") },
+                    Rejection { old_copy: true, ..Rejection::new("its disk is an older copy of itself") },
                     out,
                 );
             }
@@ -367,10 +375,10 @@
         if new {
             let note = Hello { founders: Vec::new(), bulk: false, ..hello.clone() };
             self.seen.insert(hello.name.clone(), note.clone());
-            self.disk.add(vec![OnDisk::Seen(note)], Kept::Note, out);
+            self.disk.add(vec![DiskRecordKind::PeerSeen(note)], Kept::Note, out);
         }
         let own = self.hello_now();
-        out.send(link, encode(&Word::of(word::Kind::Welcome(own))));
+        out.send(link, encode(&PeerMessage::new(peer_message::Kind::Welcome(own))));
         if let Some(came) = self.peers.came.get_mut(&link) {
             came.hello = Some(hello);
         }
@@ -397,7 +405,7 @@
                 }
                 if refuse.old_copy && !matches!(self.stage, Stage::Making | Stage::Ended) {
                     // What it has acknowledged since is not on this disk: as its old self it must say nothing more.
-                    out.log(Level::Error, "record_is_an_old_copy", vec![("file", self.file())]);
+                    out.log(Level::Error, "record_is_an_old_copy", vec![("file", self.file_name())]);
                     self.make(now, out);
                 }
             }
@@ -412,7 +420,7 @@
     /// One that is no founder and came before the founders had met was welcomed by nobody who belonged, and stayed out for as
     /// long as its links stood (found with three voters and an observer that start together).
     fn ask_anew(&mut self, now: Moment, out: &mut Outbox) {
-        let founds = self.home.members.iter().any(|member| member.0 == self.home.name);
+        let founds = self.home.founders.iter().any(|member| member.0 == self.home.name);
         if matches!(self.stage, Stage::New) && !founds && now.since(self.asked_anew) >= AGAIN {
             self.asked_anew = now;
             self.peers.ask_anew(now, out);
@@ -421,20 +429,21 @@
 
     /// Who we are, as it is told now.
     fn hello_now(&self) -> Hello {
-        let seats = self.agree().map(|agree| words::seats(agree.members()).list).unwrap_or_default();
-        Hello { seats, ..self.own.clone() }
+        let seats =
+            self.raft().map(|agree| messages::encode_membership(agree.members()).members).unwrap_or_default();
+        Hello { members: seats, ..self.own.clone() }
     }
 
     fn belongs(&self) -> bool {
-        self.agree().is_some_and(|agree| agree.member(self.own.id).is_some())
+        self.raft().is_some_and(|agree| agree.member(self.own.id).is_some())
     }
 
     fn welcomed(&mut self, now: Moment, hello: &Hello, out: &mut Outbox) {
-        if !self.belongs() && !hello.seats.is_empty() {
-            self.hearsay = hello.seats.clone();
+        if !self.belongs() && !hello.members.is_empty() {
+            self.hearsay = hello.members.clone();
         }
         if matches!(self.stage, Stage::New) {
-            if hello.cluster != 0 {
+            if hello.cluster_id != 0 {
                 self.let_in(now, hello, out);
             } else {
                 self.establish(now, out);
@@ -445,75 +454,83 @@
     /// A member of a cluster that this new one is to belong to: a founder begins with the others, whoever comes later
     /// has no vote by what the founders said, and learns the rest.
     fn let_in(&mut self, now: Moment, hello: &Hello, out: &mut Outbox) {
-        if digest(&hello.founders) == hello.cluster {
+        if founders_digest(&hello.founders) == hello.cluster_id {
             self.belong(now, hello.founders.clone(), out);
         }
     }
 
-    fn word(&mut self, now: Moment, link: Link, word: Word, out: &mut Outbox) {
+    fn word(&mut self, now: Moment, link: Link, word: PeerMessage, out: &mut Outbox) {
         let Some(kind) = word.kind else { return };
         let Some(from) = self.peers.came.get(&link).map(|came| came.hello.as_ref().map(|hello| hello.id))
         else {
             return;
         };
         let (from, kind) = match (from, kind) {
-            (None, word::Kind::Hello(hello)) => return self.hello(link, hello, out),
-            (None, _) => return self.refuse(link, Refuse::of("the first word is no hello"), out),
+            (None, peer_message::Kind::Hello(hello)) => return self.hello(link, hello, out),
+            (None, _) => return self.refuse(link, Rejection::new("the first word is no hello"), out),
             (Some(from), kind) => (from, kind),
         };
-        if let word::Kind::Roster(told) = kind {
+        if let peer_message::Kind::Roster(told) = kind {
             // From whom a hello was taken, also before it is known here as seated, and whatever the stage: each of these words
             // goes on from the one before it.
             let name = self.peers.came.get(&link).and_then(|came| Some(came.hello.as_ref()?.name.clone()));
-            return self.told.extend(name.filter(|_| self.home.watches).map(|name| Told::Roster(name, told)));
+            return self.events.extend(
+                name.filter(|_| self.home.serves_watches).map(|name| MemberEvent::Roster(name, told)),
+            );
         }
         let Stage::Member(agree) = &mut self.stage else { return };
         match kind {
-            word::Kind::Agree(agreeing) => {
-                if let Ok(message) = words::told(agreeing) {
+            peer_message::Kind::Raft(agreeing) => {
+                if let Ok(message) = messages::decode_raft(agreeing) {
                     agree.receive(now, from, message);
                 }
             }
-            word::Kind::Command(bytes) => {
+            peer_message::Kind::Command(bytes) => {
                 if let Ok(command) = Command::decode(bytes.as_slice()) {
                     self.propose(&command);
                 }
             }
-            word::Kind::Change(change) => drop(self.change(now, &change)),
-            word::Kind::ReadAsk(token) => {
+            peer_message::Kind::MemberChange(change) => drop(self.change(now, &change)),
+            peer_message::Kind::ReadIndexRequest(token) => {
                 self.tokens += 1;
                 if self.reads.len() < MOST_WAITING && agree.request_read(now, self.tokens).is_ok() {
                     self.reads.insert(self.tokens, (from, token));
                 }
             }
-            word::Kind::ReadAt(read) => {
+            peer_message::Kind::ReadIndex(read) => {
                 if self.office.as_mut().is_some_and(|office| office.read_at(read.token, read.index)) {
                     return self.tend(now, out);
                 }
                 let waiting = self.waiting.iter_mut().find(|waiting| waiting.token == read.token);
-                if let Some(waiting) = waiting.filter(|waiting| matches!(waiting.what, Request::Fresh)) {
+                if let Some(waiting) =
+                    waiting.filter(|waiting| matches!(waiting.what, Request::LinearizableRead))
+                {
                     waiting.read_at = Some(read.index);
                 }
             }
-            kind @ (word::Kind::ProbeAsk(_) | word::Kind::ProbeTaken(_) | word::Kind::Probed(_)) => {
+            kind @ (peer_message::Kind::ProbeRequest(_)
+            | peer_message::Kind::ProbeAccepted(_)
+            | peer_message::Kind::ProbeResult(_)) => {
                 // Told and lost, the one who asked asks for itself.
-                if self.told.len() < MOST_WAITING {
-                    self.told.push(Told::Probes(from, kind));
+                if self.events.len() < MOST_WAITING {
+                    self.events.push(MemberEvent::Probe(from, kind));
                 }
             }
-            kind @ (word::Kind::Gossip(_)
-            | word::Kind::CountsAsk(_)
-            | word::Kind::Counts(_)
-            | word::Kind::Evidence(_)) => {
+            kind @ (peer_message::Kind::Gossip(_)
+            | peer_message::Kind::CountsRequest(_)
+            | peer_message::Kind::CountsResponse(_)
+            | peer_message::Kind::Evidence(_)) => {
                 // Told and lost, it is told again.
-                if self.told.len() < MOST_WAITING {
-                    self.told.push(Told::Shared(from, kind));
+                if self.events.len() < MOST_WAITING {
+                    self.events.push(MemberEvent::Sharing(from, kind));
                 }
             }
-            word::Kind::Renew(renew) => self.renews(now, from, renew),
-            word::Kind::HandOn(asked) => self.hand_on(now, &asked, out),
-            word::Kind::Hello(_) | word::Kind::Welcome(_) | word::Kind::Refuse(_) | word::Kind::Roster(_) => {
-            }
+            peer_message::Kind::LeaseRenewal(renew) => self.renews(now, from, renew),
+            peer_message::Kind::HandoffRequest(asked) => self.hand_on(now, &asked, out),
+            peer_message::Kind::Hello(_)
+            | peer_message::Kind::Welcome(_)
+            | peer_message::Kind::Reject(_)
+            | peer_message::Kind::Roster(_) => {}
         }
     }
 
@@ -557,11 +574,11 @@
                             say => matches!(say, pewtergap_raft::Payload::SnapshotChunk { .. }),
                         };
                         let lane = if entries { Lane::Bulk } else { Lane::Urgent };
-                        let word = word::Kind::Agree(words::agreeing(&message));
+                        let word = peer_message::Kind::Raft(messages::encode_raft(&message));
                         self.peers.send(to, lane, word, out);
                     }
                     Does::Save { ticket, records: rows, replace_all: anew } => {
-                        let rows = rows.iter().map(words::on_disk);
+                        let rows = rows.iter().map(messages::encode_record);
                         if anew {
                             let mut all = disk::head(&self.own, &self.seen, self.number);
                             all.extend(rows);
@@ -575,8 +592,8 @@
                     Does::Commit { index, entry } => {
                         if let Body::Command(bytes) = entry.body {
                             if let Ok(command) = Command::decode(bytes.as_slice()) {
-                                if self.home.watches {
-                                    self.touched.extend(self.record.affected_subjects(&command));
+                                if self.home.serves_watches {
+                                    self.touched_subjects.extend(self.record.affected_subjects(&command));
                                 }
                                 self.record.apply(index, &command);
                                 applied = true;
@@ -594,8 +611,8 @@
                     Does::Restore(snapshot) => match Record::decode_snapshot(&snapshot.data) {
                         Ok(record) => {
                             (self.record, touched) = (record, None);
-                            self.touched.clear();
-                            self.told.push(Told::Restored);
+                            self.touched_subjects.clear();
+                            self.events.push(MemberEvent::Restored);
                         }
                         Err(why) => return self.end(out, "record_refused", &why),
                     },
@@ -608,7 +625,7 @@
                             waiting.into_iter().for_each(|waiting| waiting.read_at = Some(index));
                         }
                         Some((from, token)) => {
-                            let word = word::Kind::ReadAt(ReadAt { token, index });
+                            let word = peer_message::Kind::ReadIndex(ReadIndex { token, index });
                             self.peers.send(from, Lane::Urgent, word, out);
                         }
                         None => {}
@@ -624,14 +641,14 @@
                 }
             }
         }
-        if self.record.format() > self.home.format {
+        if self.record.format() > self.home.max_format {
             return self.too_new(out);
         }
         self.proposed_by_no_leader();
         self.compact(out);
         self.answer(now, Moment(0));
         if touched.as_ref().is_none_or(|touched| !touched.is_empty()) {
-            self.told.push(Told::Changed(touched));
+            self.events.push(MemberEvent::SubjectsChanged(touched));
         }
         if applied {
             self.tend(now, out);
@@ -642,7 +659,7 @@
     }
 
     fn proposed_by_no_leader(&mut self) {
-        let leads = self.agree().is_some_and(|agree| agree.role() == Role::Leader);
+        let leads = self.raft().is_some_and(|agree| agree.role() == Role::Leader);
         if !leads {
             self.proposed.clear();
             self.taking.clear();
@@ -672,7 +689,7 @@
         for link in links {
             self.refuse(
                 link,
-                Refuse { old_copy: true, ..Refuse::of("its disk lacks what it acknowledged") },
+                Rejection { old_copy: true, ..Rejection::new("its disk lacks what it acknowledged") },
                 out,
             );
         }
@@ -704,21 +721,25 @@
     }
 
     /// The number of a start: `Told::Numbered` once it is on disk, so that nobody hears it before.
-    pub fn use_number(&mut self, number: u64, out: &mut Outbox) -> bool {
+    pub fn use_start_number(&mut self, number: u64, out: &mut Outbox) -> bool {
         // Before its file is read nothing may be written: it would be cut back to nothing.
         if matches!(self.stage, Stage::Opening | Stage::Ended) {
             return false;
         }
         self.number = number;
-        self.disk.add(vec![OnDisk::Number(Place { term: 0, index: number })], Kept::Number, out);
+        self.disk.add(
+            vec![DiskRecordKind::StartNumber(LogPosition { term: 0, index: number })],
+            Kept::Number,
+            out,
+        );
         true
     }
 
     fn note_committed(&mut self, out: &mut Outbox) {
-        let commit = self.agree().map_or(0, RaftNode::commit_index);
+        let commit = self.raft().map_or(0, RaftNode::commit_index);
         if commit != self.committed {
             self.committed = commit;
-            self.disk.add(vec![OnDisk::Committed(commit)], Kept::Note, out);
+            self.disk.add(vec![DiskRecordKind::Committed(commit)], Kept::Note, out);
         }
     }
 
@@ -745,43 +766,44 @@
     }
 
     /// Who belongs and shares, ourselves apart, as far as a way to them stands or stood.
-    pub fn sharers(&self) -> BTreeMap<Id, String> {
-        let members = self.agree().map(|agree| agree.committed_members()).unwrap_or_default();
+    pub fn sharing_peers(&self) -> BTreeMap<Id, String> {
+        let members = self.raft().map(|agree| agree.committed_members()).unwrap_or_default();
         let shares = |member: &Seated| member.id != 0 && member.id != self.own.id && !member.is_observer;
         let others = members.list.into_iter().filter(shares);
         others.map(|member| (member.id, member.name)).collect()
     }
 
     /// Tells a member something of what is shared, if it knows such words. Long ones wait behind nothing that is urgent.
-    pub fn share(&self, to: Id, kind: word::Kind, out: &mut Outbox) -> bool {
-        let lane = if matches!(kind, word::Kind::Gossip(_)) { Lane::Urgent } else { Lane::Bulk };
+    pub fn send_sharing(&self, to: Id, kind: peer_message::Kind, out: &mut Outbox) -> bool {
+        let lane = if matches!(kind, peer_message::Kind::Gossip(_)) { Lane::Urgent } else { Lane::Bulk };
         let knows = self.peers.welcomes().iter().any(|hello| hello.id == to && hello.shares);
         knows && self.peers.send(to, lane, kind, out)
     }
 
     /// Others that belong, serve watches and can be told something now.
-    pub fn machines(&self) -> BTreeMap<Id, String> {
-        let Some(agree) = self.agree() else { return BTreeMap::new() };
-        let serve = self.peers.bulk_ways().filter(|hello| hello.watches && agree.member(hello.id).is_some());
+    pub fn control_machines(&self) -> BTreeMap<Id, String> {
+        let Some(agree) = self.raft() else { return BTreeMap::new() };
+        let serve =
+            self.peers.bulk_ways().filter(|hello| hello.serves_watches && agree.member(hello.id).is_some());
         serve.map(|hello| (hello.id, hello.name.clone())).collect()
     }
 
     /// Tells another control machine whom this one serves.
-    pub fn tell_roster(&self, to: Id, told: RosterUpdate, out: &mut Outbox) -> bool {
-        self.peers.send(to, Lane::Bulk, word::Kind::Roster(told), out)
+    pub fn send_roster(&self, to: Id, told: RosterUpdate, out: &mut Outbox) -> bool {
+        self.peers.send(to, Lane::Bulk, peer_message::Kind::Roster(told), out)
     }
 
-    pub fn draw(&mut self) -> u64 {
+    pub fn random_id(&mut self) -> u64 {
         self.rng.u64(1..)
     }
 
     /// Who belongs, and what is known of each here.
-    pub fn seats(&self, now: Moment) -> Vec<SeatView> {
-        let Some(agree) = self.agree() else { return Vec::new() };
+    pub fn member_views(&self, now: Moment) -> Vec<MemberView> {
+        let Some(agree) = self.raft() else { return Vec::new() };
         let view = |member: &Seated| {
             let progress = agree.progress(member.id);
             let here = member.id == self.own.id;
-            SeatView {
+            MemberView {
                 name: member.name.clone(),
                 id: format!("{:016x}", member.id),
                 votes: member.is_voter,
@@ -803,7 +825,7 @@
             return;
         }
         match input {
-            Input::Start => out.push(Effect::Fetch { name: self.file() }),
+            Input::Start => out.push(Effect::Fetch { name: self.file_name() }),
             Input::File { bytes, .. } => self.opened(now, bytes, out),
             Input::Synced { ticket, result } => self.synced(now, ticket, result, out),
             Input::Listening { at, .. } => {
@@ -820,7 +842,7 @@
                 let lost = self.peers.closed(now, link);
                 if let (Some(id), Stage::Member(agree)) = (lost, &mut self.stage) {
                     agree.on_connection_lost(id);
-                    self.told.push(Told::Lost(id));
+                    self.events.push(MemberEvent::PeerLost(id));
                 }
             }
             Input::Due { timer: TICK } => {
@@ -837,7 +859,7 @@
 
 /// A member as operators see it.
 #[derive(Clone, Debug, serde::Serialize)]
-pub struct SeatView {
+pub struct MemberView {
     pub name: String,
     pub id: String,
     pub votes: bool,
@@ -851,7 +873,7 @@
 }
 
 /// A cluster's number, from who founded it: whoever has other founders is of another.
-pub fn digest(founders: &[Seat]) -> u64 {
+pub fn founders_digest(founders: &[MemberInfo]) -> u64 {
     let bytes: Vec<u8> = founders.iter().flat_map(|seat| seat.encode_length_delimited_to_vec()).collect();
     xxhash_rust::xxh3::xxh3_64(&bytes).max(1)
 }
--- a/crates/member/src/member/duties.rs
+++ b/crates/member/src/member/duties.rs
@@ -6,7 +6,7 @@
 
 use super::parted::Till;
 use super::*;
-use crate::words::{HandOn, Renew};
+use crate::messages::{HandoffRequest, LeaseRenewal};
 use pewtergap_duty::{
     DutyAction as Done, DutyAssigner, DutyAssignment, HeldDuties, LeaseConfig, Move, Planner,
 };
@@ -17,10 +17,10 @@
 
 /// Which duties there are, and how they are held.
 #[derive(Clone, Debug)]
-pub struct Duties {
+pub struct DutyConfig {
     pub lease: LeaseConfig,
     /// Whoever comes back gets none until it has been heard for so long without a gap.
-    pub steady: Span,
+    pub rejoin_delay: Span,
     pub names: Vec<String>,
 }
 
@@ -32,7 +32,7 @@
 
 /// What a member that has duties keeps of them.
 pub(super) struct Office {
-    duties: Duties,
+    duties: DutyConfig,
     desk: HeldDuties,
     giver: Option<(DutyAssigner, (Moment, u64))>,
     renewals: Vec<Renewal>,
@@ -52,7 +52,7 @@
 }
 
 impl Office {
-    pub(super) fn new(duties: Duties, till: Option<Till>) -> Office {
+    pub(super) fn new(duties: DutyConfig, till: Option<Till>) -> Office {
         let desk = HeldDuties::new(duties.lease);
         Office {
             duties,
@@ -78,7 +78,7 @@
 
 impl Member {
     /// The number under which this planner may do a duty at this very moment.
-    pub fn may(&self, now: Moment, duty: &str) -> Option<u64> {
+    pub fn fencing_token(&self, now: Moment, duty: &str) -> Option<u64> {
         self.office.as_ref()?.desk.fencing_token(now, duty)
     }
 
@@ -89,19 +89,19 @@
         (duty.holder, duty.holder != 0 && linked)
     }
 
-    pub fn tell(&self, to: Id, kind: word::Kind, out: &mut Outbox) {
+    pub fn send_urgent(&self, to: Id, kind: peer_message::Kind, out: &mut Outbox) {
         self.peers.send(to, Lane::Urgent, kind, out);
     }
 
-    pub fn tell_all(&self, kind: &word::Kind, out: &mut Outbox) {
-        let members = self.agree().map(|agree| agree.committed_members()).unwrap_or_default();
+    pub fn broadcast_urgent(&self, kind: &peer_message::Kind, out: &mut Outbox) {
+        let members = self.raft().map(|agree| agree.committed_members()).unwrap_or_default();
         for member in members.list.iter().filter(|member| member.id != 0 && member.id != self.own.id) {
             self.peers.send(member.id, Lane::Urgent, kind.clone(), out);
         }
     }
 
     /// What this planner holds by its own reckoning, and how long its lease lasts.
-    pub fn held(&self, now: Moment) -> Vec<(String, u64, bool)> {
+    pub fn held_duties(&self, now: Moment) -> Vec<(String, u64, bool)> {
         let Some(office) = &self.office else { return Vec::new() };
         let acts = |duty: &str| office.desk.fencing_token(now, duty).is_some();
         office.desk.held().map(|(duty, number, _)| (duty.to_string(), number, acts(duty))).collect()
@@ -129,7 +129,7 @@
         let Some(office) = &mut self.office else { return };
         let late = now.since(office.due);
         if office.due > Moment(0) && late > office.duties.lease.max_pause {
-            office.slow_until = now + office.duties.steady;
+            office.slow_until = now + office.duties.rejoin_delay;
             office.renew_at = now;
             office.desk.tick(now);
             office.desk.release(None);
@@ -147,16 +147,16 @@
         if let Some((giver, _)) = &mut office.giver {
             giver.set_lease_duration(own.max(known));
         }
-        let Some(agree) = self.agree().filter(|agree| agree.role() == Role::Leader) else { return };
+        let Some(agree) = self.raft().filter(|agree| agree.role() == Role::Leader) else { return };
         let says = |member: &Seated| match member.id == self.own.id {
-            true => self.own.lease,
+            true => self.own.lease_ms,
             // One not heard of may believe in whatever the record says.
             false => {
                 let seen = self.seen.get(&member.name).filter(|seen| seen.id == member.id);
-                seen.map_or(self.record.lease_ms(), |seen| seen.lease)
+                seen.map_or(self.record.lease_ms(), |seen| seen.lease_ms)
             }
         };
-        let all = agree.members().list.iter().map(says).max().unwrap_or(0).max(self.own.lease);
+        let all = agree.members().list.iter().map(says).max().unwrap_or(0).max(self.own.lease_ms);
         if all != self.record.lease_ms() && now.since(office.lengthened) >= AGAIN {
             office.lengthened = now;
             let id = self.rng.u64(1..);
@@ -169,7 +169,7 @@
     }
 
     fn renew(&mut self, now: Moment, office: &mut Office, out: &mut Outbox) {
-        let Some(agree) = self.agree() else { return };
+        let Some(agree) = self.raft() else { return };
         let (leads, leader, applied) = (agree.role() == Role::Leader, agree.leader(), agree.applied_index());
         let belongs = agree.committed_members().find(self.own.id).is_some();
         let (done, open): (Vec<_>, Vec<_>) = std::mem::take(&mut office.renewals)
@@ -196,9 +196,9 @@
         office.renewals.drain(..over);
         office.renewals.push(Renewal { token, asked, read_at: None });
         match leader {
-            _ if leads => self.renewed_by(now, self.own.id, Renew { token, leaves }, office),
+            _ if leads => self.renewed_by(now, self.own.id, LeaseRenewal { token, leaving: leaves }, office),
             Some(leader) => {
-                let word = word::Kind::Renew(Renew { token, leaves });
+                let word = peer_message::Kind::LeaseRenewal(LeaseRenewal { token, leaving: leaves });
                 self.peers.send(leader, Lane::Urgent, word, out);
             }
             None => {}
@@ -206,14 +206,14 @@
     }
 
     /// As the leader: a member asks for its lease.
-    pub(super) fn renews(&mut self, now: Moment, from: Id, renew: Renew) {
+    pub(super) fn renews(&mut self, now: Moment, from: Id, renew: LeaseRenewal) {
         let Some(mut office) = self.office.take() else { return };
         self.renewed_by(now, from, renew, &mut office);
         self.office = Some(office);
     }
 
-    fn renewed_by(&mut self, now: Moment, from: Id, renew: Renew, office: &mut Office) {
-        let taking = self.taking_from(from);
+    fn renewed_by(&mut self, now: Moment, from: Id, renew: LeaseRenewal, office: &mut Office) {
+        let taking = self.is_taking_from(from);
         let Stage::Member(agree) = &mut self.stage else { return };
         if office.giving.values().any(|holder| *holder == from) || taking {
             return;
@@ -221,7 +221,7 @@
         let Some((giver, _)) = &mut office.giver else { return };
         giver.on_renewal(now, from);
         office.till.iter_mut().for_each(|till| till.renews(now, from));
-        if renew.leaves {
+        if renew.leaving {
             giver.on_leaving(from);
         }
         self.tokens += 1;
@@ -252,21 +252,21 @@
     fn give_out(&mut self, now: Moment, office: &mut Office, out: &mut Outbox) {
         let proposed = &self.proposed;
         office.giving.retain(|command, _| proposed.contains_key(command));
-        let Some(led) = self.agree().and_then(|agree| agree.leading_since()) else {
+        let Some(led) = self.raft().and_then(|agree| agree.leading_since()) else {
             office.giver = None;
             office.giving.clear();
             return;
         };
         if office.giver.as_ref().is_none_or(|giver| giver.1 != led) {
             // From now, which is after it began to lead: nobody's lease is counted shorter by that.
-            let giver = DutyAssigner::new(now, office.duties.lease, office.duties.steady);
+            let giver = DutyAssigner::new(now, office.duties.lease, office.duties.rejoin_delay);
             office.giver = Some((giver, led));
             office.giving.clear();
         }
         if !office.giving.is_empty() || self.stopping {
             return;
         }
-        let members = self.agree().map(|agree| agree.committed_members()).unwrap_or_default();
+        let members = self.raft().map(|agree| agree.committed_members()).unwrap_or_default();
         let id_of = |name: &str| members.find_by_name(name).map(|member| member.id).filter(|id| *id != 0);
         let held: BTreeMap<String, DutyAssignment> = self
             .record
@@ -314,7 +314,7 @@
                     office.desk.release(Some(&duty))
                 }
                 Move::RequestRelease { duty, holder, fencing_token: number } => {
-                    let word = word::Kind::HandOn(HandOn { duty, number });
+                    let word = peer_message::Kind::HandoffRequest(HandoffRequest { duty, number });
                     self.peers.send(holder, Lane::Urgent, word, out);
                 }
             }
@@ -322,7 +322,7 @@
     }
 
     /// The leader asks for a duty.
-    pub(super) fn hand_on(&mut self, now: Moment, asked: &HandOn, out: &mut Outbox) {
+    pub(super) fn hand_on(&mut self, now: Moment, asked: &HandoffRequest, out: &mut Outbox) {
         if let Some(office) = &mut self.office {
             if office.desk.held().any(|held| held.0 == asked.duty && held.1 == asked.number) {
                 office.desk.release(Some(&asked.duty));
@@ -358,10 +358,15 @@
 
     /// To whoever leads; whether it is kept is seen in the record.
     pub(super) fn pass_on(&mut self, command: &Command, out: &mut Outbox) {
-        let leader = self.agree().and_then(RaftNode::leader);
+        let leader = self.raft().and_then(RaftNode::leader);
         if !self.propose_late(command) {
             if let Some(leader) = leader.filter(|leader| *leader != self.own.id) {
-                self.peers.send(leader, Lane::Bulk, word::Kind::Command(command.encode_to_vec()), out);
+                self.peers.send(
+                    leader,
+                    Lane::Bulk,
+                    peer_message::Kind::Command(command.encode_to_vec()),
+                    out,
+                );
             }
         }
     }
@@ -371,7 +376,7 @@
         let due = now.since(self.cleaned) >= Span::millis(1_000);
         let Some(number) = office.desk.fencing_token(now, CLEANING_DUTY).filter(|_| due) else { return };
         self.cleaned = now;
-        let members = self.agree().map(|agree| agree.committed_members()).unwrap_or_default();
+        let members = self.raft().map(|agree| agree.committed_members()).unwrap_or_default();
         // What was wanted at a planner that left is wanted nowhere: it would be put there again if another took the name.
         for duty in self.record.duties_pinned_to_absent(|name| members.find_by_name(name).is_some()) {
             let (who, why) = (CLEANING_DUTY.to_string(), "the planner it was wanted at left".to_string());
--- a/crates/member/src/member/leading.rs
+++ b/crates/member/src/member/leading.rs
@@ -5,27 +5,27 @@
 
 impl Member {
     /// An operator's change of members. What is so already is no change.
-    pub(super) fn change(&mut self, now: Moment, change: &Change) -> Result<(), RaftError> {
+    pub(super) fn change(&mut self, now: Moment, change: &MemberChange) -> Result<(), RaftError> {
         let Stage::Member(agree) = &mut self.stage else { return Err(RaftError::NotLeader) };
         let mut members = agree.members().clone();
         if satisfied(&members, change) {
             return Ok(());
         }
         let at = members.list.iter().position(|member| member.name == change.name);
-        match (at, change.at.is_empty()) {
+        match (at, change.address.is_empty()) {
             (Some(at), true) => retire(&mut members, at, false),
             (Some(at), false) => {
-                members.list[at].address = change.at.clone();
-                if change.old != 0 && members.list[at].id == change.old {
+                members.list[at].address = change.address.clone();
+                if change.replaced_id != 0 && members.list[at].id == change.replaced_id {
                     retire(&mut members, at, true);
                 }
             }
             (None, true) => return Ok(()),
-            (None, false) if members.list.iter().filter(|m| !m.is_observer).count() >= MOST_MEMBERS => {
+            (None, false) if members.list.iter().filter(|m| !m.is_observer).count() >= MAX_MEMBERS => {
                 return Err(RaftError::QueueFull)
             }
             (None, false) => {
-                let (name, at) = (change.name.clone(), change.at.clone());
+                let (name, at) = (change.name.clone(), change.address.clone());
                 members.list.push(Seated { id: 0, name, address: at, is_voter: false, is_observer: false });
             }
         }
@@ -34,11 +34,11 @@
 
     /// The record's format rises once everybody who belongs speaks a newer one.
     fn raise(&mut self, now: Moment, out: &mut Outbox) {
-        let Some(agree) = self.agree() else { return };
+        let Some(agree) = self.raft() else { return };
         let speaks = |member: &Seated| match member.id == self.own.id {
-            true => self.own.highest,
+            true => self.own.max_format,
             // A place that waits for a disk, and one not heard of yet, may bring any.
-            false => self.seen.get(&member.name).filter(|s| s.id == member.id).map_or(0, |s| s.highest),
+            false => self.seen.get(&member.name).filter(|s| s.id == member.id).map_or(0, |s| s.max_format),
         };
         let all = agree.members().list.iter().map(speaks).min().unwrap_or(0);
         if all <= self.record.format() || now.since(self.raised) < AGAIN {
@@ -124,7 +124,7 @@
         .iter()
         .filter_map(|(name, at)| Some((name, at, knocking.get(name)?)))
         .find(|(name, _, id)| new(name, id))
-        .filter(|_| seated < MOST_OBSERVERS)?;
+        .filter(|_| seated < MAX_OBSERVERS)?;
     let (id, name, at) = (*id, name.clone(), at.to_string());
     members.list.push(Seated { id, name: name.clone(), address: at, is_voter: false, is_observer: true });
     Some(("observer_let_in", name))
@@ -145,10 +145,12 @@
     }
 }
 
-pub(super) fn satisfied(members: &Members, change: &Change) -> bool {
-    match (members.find_by_name(&change.name), change.at.is_empty()) {
+pub(super) fn satisfied(members: &Members, change: &MemberChange) -> bool {
+    match (members.find_by_name(&change.name), change.address.is_empty()) {
         (member, true) => member.is_none(),
-        (Some(member), false) => member.address == change.at && (change.old == 0 || member.id != change.old),
+        (Some(member), false) => {
+            member.address == change.address && (change.replaced_id == 0 || member.id != change.replaced_id)
+        }
         (None, false) => false,
     }
 }
--- a/crates/member/src/member/opening.rs
+++ b/crates/member/src/member/opening.rs
@@ -14,7 +14,7 @@
             Ok(found) if found.identity.is_some() => self.resume(found, out),
             Ok(_) => self.make(now, out),
             Err(fault @ WalFault::Corrupt { .. }) if !self.alone() => {
-                let aside = format!("{}.damaged-{:08x}", self.file(), self.rng.u32(..));
+                let aside = format!("{}.damaged-{:08x}", self.file_name(), self.rng.u32(..));
                 let fields = vec![("why", fault.to_string()), ("kept_as", aside.clone())];
                 out.log(Level::Error, "record_damaged", fields);
                 out.push(Effect::Keep { name: aside, bytes: bytes.to_vec() });
@@ -25,14 +25,14 @@
     }
 
     pub(super) fn end(&mut self, out: &mut Outbox, event: &'static str, why: &str) {
-        out.log(Level::Error, event, vec![("file", self.file()), ("why", why.into())]);
+        out.log(Level::Error, event, vec![("file", self.file_name()), ("why", why.into())]);
         self.stage = Stage::Ended;
         out.push(Effect::Exit { code: 4 });
     }
 
     /// A new disk has a new id: whoever had this name before is another member.
     pub(super) fn make(&mut self, now: Moment, out: &mut Outbox) {
-        (self.own.id, self.own.start, self.own.cluster) = (self.rng.u64(1..), 1, 0);
+        (self.own.id, self.own.start, self.own.cluster_id) = (self.rng.u64(1..), 1, 0);
         self.own.nonce = self.rng.u64(1..);
         self.own.founders.clear();
         self.record = Record::default();
@@ -50,13 +50,13 @@
             out.log(Level::Warn, "record_cut_back", vec![("why", why.clone())]);
         }
         let identity = found.identity.clone().unwrap_or_default();
-        (self.own.id, self.own.cluster) = (identity.id, identity.cluster);
+        (self.own.id, self.own.cluster_id) = (identity.id, identity.cluster_id);
         (self.own.start, self.own.nonce) = (identity.start + 1, self.rng.u64(1..));
         self.own.founders = identity.founders.clone();
         (self.seen, self.number) = (found.seen.clone(), found.number);
         self.disk.restart(found.whole);
         self.stage = Stage::Making;
-        self.disk.add(vec![OnDisk::Identity(self.own.clone())], Kept::Opened, out);
+        self.disk.add(vec![DiskRecordKind::Identity(self.own.clone())], Kept::Opened, out);
         let fields = vec![
             ("id", format!("{:016x}", self.own.id)),
             ("start", self.own.start.to_string()),
@@ -80,7 +80,7 @@
                         agree.on_synced(now, ticket);
                     }
                 }
-                Kept::Number => self.told.push(Told::Numbered(self.number)),
+                Kept::Number => self.events.push(MemberEvent::StartNumberStored(self.number)),
                 _ => {}
             }
         }
@@ -91,7 +91,7 @@
     pub(super) fn speak(&mut self, now: Moment, out: &mut Outbox) {
         let found = self.found.take().unwrap_or_default();
         self.stage = Stage::New;
-        if self.own.cluster != 0 {
+        if self.own.cluster_id != 0 {
             self.join(now, found.log, found.committed, out);
         } else if self.alone() {
             self.establish(now, out);
@@ -106,14 +106,14 @@
             return;
         }
         if let Some(at) = self.home.listen {
-            out.push(Effect::Listen { door: DOOR, at });
+            out.push(Effect::Listen { door: MEMBER_LISTENER, at });
         }
         out.wake(HOUSE, now + HOUSEKEEPING);
     }
 
     /// Started with settings, or as a build, from before the record was raised: it would read it wrongly.
     pub(super) fn too_new(&mut self, out: &mut Outbox) {
-        let (stands, knows) = (self.record.format(), self.home.format);
+        let (stands, knows) = (self.record.format(), self.home.max_format);
         let why = format!("the record stands at format {stands}, this one speaks up to {knows}");
         self.end(out, "record_refused", &why);
     }
@@ -129,47 +129,48 @@
         }
         let agree = RaftNode::new(now, self.own.id, self.home.times, self.rng.u64(..), log, committed);
         self.stage = Stage::Member(Box::new(agree));
-        if self.record.format() > self.home.format {
+        if self.record.format() > self.home.max_format {
             return self.too_new(out);
         }
-        self.told.extend([Told::Restored, Told::Changed(None)]);
+        self.events.extend([MemberEvent::Restored, MemberEvent::SubjectsChanged(None)]);
     }
 
     /// All founders are known and none belongs to anything: each of them comes to the same cluster by itself.
     pub(super) fn establish(&mut self, now: Moment, out: &mut Outbox) {
-        if !self.alone() && !self.home.members.iter().any(|member| member.0 == self.home.name) {
+        if !self.alone() && !self.home.founders.iter().any(|member| member.0 == self.home.name) {
             return;
         }
         let mut founders = Vec::new();
-        let mut names: Vec<&String> = self.home.members.iter().map(|member| &member.0).collect();
+        let mut names: Vec<&String> = self.home.founders.iter().map(|member| &member.0).collect();
         names.sort();
         for name in names {
             let id = match *name == self.home.name {
                 true => self.own.id,
                 false => match self.peers.welcome(name) {
-                    Some(hello) if hello.cluster == 0 => hello.id,
+                    Some(hello) if hello.cluster_id == 0 => hello.id,
                     _ => return,
                 },
             };
-            founders.push(Seat::founder(id, name));
+            founders.push(MemberInfo::founder(id, name));
         }
         if founders.is_empty() {
-            founders.push(Seat::founder(self.own.id, &self.own.name));
+            founders.push(MemberInfo::founder(self.own.id, &self.own.name));
         }
         self.belong(now, founders, out);
     }
 
     /// Belongs to the cluster of these founders from here on.
-    pub(super) fn belong(&mut self, now: Moment, founders: Vec<Seat>, out: &mut Outbox) {
-        self.own.cluster = digest(&founders);
+    pub(super) fn belong(&mut self, now: Moment, founders: Vec<MemberInfo>, out: &mut Outbox) {
+        self.own.cluster_id = founders_digest(&founders);
         self.own.founders = founders.clone();
-        let members = words::members(words::Seats { list: founders, retired: Vec::new() });
+        let members =
+            messages::decode_membership(messages::Membership { members: founders, retired: Vec::new() });
         let mut log = Log::default();
         log.restore(Snapshot { members, ..Snapshot::default() });
         let mut rows = disk::head(&self.own, &self.seen, self.number);
-        rows.extend(log.to_records().iter().map(words::on_disk));
+        rows.extend(log.to_records().iter().map(messages::encode_record));
         self.disk.anew(rows, Kept::Note, out);
-        out.log(Level::Info, "cluster", vec![("id", format!("{:016x}", self.own.cluster))]);
+        out.log(Level::Info, "cluster", vec![("id", format!("{:016x}", self.own.cluster_id))]);
         self.join(now, log, 0, out);
         self.carry_out(now, out);
     }
--- a/crates/member/src/member/parted.rs
+++ b/crates/member/src/member/parted.rs
@@ -2,7 +2,7 @@
 //! the leader deals out what is free. A renewal is that of duties.
 
 use super::*;
-use crate::sharing::COLD;
+use crate::sharing::COLD_BUDGET;
 use pewtergap_record::BudgetShift;
 use pewtergap_shares::{fair_share, BudgetAllocator, BudgetConfig, Holding, LocalShare, Shift, TOTAL_UNITS};
 
@@ -16,7 +16,7 @@
 
 /// What of a budget is whose, as seen here.
 #[derive(Clone, Debug, serde::Serialize)]
-pub struct PartView {
+pub struct BudgetView {
     pub in_force: u64,
     pub whole: u64,
     pub free: u64,
@@ -41,11 +41,11 @@
 
 impl Member {
     fn holding(&self) -> Option<&Holding> {
-        self.record.budget(COLD)?.holdings.get(&self.own.id)
+        self.record.budget(COLD_BUDGET)?.holdings.get(&self.own.id)
     }
 
     /// What may be used of the cold budget at this moment, in parts of it. None: budgets are not parted here.
-    pub fn cold_share(&self, now: Moment) -> Option<f64> {
+    pub fn cold_budget_share(&self, now: Moment) -> Option<f64> {
         let till = self.office.as_ref()?.till.as_ref()?;
         if self.record.format() < 3 || self.alone() {
             return None;
@@ -57,16 +57,16 @@
         Some(units as f64 / TOTAL_UNITS as f64)
     }
 
-    pub fn cold_view(&self, now: Moment) -> Option<PartView> {
-        let budget = self.record.budget(COLD)?;
+    pub fn cold_budget_view(&self, now: Moment) -> Option<BudgetView> {
+        let budget = self.record.budget(COLD_BUDGET)?;
         let holding = |h: &Holding| (h.base, h.extra, h.version);
         let holdings = budget.holdings.iter().map(|(id, h)| (format!("{id:016x}"), holding(h))).collect();
-        let in_force = (self.cold_share(now)? * TOTAL_UNITS as f64).round() as u64;
-        Some(PartView { in_force, whole: TOTAL_UNITS, free: budget.free, sum: budget.total(), holdings })
+        let in_force = (self.cold_budget_share(now)? * TOTAL_UNITS as f64).round() as u64;
+        Some(BudgetView { in_force, whole: TOTAL_UNITS, free: budget.free, sum: budget.total(), holdings })
     }
 
     /// Whether something is on its way from a planner: it is not renewed before that is committed or lost.
-    pub fn taking_from(&self, planner: Id) -> bool {
+    pub fn is_taking_from(&self, planner: Id) -> bool {
         self.taking.values().any(|from| *from == planner)
     }
 
@@ -81,7 +81,7 @@
             let purse = LocalShare::new(till.terms, own, self.own.start, founders.len() as u64, founded);
             till.purse = Some((purse, who));
         }
-        let budget = self.record.budget(COLD).cloned().unwrap_or_default();
+        let budget = self.record.budget(COLD_BUDGET).cloned().unwrap_or_default();
         let belong = self.belong_ids();
         let known: Option<Vec<f64>> = belong.iter().map(|id| self.demands.get(id).copied()).collect();
         let at = belong.iter().position(|id| *id == self.own.id);
@@ -98,20 +98,20 @@
                 _ => self.rng.u64(1..),
             };
             till.said = Some((shift, id));
-            let what = Some(CommandKind::BudgetShift(BudgetShift::of(COLD, &shift)));
+            let what = Some(CommandKind::BudgetShift(BudgetShift::of(COLD_BUDGET, &shift)));
             self.pass_on(&Command { id, issued_at_ms: now.0 / 1_000_000, kind: what }, out);
         }
         self.deal(now, till, &belong, out);
     }
 
     pub(super) fn belong_ids(&self) -> Vec<Id> {
-        let members = self.agree().map(|agree| agree.committed_members()).unwrap_or_default();
+        let members = self.raft().map(|agree| agree.committed_members()).unwrap_or_default();
         let have_parts = members.list.iter().filter(|member| member.id != 0 && !member.is_observer);
         have_parts.map(|member| member.id).collect()
     }
 
     fn deal(&mut self, now: Moment, till: &mut Till, belong: &[Id], out: &mut Outbox) {
-        let Some(led) = self.agree().and_then(|agree| agree.leading_since()) else {
+        let Some(led) = self.raft().and_then(|agree| agree.leading_since()) else {
             till.dealer = None;
             return;
         };
@@ -122,16 +122,16 @@
         self.dealing = self.dealing.filter(|command| proposed.contains_key(command));
         let (Some((dealer, _)), None) = (&mut till.dealer, self.dealing) else { return };
         let belong = belong.iter().map(|id| (*id, self.demands.get(id).copied())).collect();
-        let budget = self.record.budget(COLD).cloned().unwrap_or_default();
+        let budget = self.record.budget(COLD_BUDGET).cloned().unwrap_or_default();
         let Some(shift) = dealer.next_shift(now, &budget, &belong) else { return };
         let id = self.rng.u64(1..);
-        let what = Some(CommandKind::BudgetShift(BudgetShift::of(COLD, &shift)));
+        let what = Some(CommandKind::BudgetShift(BudgetShift::of(COLD_BUDGET, &shift)));
         if self.propose(&Command { id, issued_at_ms: now.0 / 1_000_000, kind: what }) {
             self.dealing = Some(id);
             out.log(
                 Level::Info,
                 "budget_shifted",
-                vec![("budget", COLD.into()), ("shift", format!("{shift:?}"))],
+                vec![("budget", COLD_BUDGET.into()), ("shift", format!("{shift:?}"))],
             );
         }
     }
--- a/crates/member/src/member/requests.rs
+++ b/crates/member/src/member/requests.rs
@@ -4,29 +4,29 @@
 use super::*;
 
 impl Member {
-    pub fn ask(&mut self, now: Moment, token: u64, what: Request, out: &mut Outbox) {
+    pub fn request(&mut self, now: Moment, token: u64, what: Request, out: &mut Outbox) {
         if let Request::Command(command) = &what {
             if let Err(why) = command.check() {
-                return self.told.push(Told::Reply { token, reply: Reply::Refused(why) });
+                return self.events.push(MemberEvent::Reply { token, reply: Reply::Rejected(why) });
             }
         }
-        if let Request::Stale = what {
-            let reply = Reply::Look { fresh: false, age: self.age(now) };
-            return self.told.push(Told::Reply { token, reply });
+        if let Request::StaleRead = what {
+            let reply = Reply::ReadReady { fresh: false, age: self.staleness(now) };
+            return self.events.push(MemberEvent::Reply { token, reply });
         }
         if self.waiting.len() >= MOST_WAITING {
-            let reply = Reply::Refused(format!("{MOST_WAITING} requests wait, no more are taken"));
-            return self.told.push(Told::Reply { token, reply });
+            let reply = Reply::Rejected(format!("{MOST_WAITING} requests wait, no more are taken"));
+            return self.events.push(MemberEvent::Reply { token, reply });
         }
-        let until = now + self.home.patience;
+        let until = now + self.home.request_timeout;
         self.waiting.push_back(Waiting { token, what, until, given: None, read_at: None });
         self.give_all(now, out);
         self.carry_out(now, out);
     }
 
     /// How old what is known here may be.
-    pub fn age(&self, now: Moment) -> Span {
-        let heard = self.agree().and_then(|agree| agree.last_quorum_contact(now));
+    pub fn staleness(&self, now: Moment) -> Span {
+        let heard = self.raft().and_then(|agree| agree.last_quorum_contact(now));
         heard.map_or(Span(u64::MAX / 4), |heard| now.since(heard))
     }
 
@@ -62,7 +62,7 @@
 
     /// Gives what waits to whoever leads.
     pub(super) fn give_all(&mut self, now: Moment, out: &mut Outbox) {
-        let Some((leads, leader)) = self.agree().map(|agree| (agree.role() == Role::Leader, agree.leader()))
+        let Some((leads, leader)) = self.raft().map(|agree| (agree.role() == Role::Leader, agree.leader()))
         else {
             return;
         };
@@ -74,8 +74,8 @@
             let (token, what) = (waiting.token, waiting.what.clone());
             let given = match (what, leader) {
                 (Request::Command(command), _) if leads => self.propose(&command),
-                (Request::Change(change), _) if leads => self.change(now, &change).is_ok(),
-                (Request::Fresh, _) if leads => {
+                (Request::MemberChange(change), _) if leads => self.change(now, &change).is_ok(),
+                (Request::LinearizableRead, _) if leads => {
                     let Stage::Member(agree) = &mut self.stage else { return };
                     self.tokens += 1;
                     let own = self.own.id;
@@ -87,14 +87,14 @@
                     asked
                 }
                 (Request::Command(command), Some(leader)) => {
-                    let word = word::Kind::Command(command.encode_to_vec());
+                    let word = peer_message::Kind::Command(command.encode_to_vec());
                     self.peers.send(leader, Lane::Bulk, word, out)
                 }
-                (Request::Change(change), Some(leader)) => {
-                    self.peers.send(leader, Lane::Bulk, word::Kind::Change(change), out)
+                (Request::MemberChange(change), Some(leader)) => {
+                    self.peers.send(leader, Lane::Bulk, peer_message::Kind::MemberChange(change), out)
                 }
-                (Request::Fresh, Some(leader)) => {
-                    self.peers.send(leader, Lane::Urgent, word::Kind::ReadAsk(token), out)
+                (Request::LinearizableRead, Some(leader)) => {
+                    self.peers.send(leader, Lane::Urgent, peer_message::Kind::ReadIndexRequest(token), out)
                 }
                 _ => false,
             };
@@ -106,37 +106,39 @@
 
     /// Answers what can be answered, and what can no longer wait.
     pub(super) fn answer(&mut self, now: Moment, until: Moment) {
-        let applied = self.agree().map_or(0, RaftNode::applied_index);
-        let members = self.agree().map(|agree| (agree.committed_members(), agree.commit_index()));
+        let applied = self.raft().map_or(0, RaftNode::applied_index);
+        let members = self.raft().map(|agree| (agree.committed_members(), agree.commit_index()));
         let mut waiting = std::mem::take(&mut self.waiting);
         waiting.retain(|waiting| {
             let known = match &waiting.what {
                 Request::Command(command) => {
                     self.record.past_outcome(command.id).map(|answer| match answer {
-                        Outcome::Applied(number) => Reply::Kept(number),
-                        Outcome::Rejected(why) => Reply::Refused(why),
+                        Outcome::Applied(number) => Reply::Committed(number),
+                        Outcome::Rejected(why) => Reply::Rejected(why),
                         Outcome::Unknown => Reply::Unknown,
                     })
                 }
-                Request::Change(change) => {
-                    members.as_ref().filter(|m| satisfied(&m.0, change)).map(|m| Reply::Kept(m.1))
+                Request::MemberChange(change) => {
+                    members.as_ref().filter(|m| satisfied(&m.0, change)).map(|m| Reply::Committed(m.1))
                 }
-                Request::Fresh => waiting
+                Request::LinearizableRead => waiting
                     .read_at
                     .filter(|at| *at <= applied)
-                    .map(|_| Reply::Look { fresh: true, age: Span(0) }),
-                Request::Stale => None,
+                    .map(|_| Reply::ReadReady { fresh: true, age: Span(0) }),
+                Request::StaleRead => None,
             };
             let late = until >= waiting.until;
             let reply = known.or_else(|| {
                 late.then(|| match (&waiting.what, waiting.given) {
-                    (Request::Fresh | Request::Stale, _) => Reply::Look { fresh: false, age: self.age(now) },
+                    (Request::LinearizableRead | Request::StaleRead, _) => {
+                        Reply::ReadReady { fresh: false, age: self.staleness(now) }
+                    }
                     (_, Some(_)) => Reply::Unknown,
                     (_, None) => Reply::NoMajority,
                 })
             });
             let Some(reply) = reply else { return true };
-            self.told.push(Told::Reply { token: waiting.token, reply });
+            self.events.push(MemberEvent::Reply { token: waiting.token, reply });
             false
         });
         self.waiting = waiting;
--- a/crates/member/src/words.rs
+++ b/crates/member/src/messages.rs
@@ -11,17 +11,20 @@
 /// which rises once all who belong speak it.
 pub const FORMATS: (u32, u32) = pewtergap_record::SUPPORTED_FORMATS;
 pub(crate) const MOST_NAME: usize = 256;
-const MOST_MEMBERS: usize = 64;
+const MAX_MEMBERS: usize = 64;
 /// A message: entries or a piece, and their heads.
 const MOST_WORD: usize = 4 * 1024 * 1024;
 
 #[derive(Clone, PartialEq, Message)]
-pub struct Word {
-    #[prost(oneof = "word::Kind", tags = "1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18")]
-    pub kind: Option<word::Kind>,
+pub struct PeerMessage {
+    #[prost(
+        oneof = "peer_message::Kind",
+        tags = "1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18"
+    )]
+    pub kind: Option<peer_message::Kind>,
 }
 
-pub mod word {
+pub mod peer_message {
     #[derive(Clone, PartialEq, super::Oneof)]
     pub enum Kind {
         /// First on each link, from who dialled.
@@ -31,40 +34,40 @@
         #[prost(message, tag = "2")]
         Welcome(super::Hello),
         #[prost(message, tag = "3")]
-        Refuse(super::Refuse),
+        Reject(super::Rejection),
         #[prost(message, tag = "4")]
-        Agree(super::Agreeing),
+        Raft(super::RaftMessage),
         /// A command for the leader; said again until its answer is seen in the record.
         #[prost(bytes, tag = "5")]
         Command(Vec<u8>),
         #[prost(message, tag = "6")]
-        Change(super::Change),
+        MemberChange(super::MemberChange),
         #[prost(uint64, tag = "7")]
-        ReadAsk(u64),
+        ReadIndexRequest(u64),
         #[prost(message, tag = "8")]
-        ReadAt(super::ReadAt),
+        ReadIndex(super::ReadIndex),
         /// From format 2 on: a lease is asked for; answered by a read's place.
         #[prost(message, tag = "9")]
-        Renew(super::Renew),
+        LeaseRenewal(super::LeaseRenewal),
         /// The leader asks for a duty; answered by a command that releases it.
         #[prost(message, tag = "10")]
-        HandOn(super::HandOn),
+        HandoffRequest(super::HandoffRequest),
         /// A server is to be asked how it is, by whoever holds its slice; that it takes it; what came.
         #[prost(message, tag = "11")]
-        ProbeAsk(super::ProbeAsk),
+        ProbeRequest(super::ProbeRequest),
         #[prost(message, tag = "12")]
-        ProbeTaken(super::ProbeTaken),
+        ProbeAccepted(super::ProbeAccepted),
         #[prost(message, tag = "13")]
-        Probed(super::Probed),
+        ProbeResult(super::ProbeResult),
         /// To those only whose hello says that they share.
         #[prost(message, tag = "14")]
-        Gossip(crate::shared::Gossiped),
+        Gossip(crate::sharing_messages::GossipMessage),
         #[prost(message, tag = "15")]
-        CountsAsk(crate::shared::CountsAsk),
+        CountsRequest(crate::sharing_messages::CountsRequest),
         #[prost(message, tag = "16")]
-        Counts(crate::shared::Counts),
+        CountsResponse(crate::sharing_messages::CountsResponse),
         #[prost(message, tag = "17")]
-        Evidence(crate::shared::EvidenceTold),
+        Evidence(crate::sharing_messages::EvidenceReport),
         /// Whom a control machine serves, and what is in force there. To those only whose hello says that they serve watches.
         #[prost(message, tag = "18")]
         Roster(pewtergap_watch::messages::RosterUpdate),
@@ -74,12 +77,12 @@
 #[derive(Clone, PartialEq, Message)]
 pub struct Hello {
     #[prost(uint32, tag = "1")]
-    pub lowest: u32,
+    pub min_format: u32,
     #[prost(uint32, tag = "2")]
-    pub highest: u32,
+    pub max_format: u32,
     /// 0: belongs to none yet.
     #[prost(fixed64, tag = "3")]
-    pub cluster: u64,
+    pub cluster_id: u64,
     #[prost(string, tag = "4")]
     pub name: String,
     /// Drawn when its disk was made.
@@ -92,26 +95,26 @@
     pub nonce: u64,
     /// Who founded the cluster.
     #[prost(message, repeated, tag = "8")]
-    pub founders: Vec<Seat>,
+    pub founders: Vec<MemberInfo>,
     /// On the link for all that is long.
     #[prost(bool, tag = "9")]
     pub bulk: bool,
     /// Who belongs now: one that joins knows the founders only, and the leader may be none of them.
     #[prost(message, repeated, tag = "10")]
-    pub seats: Vec<Seat>,
+    pub members: Vec<MemberInfo>,
     /// How long this one's settings say that leases are, in milliseconds; 0: it has no duties.
     #[prost(uint64, tag = "11")]
-    pub lease: u64,
+    pub lease_ms: u64,
     /// It shares what it sees: whoever is older closes a link on words that it does not know.
     #[prost(bool, tag = "12")]
     pub shares: bool,
     /// It serves watches, and wants to hear whom others serve.
     #[prost(bool, tag = "13")]
-    pub watches: bool,
+    pub serves_watches: bool,
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct Refuse {
+pub struct Rejection {
     #[prost(string, tag = "1")]
     pub reason: String,
     /// The disk is an older copy of what others have heard from.
@@ -124,53 +127,53 @@
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct Seat {
+pub struct MemberInfo {
     #[prost(fixed64, tag = "1")]
     pub id: Id,
     #[prost(string, tag = "2")]
     pub name: String,
     #[prost(string, tag = "3")]
-    pub at: String,
+    pub address: String,
     #[prost(bool, tag = "4")]
-    pub votes: bool,
+    pub is_voter: bool,
     /// From format 4 on: a build that reads no such field takes an observer for one that learns, and gives it a vote.
     #[prost(bool, tag = "5")]
-    pub observes: bool,
+    pub is_observer: bool,
 }
 
 /// Who belongs.
 #[derive(Clone, PartialEq, Message)]
-pub struct Seats {
+pub struct Membership {
     #[prost(message, repeated, tag = "1")]
-    pub list: Vec<Seat>,
+    pub members: Vec<MemberInfo>,
     #[prost(fixed64, repeated, tag = "2")]
     pub retired: Vec<Id>,
 }
 
 /// An operator's change of members, for the leader.
 #[derive(Clone, PartialEq, Message)]
-pub struct Change {
+pub struct MemberChange {
     #[prost(string, tag = "1")]
     pub name: String,
     /// Empty: remove it.
     #[prost(string, tag = "2")]
-    pub at: String,
+    pub address: String,
     /// The disk that is given up: another one may come under the name. 0: none is.
     #[prost(fixed64, tag = "3")]
-    pub old: Id,
+    pub replaced_id: Id,
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct Renew {
+pub struct LeaseRenewal {
     #[prost(uint64, tag = "1")]
     pub token: u64,
     /// It takes no more duties.
     #[prost(bool, tag = "2")]
-    pub leaves: bool,
+    pub leaving: bool,
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct HandOn {
+pub struct HandoffRequest {
     #[prost(string, tag = "1")]
     pub duty: String,
     #[prost(uint64, tag = "2")]
@@ -178,7 +181,7 @@
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct ProbeAsk {
+pub struct ProbeRequest {
     #[prost(string, tag = "1")]
     pub duty: String,
     #[prost(string, tag = "2")]
@@ -186,7 +189,7 @@
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct ProbeTaken {
+pub struct ProbeAccepted {
     #[prost(string, tag = "1")]
     pub duty: String,
     #[prost(uint64, tag = "2")]
@@ -196,7 +199,7 @@
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct Probed {
+pub struct ProbeResult {
     #[prost(string, tag = "1")]
     pub duty: String,
     #[prost(uint64, tag = "2")]
@@ -205,17 +208,17 @@
     pub server: String,
     /// 0 answered, 1 refused, 2 an error, 3 silent, 4 dead.
     #[prost(uint32, tag = "4")]
-    pub end: u32,
+    pub outcome: u32,
     #[prost(double, optional, tag = "5")]
     pub util: Option<f64>,
     #[prost(double, optional, tag = "6")]
-    pub in_hand: Option<f64>,
+    pub in_flight: Option<f64>,
     #[prost(uint64, tag = "7")]
     pub age_ms: u64,
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct ReadAt {
+pub struct ReadIndex {
     #[prost(uint64, tag = "1")]
     pub token: u64,
     #[prost(uint64, tag = "2")]
@@ -223,38 +226,38 @@
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct Agreeing {
+pub struct RaftMessage {
     #[prost(uint64, tag = "1")]
     pub term: Term,
-    #[prost(oneof = "Saying", tags = "2, 3, 4, 5, 6, 7, 8, 9, 10")]
-    pub say: Option<Saying>,
+    #[prost(oneof = "RaftPayload", tags = "2, 3, 4, 5, 6, 7, 8, 9, 10")]
+    pub payload: Option<RaftPayload>,
 }
 
 #[derive(Clone, PartialEq, Oneof)]
-pub enum Saying {
+pub enum RaftPayload {
     #[prost(message, tag = "2")]
-    Trial(Place),
+    PreVoteRequest(LogPosition),
     #[prost(bool, tag = "3")]
-    Trialled(bool),
+    PreVoteResponse(bool),
     #[prost(message, tag = "4")]
-    Ask(Ask),
+    VoteRequest(VoteRequest),
     #[prost(bool, tag = "5")]
-    Vote(bool),
+    VoteResponse(bool),
     #[prost(message, tag = "6")]
-    Append(Append),
+    AppendEntries(AppendEntries),
     #[prost(message, tag = "7")]
-    Took(Took),
+    AppendResponse(AppendResponse),
     #[prost(message, tag = "8")]
-    Piece(Piece),
+    SnapshotChunk(SnapshotChunk),
     #[prost(message, tag = "9")]
-    Got(Place),
+    SnapshotChunkAck(LogPosition),
     #[prost(bool, tag = "10")]
-    Stand(bool),
+    TimeoutNow(bool),
 }
 
 /// A term and an index; for `Got` bytes and the snapshot's index.
 #[derive(Clone, PartialEq, Message)]
-pub struct Place {
+pub struct LogPosition {
     #[prost(uint64, tag = "1")]
     pub term: u64,
     #[prost(uint64, tag = "2")]
@@ -262,19 +265,19 @@
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct Ask {
+pub struct VoteRequest {
     #[prost(message, required, tag = "1")]
-    pub last: Place,
+    pub last_log: LogPosition,
     #[prost(bool, tag = "2")]
-    pub handed: bool,
+    pub leader_transfer: bool,
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct Append {
+pub struct AppendEntries {
     #[prost(message, required, tag = "1")]
-    pub prev: Place,
+    pub prev: LogPosition,
     #[prost(message, repeated, tag = "2")]
-    pub entries: Vec<Kept>,
+    pub entries: Vec<LogEntry>,
     #[prost(uint64, tag = "3")]
     pub commit: Index,
     #[prost(uint64, tag = "4")]
@@ -282,90 +285,90 @@
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct Took {
+pub struct AppendResponse {
     #[prost(bool, tag = "1")]
-    pub refused: bool,
+    pub rejected: bool,
     #[prost(uint64, tag = "2")]
-    pub matched: Index,
+    pub match_index: Index,
     #[prost(uint64, tag = "3")]
     pub round: u64,
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct Piece {
+pub struct SnapshotChunk {
     #[prost(message, required, tag = "1")]
-    pub snapshot: Image,
+    pub snapshot: StoredSnapshot,
     #[prost(uint64, tag = "2")]
-    pub at: u64,
+    pub offset: u64,
     #[prost(uint64, tag = "3")]
-    pub total: u64,
+    pub total_bytes: u64,
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct Image {
+pub struct StoredSnapshot {
     #[prost(uint64, tag = "1")]
     pub index: Index,
     #[prost(uint64, tag = "2")]
     pub term: Term,
     #[prost(message, required, tag = "3")]
-    pub members: Seats,
+    pub members: Membership,
     #[prost(bytes, tag = "4")]
     pub data: Vec<u8>,
 }
 
 /// An entry of the log.
 #[derive(Clone, PartialEq, Message)]
-pub struct Kept {
+pub struct LogEntry {
     #[prost(uint64, tag = "1")]
     pub term: Term,
-    #[prost(oneof = "Holds", tags = "2, 3, 4")]
-    pub body: Option<Holds>,
+    #[prost(oneof = "EntryBody", tags = "2, 3, 4")]
+    pub body: Option<EntryBody>,
     /// On disk; on links the place tells.
     #[prost(uint64, tag = "5")]
     pub index: Index,
 }
 
 #[derive(Clone, PartialEq, Oneof)]
-pub enum Holds {
+pub enum EntryBody {
     #[prost(bool, tag = "2")]
     Empty(bool),
     #[prost(bytes, tag = "3")]
     Command(Vec<u8>),
     #[prost(message, tag = "4")]
-    Members(Seats),
+    Members(Membership),
 }
 
 // ---- on disk
 
 #[derive(Clone, PartialEq, Message)]
-pub struct DiskRow {
-    #[prost(oneof = "OnDisk", tags = "1, 2, 3, 4, 5, 6, 7")]
-    pub row: Option<OnDisk>,
+pub struct DiskRecord {
+    #[prost(oneof = "DiskRecordKind", tags = "1, 2, 3, 4, 5, 6, 7")]
+    pub row: Option<DiskRecordKind>,
 }
 
 #[derive(Clone, PartialEq, Oneof)]
-pub enum OnDisk {
+pub enum DiskRecordKind {
     /// Who this is; the last one counts.
     #[prost(message, tag = "1")]
     Identity(Hello),
     #[prost(message, tag = "2")]
-    Hard(Place),
+    HardState(LogPosition),
     #[prost(message, tag = "3")]
-    Entry(Kept),
+    Entry(LogEntry),
     #[prost(message, tag = "4")]
-    Snapshot(Image),
+    Snapshot(StoredSnapshot),
     /// What was heard of another member's starts.
     #[prost(message, tag = "5")]
-    Seen(Hello),
+    PeerSeen(Hello),
     /// The highest number of a start that this planner was given, and the one it has used.
     #[prost(message, tag = "6")]
-    Number(Place),
+    StartNumber(LogPosition),
     /// Up to here entries were known to be committed. Without it a start that hears nobody would go by no order.
     #[prost(uint64, tag = "7")]
     Committed(Index),
 }
 
-impl Checked for Word {
+impl Checked for PeerMessage {
     const MOST: usize = MOST_WORD;
     fn check(&self) -> Result<(), String> {
         let named = |name: &str| match name.len() {
@@ -374,180 +377,208 @@
             _ => Ok(()),
         };
         match self.kind.as_ref().ok_or("no word of this format")? {
-            word::Kind::Hello(hello) | word::Kind::Welcome(hello) => {
+            peer_message::Kind::Hello(hello) | peer_message::Kind::Welcome(hello) => {
                 named(&hello.name)?;
-                if hello.founders.len().max(hello.seats.len()) > MOST_MEMBERS {
-                    return Err(format!("founders or seats: more than {MOST_MEMBERS}"));
+                if hello.founders.len().max(hello.members.len()) > MAX_MEMBERS {
+                    return Err(format!("founders or seats: more than {MAX_MEMBERS}"));
                 }
                 if hello.id == 0 {
                     return Err("id: is missing".into());
                 }
                 Ok(())
             }
-            word::Kind::Change(change) => {
+            peer_message::Kind::MemberChange(change) => {
                 named(&change.name)?;
-                if change.at.len() > MOST_NAME {
-                    return Err(format!("at: {} bytes, {MOST_NAME} at most", change.at.len()));
+                if change.address.len() > MOST_NAME {
+                    return Err(format!("at: {} bytes, {MOST_NAME} at most", change.address.len()));
                 }
                 Ok(())
             }
-            word::Kind::HandOn(asked) => named(&asked.duty),
-            word::Kind::ProbeAsk(asked) => named(&asked.duty).and(named(&asked.server)),
-            word::Kind::ProbeTaken(taken) => named(&taken.duty).and(named(&taken.server)),
-            word::Kind::Probed(told) => named(&told.duty).and(named(&told.server)),
-            word::Kind::Agree(agreeing) => told(agreeing.clone()).map(drop),
-            word::Kind::Gossip(gossiped) => gossiped.check(),
-            word::Kind::Counts(counts) => counts.check(),
-            word::Kind::Evidence(told) => told.check(),
-            word::Kind::Roster(told) => told.check(),
+            peer_message::Kind::HandoffRequest(asked) => named(&asked.duty),
+            peer_message::Kind::ProbeRequest(asked) => named(&asked.duty).and(named(&asked.server)),
+            peer_message::Kind::ProbeAccepted(taken) => named(&taken.duty).and(named(&taken.server)),
+            peer_message::Kind::ProbeResult(told) => named(&told.duty).and(named(&told.server)),
+            peer_message::Kind::Raft(agreeing) => decode_raft(agreeing.clone()).map(drop),
+            peer_message::Kind::Gossip(gossiped) => gossiped.check(),
+            peer_message::Kind::CountsResponse(counts) => counts.check(),
+            peer_message::Kind::Evidence(told) => told.check(),
+            peer_message::Kind::Roster(told) => told.check(),
             _ => Ok(()),
         }
     }
 }
 
-impl Refuse {
-    pub fn of(reason: &str) -> Refuse {
-        Refuse { reason: reason.into(), ..Refuse::default() }
+impl Rejection {
+    pub fn new(reason: &str) -> Rejection {
+        Rejection { reason: reason.into(), ..Rejection::default() }
     }
 }
 
-impl Seat {
-    pub fn founder(id: Id, name: &str) -> Seat {
-        Seat { id, name: name.into(), votes: true, ..Seat::default() }
+impl MemberInfo {
+    pub fn founder(id: Id, name: &str) -> MemberInfo {
+        MemberInfo { id, name: name.into(), is_voter: true, ..MemberInfo::default() }
     }
 }
 
-impl Word {
-    pub fn of(kind: word::Kind) -> Word {
-        Word { kind: Some(kind) }
+impl PeerMessage {
+    pub fn new(kind: peer_message::Kind) -> PeerMessage {
+        PeerMessage { kind: Some(kind) }
     }
 }
 
-pub fn seats(members: &Members) -> Seats {
+pub fn encode_membership(members: &Members) -> Membership {
     let seat = |m: &Member| {
         let (name, at) = (m.name.clone(), m.address.clone());
-        Seat { id: m.id, name, at, votes: m.is_voter, observes: m.is_observer }
+        MemberInfo { id: m.id, name, address: at, is_voter: m.is_voter, is_observer: m.is_observer }
     };
-    Seats { list: members.list.iter().map(seat).collect(), retired: members.retired.clone() }
+    Membership { members: members.list.iter().map(seat).collect(), retired: members.retired.clone() }
 }
 
-pub fn members(seats: Seats) -> Members {
-    let member = |s: Seat| Member {
+pub fn decode_membership(seats: Membership) -> Members {
+    let member = |s: MemberInfo| Member {
         id: s.id,
         name: s.name,
-        address: s.at,
-        is_voter: s.votes,
-        is_observer: s.observes,
+        address: s.address,
+        is_voter: s.is_voter,
+        is_observer: s.is_observer,
     };
-    Members { list: seats.list.into_iter().map(member).collect(), retired: seats.retired }
+    Members { list: seats.members.into_iter().map(member).collect(), retired: seats.retired }
 }
 
-fn place((term, index): (Term, Index)) -> Place {
-    Place { term, index }
+fn place((term, index): (Term, Index)) -> LogPosition {
+    LogPosition { term, index }
 }
 
-pub fn kept(index: Index, entry: &Entry) -> Kept {
+pub fn encode_entry(index: Index, entry: &Entry) -> LogEntry {
     let body = match &entry.body {
-        Body::Empty => Holds::Empty(true),
-        Body::Command(bytes) => Holds::Command(bytes.clone()),
-        Body::Members(members) => Holds::Members(seats(members)),
+        Body::Empty => EntryBody::Empty(true),
+        Body::Command(bytes) => EntryBody::Command(bytes.clone()),
+        Body::Members(members) => EntryBody::Members(encode_membership(members)),
     };
-    Kept { term: entry.term, body: Some(body), index }
+    LogEntry { term: entry.term, body: Some(body), index }
 }
 
-fn entry(kept: Kept) -> Result<Entry, String> {
+fn entry(kept: LogEntry) -> Result<Entry, String> {
     let body = match kept.body.ok_or("an entry holds nothing of this format")? {
-        Holds::Empty(_) => Body::Empty,
-        Holds::Command(bytes) => Body::Command(bytes),
-        Holds::Members(seats) => Body::Members(members(seats)),
+        EntryBody::Empty(_) => Body::Empty,
+        EntryBody::Command(bytes) => Body::Command(bytes),
+        EntryBody::Members(seats) => Body::Members(decode_membership(seats)),
     };
     Ok(Entry { term: kept.term, body })
 }
 
-pub fn image(snapshot: &Snapshot) -> Image {
+pub fn encode_snapshot(snapshot: &Snapshot) -> StoredSnapshot {
     let (index, term, data) = (snapshot.index, snapshot.term, snapshot.data.clone());
-    Image { index, term, members: seats(&snapshot.members), data }
+    StoredSnapshot { index, term, members: encode_membership(&snapshot.members), data }
 }
 
-fn snapshot(image: Image) -> Snapshot {
-    Snapshot { index: image.index, term: image.term, members: members(image.members), data: image.data }
+fn snapshot(image: StoredSnapshot) -> Snapshot {
+    Snapshot {
+        index: image.index,
+        term: image.term,
+        members: decode_membership(image.members),
+        data: image.data,
+    }
 }
 
-pub fn agreeing(message: &Told) -> Agreeing {
+pub fn encode_raft(message: &Told) -> RaftMessage {
     let say = match &message.payload {
-        Payload::PreVoteRequest { last_log: last } => Saying::Trial(place(*last)),
-        Payload::PreVoteResponse { granted } => Saying::Trialled(*granted),
+        Payload::PreVoteRequest { last_log: last } => RaftPayload::PreVoteRequest(place(*last)),
+        Payload::PreVoteResponse { granted } => RaftPayload::PreVoteResponse(*granted),
         Payload::VoteRequest { last_log: last, leader_transfer: handed } => {
-            Saying::Ask(Ask { last: place(*last), handed: *handed })
+            RaftPayload::VoteRequest(VoteRequest { last_log: place(*last), leader_transfer: *handed })
         }
-        Payload::VoteResponse { granted } => Saying::Vote(*granted),
+        Payload::VoteResponse { granted } => RaftPayload::VoteResponse(*granted),
         Payload::AppendEntries { prev, entries, commit, round } => {
-            let entries = entries.iter().map(|entry| kept(0, entry)).collect();
-            Saying::Append(Append { prev: place(*prev), entries, commit: *commit, round: *round })
+            let entries = entries.iter().map(|entry| encode_entry(0, entry)).collect();
+            RaftPayload::AppendEntries(AppendEntries {
+                prev: place(*prev),
+                entries,
+                commit: *commit,
+                round: *round,
+            })
         }
         Payload::AppendResponse { rejected: refused, match_index: matched, round } => {
-            Saying::Took(Took { refused: *refused, matched: *matched, round: *round })
+            RaftPayload::AppendResponse(AppendResponse {
+                rejected: *refused,
+                match_index: *matched,
+                round: *round,
+            })
         }
         Payload::SnapshotChunk { snapshot, offset: at, total_bytes: total } => {
-            Saying::Piece(Piece { snapshot: image(snapshot), at: *at, total: *total })
+            RaftPayload::SnapshotChunk(SnapshotChunk {
+                snapshot: encode_snapshot(snapshot),
+                offset: *at,
+                total_bytes: *total,
+            })
+        }
+        Payload::SnapshotChunkAck { index, bytes_received: bytes } => {
+            RaftPayload::SnapshotChunkAck(place((*bytes, *index)))
         }
-        Payload::SnapshotChunkAck { index, bytes_received: bytes } => Saying::Got(place((*bytes, *index))),
-        Payload::TimeoutNow => Saying::Stand(true),
+        Payload::TimeoutNow => RaftPayload::TimeoutNow(true),
     };
-    Agreeing { term: message.term, say: Some(say) }
+    RaftMessage { term: message.term, payload: Some(say) }
 }
 
-pub fn told(agreeing: Agreeing) -> Result<Told, String> {
-    let say = match agreeing.say.ok_or("nothing of this format is said")? {
-        Saying::Trial(last) => Payload::PreVoteRequest { last_log: (last.term, last.index) },
-        Saying::Trialled(granted) => Payload::PreVoteResponse { granted },
-        Saying::Ask(ask) => {
-            Payload::VoteRequest { last_log: (ask.last.term, ask.last.index), leader_transfer: ask.handed }
-        }
-        Saying::Vote(granted) => Payload::VoteResponse { granted },
-        Saying::Append(append) => Payload::AppendEntries {
+pub fn decode_raft(agreeing: RaftMessage) -> Result<Told, String> {
+    let say = match agreeing.payload.ok_or("nothing of this format is said")? {
+        RaftPayload::PreVoteRequest(last) => Payload::PreVoteRequest { last_log: (last.term, last.index) },
+        RaftPayload::PreVoteResponse(granted) => Payload::PreVoteResponse { granted },
+        RaftPayload::VoteRequest(ask) => Payload::VoteRequest {
+            last_log: (ask.last_log.term, ask.last_log.index),
+            leader_transfer: ask.leader_transfer,
+        },
+        RaftPayload::VoteResponse(granted) => Payload::VoteResponse { granted },
+        RaftPayload::AppendEntries(append) => Payload::AppendEntries {
             prev: (append.prev.term, append.prev.index),
             entries: append.entries.into_iter().map(entry).collect::<Result<_, _>>()?,
             commit: append.commit,
             round: append.round,
         },
-        Saying::Took(took) => {
-            Payload::AppendResponse { rejected: took.refused, match_index: took.matched, round: took.round }
-        }
-        Saying::Piece(piece) => Payload::SnapshotChunk {
+        RaftPayload::AppendResponse(took) => Payload::AppendResponse {
+            rejected: took.rejected,
+            match_index: took.match_index,
+            round: took.round,
+        },
+        RaftPayload::SnapshotChunk(piece) => Payload::SnapshotChunk {
             snapshot: snapshot(piece.snapshot),
-            offset: piece.at,
-            total_bytes: piece.total,
+            offset: piece.offset,
+            total_bytes: piece.total_bytes,
         },
-        Saying::Got(got) => Payload::SnapshotChunkAck { index: got.index, bytes_received: got.term },
-        Saying::Stand(_) => Payload::TimeoutNow,
+        RaftPayload::SnapshotChunkAck(got) => {
+            Payload::SnapshotChunkAck { index: got.index, bytes_received: got.term }
+        }
+        RaftPayload::TimeoutNow(_) => Payload::TimeoutNow,
     };
     Ok(Told { term: agreeing.term, payload: say })
 }
 
-pub fn on_disk(row: &WalRecord) -> OnDisk {
+pub fn encode_record(row: &WalRecord) -> DiskRecordKind {
     match row {
-        WalRecord::HardState { term, vote } => OnDisk::Hard(place((*term, *vote))),
-        WalRecord::Entry { index, entry } => OnDisk::Entry(kept(*index, entry)),
-        WalRecord::Snapshot(snapshot) => OnDisk::Snapshot(image(snapshot)),
+        WalRecord::HardState { term, vote } => DiskRecordKind::HardState(place((*term, *vote))),
+        WalRecord::Entry { index, entry } => DiskRecordKind::Entry(encode_entry(*index, entry)),
+        WalRecord::Snapshot(snapshot) => DiskRecordKind::Snapshot(encode_snapshot(snapshot)),
     }
 }
 
 /// A row of the log, if it is one.
-pub fn row(row: OnDisk) -> Result<Option<WalRecord>, String> {
+pub fn decode_record(row: DiskRecordKind) -> Result<Option<WalRecord>, String> {
     Ok(Some(match row {
-        OnDisk::Hard(hard) => WalRecord::HardState { term: hard.term, vote: hard.index },
-        OnDisk::Entry(kept) => WalRecord::Entry { index: kept.index, entry: entry(kept)? },
-        OnDisk::Snapshot(image) => WalRecord::Snapshot(snapshot(image)),
-        OnDisk::Identity(_) | OnDisk::Seen(_) | OnDisk::Number(_) | OnDisk::Committed(_) => return Ok(None),
+        DiskRecordKind::HardState(hard) => WalRecord::HardState { term: hard.term, vote: hard.index },
+        DiskRecordKind::Entry(kept) => WalRecord::Entry { index: kept.index, entry: entry(kept)? },
+        DiskRecordKind::Snapshot(image) => WalRecord::Snapshot(snapshot(image)),
+        DiskRecordKind::Identity(_)
+        | DiskRecordKind::PeerSeen(_)
+        | DiskRecordKind::StartNumber(_)
+        | DiskRecordKind::Committed(_) => return Ok(None),
     }))
 }
 
-pub fn write(row: OnDisk) -> Vec<u8> {
-    DiskRow { row: Some(row) }.encode_to_vec()
+pub fn record_to_bytes(row: DiskRecordKind) -> Vec<u8> {
+    DiskRecord { row: Some(row) }.encode_to_vec()
 }
 
-pub fn read(bytes: &[u8]) -> Result<OnDisk, String> {
-    let row = DiskRow::decode(bytes).map_err(|e| e.to_string())?;
+pub fn record_from_bytes(bytes: &[u8]) -> Result<DiskRecordKind, String> {
+    let row = DiskRecord::decode(bytes).map_err(|e| e.to_string())?;
     row.row.ok_or_else(|| "a row of a newer format".into())
 }
--- a/crates/member/src/orders.rs
+++ b/crates/member/src/orders.rs
@@ -12,26 +12,26 @@
 
 /// Which planner this is among those that belong, by name.
 #[derive(Clone, Debug, Default)]
-pub struct Among {
+pub struct PlannerSet {
     pub name: String,
-    pub all: Vec<String>,
+    pub planners: Vec<String>,
 }
 
-impl Among {
+impl PlannerSet {
     /// Whether this planner is in that part of them, drawn anew for each order so that no planner goes first in all. Where
     /// nobody knows them all, about that part of them is.
-    pub fn within(&self, number: u64, part: f64) -> bool {
+    pub fn includes(&self, number: u64, part: f64) -> bool {
         let draw = |name: &str| xxh3_64(format!("{number}\n{name}").as_bytes());
-        if self.all.is_empty() {
+        if self.planners.is_empty() {
             return (draw(&self.name) as f64) < part * u64::MAX as f64;
         }
-        let before = self.all.iter().filter(|name| draw(name) < draw(&self.name)).count();
-        before < (self.all.len().max(1) as f64 * part - 1e-9).ceil() as usize
+        let before = self.planners.iter().filter(|name| draw(name) < draw(&self.name)).count();
+        before < (self.planners.len().max(1) as f64 * part - 1e-9).ceil() as usize
     }
 }
 
 /// What is wished for, unless its time is over or it was taken back; and which part of it.
-fn in_force<'a>(kept: &'a Kept, now: Moment, among: &Among) -> Option<(&'a OrderAction, f64)> {
+fn in_force<'a>(kept: &'a Kept, now: Moment, among: &PlannerSet) -> Option<(&'a OrderAction, f64)> {
     let order = kept
         .order
         .as_ref()
@@ -39,13 +39,13 @@
     let part = match f64::from(kept.progress.min(1_000)) / 1e3 {
         _ if order.steps == 0 => 1.0,
         reached if !order.by_proxies => reached,
-        reached => f64::from(u8::from(among.within(kept.index, reached))),
+        reached => f64::from(u8::from(among.includes(kept.index, reached))),
     };
     order.action.as_ref().map(|wish| (wish, part)).filter(|_| part > 0.0)
 }
 
 /// Which part of an order this planner carries out now.
-pub fn part_here(kept: &Kept, now: Moment, among: &Among) -> f64 {
+pub fn applied_share(kept: &Kept, now: Moment, among: &PlannerSet) -> f64 {
     in_force(kept, now, among).map_or(0.0, |force| force.1)
 }
 
@@ -69,7 +69,7 @@
 }
 
 /// All of it.
-pub fn whole(record: &Record, service: &Service, now: Moment, among: &Among) -> Overrides {
+pub fn full_standing(record: &Record, service: &Service, now: Moment, among: &PlannerSet) -> Overrides {
     let mut standing = Overrides::default();
     for (subject, kept) in record.orders() {
         let Some((wish, part)) = in_force(kept, now, among) else { continue };
@@ -94,12 +94,12 @@
 
 /// What is said of these, and no more: with 10,000 orders in force each commit went through all of them. None: only
 /// the whole tells.
-pub fn of(
+pub fn changes_for(
     record: &Record,
     service: &Service,
     now: Moment,
     subjects: &BTreeSet<Subject>,
-    among: &Among,
+    among: &PlannerSet,
 ) -> Option<Vec<OverrideChange>> {
     let zones = record.orders().rev().take_while(|(subject, _)| **subject > Subject::Releases);
     let zones = zones.filter(|(subject, _)| matches!(subject, Subject::Zone(_))).count();
--- a/crates/member/src/peers.rs
+++ b/crates/member/src/peers.rs
@@ -4,8 +4,8 @@
 //! Two links to each: what settles who leads never waits behind entries and snapshots. A link that does not take what
 //! is written is closed by the driver's bound, and dialled again.
 
-use crate::member::{MOST_MEMBERS, MOST_OBSERVERS};
-use crate::words::{word, Hello, Refuse, Word};
+use crate::member::{MAX_MEMBERS, MAX_OBSERVERS};
+use crate::messages::{peer_message, Hello, PeerMessage, Rejection};
 use pewtergap_node::{Link, Outbox};
 use pewtergap_protocol::{encode, Frames};
 use pewtergap_raft::Id;
@@ -19,7 +19,7 @@
 const WELCOMED: Span = Span::millis(1_000);
 /// Links that came in at once; strangers beyond it are turned away. Two of each other member, and some that are dialled anew
 /// before the old ones are seen to be broken.
-const MOST_INCOMING: usize = 2 * (MOST_MEMBERS + MOST_OBSERVERS) + 18;
+const MOST_INCOMING: usize = 2 * (MAX_MEMBERS + MAX_OBSERVERS) + 18;
 /// Who came in and has not said who it is by then is closed.
 const PATIENCE: Span = Span::millis(2_000);
 
@@ -32,7 +32,7 @@
 
 struct Way {
     link: Option<Link>,
-    frames: Frames<Word>,
+    frames: Frames<PeerMessage>,
     /// The other end's welcome, once it came.
     welcome: Option<Hello>,
     /// When to dial, or until when the welcome has to come.
@@ -48,7 +48,7 @@
 }
 
 pub struct Came {
-    frames: Frames<Word>,
+    frames: Frames<PeerMessage>,
     pub hello: Option<Hello>,
     since: Moment,
 }
@@ -56,9 +56,9 @@
 /// What came of bytes on a link.
 pub enum Heard {
     /// From a member that was let in, or its first word.
-    Words(Vec<Word>),
+    Words(Vec<PeerMessage>),
     Welcome(String, Hello),
-    Refused(String, Refuse),
+    Refused(String, Rejection),
     Wrong(String),
 }
 
@@ -137,7 +137,7 @@
     pub fn opened(&mut self, link: Link, own: &Hello, out: &mut Outbox) {
         let Some((_, lane)) = self.way(link) else { return };
         let hello = Hello { bulk: lane == 1, ..own.clone() };
-        out.send(link, encode(&Word::of(word::Kind::Hello(hello))));
+        out.send(link, encode(&PeerMessage::new(peer_message::Kind::Hello(hello))));
     }
 
     pub fn accepted(&mut self, now: Moment, link: Link, out: &mut Outbox) {
@@ -160,7 +160,7 @@
     }
 
     pub fn heard(&mut self, link: Link, bytes: &[u8]) -> Heard {
-        let take = |frames: &mut Frames<Word>| {
+        let take = |frames: &mut Frames<PeerMessage>| {
             frames.push(bytes);
             let mut words = Vec::new();
             loop {
@@ -183,13 +183,13 @@
         let Some(peer) = self.peers.get_mut(&name) else { return Heard::Words(Vec::new()) };
         let way = &mut peer.ways[lane];
         match take(&mut way.frames).map(|words| words.into_iter().last().and_then(|word| word.kind)) {
-            Ok(Some(word::Kind::Welcome(hello))) => {
+            Ok(Some(peer_message::Kind::Welcome(hello))) => {
                 way.welcome = Some(hello.clone());
                 way.failures = 0;
                 peer.refused = None;
                 Heard::Welcome(name, hello)
             }
-            Ok(Some(word::Kind::Refuse(refuse))) => {
+            Ok(Some(peer_message::Kind::Reject(refuse))) => {
                 peer.refused = Some(refuse.reason.clone());
                 Heard::Refused(name, refuse)
             }
@@ -202,12 +202,12 @@
     }
 
     /// False where no way to that very member stands now.
-    pub fn send(&self, to: Id, lane: Lane, word: word::Kind, out: &mut Outbox) -> bool {
+    pub fn send(&self, to: Id, lane: Lane, word: peer_message::Kind, out: &mut Outbox) -> bool {
         let lane = lane as usize;
         let way = self.peers.values().map(|peer| &peer.ways[lane]);
         let mut fits = way.filter(|way| way.welcome.as_ref().is_some_and(|welcome| welcome.id == to));
         let Some(link) = fits.next().and_then(|way| way.link) else { return false };
-        out.send(link, encode(&Word::of(word)));
+        out.send(link, encode(&PeerMessage::new(word)));
         true
     }
 
@@ -246,7 +246,7 @@
     /// Whoever belonged to nothing when it welcomed us is dialled again: that it belongs by now is told by another welcome.
     pub fn ask_anew(&mut self, now: Moment, out: &mut Outbox) {
         for way in self.peers.values_mut().flat_map(|peer| &mut peer.ways) {
-            if way.welcome.take_if(|welcome| welcome.cluster == 0).is_some() {
+            if way.welcome.take_if(|welcome| welcome.cluster_id == 0).is_some() {
                 way.link.take().into_iter().for_each(|link| out.cut(link));
                 way.rest(now);
             }
--- a/crates/member/src/together.rs
+++ b/crates/member/src/planner_node.rs
@@ -3,14 +3,14 @@
 //! The service never waits for the member, but once: before its first word to any proxy it takes the number of its
 //! start from the record. Where none comes in time it counts on from its own last number and the calendar.
 
+use crate::accounting::AccountingSender;
 use crate::admin;
-use crate::books::Books;
-use crate::member::{Member, Post, Reply, Request, Told, DOOR, TIMERS};
+use crate::member::{Member, MemberConfig, MemberEvent, Reply, Request, FIRST_TIMER, MEMBER_LISTENER};
+use crate::messages::peer_message;
 use crate::orders;
-use crate::releaser::Releaser;
+use crate::rollout::RolloutController;
 use crate::sharing::{Seats, Sharing, Wants as Shared};
 use crate::slices::{Holder, Slices, Wants};
-use crate::words::word;
 use pewtergap_control::{AdminRequest, PeerHint, ProbeResult, Service};
 use pewtergap_node::{Effect, Input, Level, Link, Node, Outbox};
 use pewtergap_record::{
@@ -21,8 +21,8 @@
 use std::any::Any;
 use std::collections::{BTreeMap, BTreeSet};
 
-const NUMBERED: u64 = TIMERS + 100;
-const GONE: u64 = TIMERS + 101;
+const NUMBERED: u64 = FIRST_TIMER + 100;
+const GONE: u64 = FIRST_TIMER + 101;
 /// A start waits so long for its number.
 const NUMBER: Span = Span::millis(2_000);
 /// At the end, for leadership to be taken over.
@@ -31,10 +31,10 @@
 const MOST_DRAINS: usize = 1_024;
 const DRAINS_AT_ONCE: usize = 64;
 const ELSEWHERE: &[&str] = &["/orders", "/record", "/members", "/duties", "/shared"];
-const SHARING: u64 = TIMERS + 103;
+const SHARING: u64 = FIRST_TIMER + 103;
 /// Between two looks at the books.
 const LOOK: Span = Span::millis(50);
-const BOOKKEEPING: u64 = TIMERS + 102;
+const BOOKKEEPING: u64 = FIRST_TIMER + 102;
 
 #[derive(Clone, Debug)]
 enum Purpose {
@@ -43,10 +43,10 @@
     Look(Link),
     Number,
     Drain,
-    Books,
+    AccountingSender,
 }
 
-pub struct Together {
+pub struct PlannerNode {
     service: Service,
     member: Member,
     name: String,
@@ -58,27 +58,27 @@
     purposes: BTreeMap<u64, Purpose>,
     /// Drains that are not yet known to be kept, and the id under which each is given.
     drains: Vec<Command>,
-    books: Option<Books>,
+    books: Option<AccountingSender>,
     slices: Option<Slices>,
-    releaser: Releaser,
+    releaser: RolloutController,
     sharing: Option<Sharing>,
     /// What the module was last told of its part.
     lent: Option<f64>,
     has_duties: bool,
 }
 
-impl Together {
-    pub fn new(mut service: Service, home: Post, drain_grace: Span) -> Together {
+impl PlannerNode {
+    pub fn new(mut service: Service, home: MemberConfig, drain_grace: Span) -> PlannerNode {
         service.external_paths = ELSEWHERE;
-        service.external_probes = home.slices.0 > 0;
-        service.traffic.enabled = home.shares.is_some();
-        Together {
+        service.external_probes = home.probe_slices.0 > 0;
+        service.traffic.enabled = home.sharing.is_some();
+        PlannerNode {
             service,
-            releaser: Releaser::default(),
+            releaser: RolloutController::default(),
             lent: None,
-            sharing: home.shares.map(|shares| Sharing::new(shares, home.seed)),
+            sharing: home.sharing.map(|shares| Sharing::new(shares, home.seed)),
             has_duties: home.duties.is_some(),
-            slices: (home.slices.0 > 0).then(|| Slices::new(home.slices.0, home.slices.1)),
+            slices: (home.probe_slices.0 > 0).then(|| Slices::new(home.probe_slices.0, home.probe_slices.1)),
             name: home.name.clone(),
             member: Member::new(home.clone()),
             drain_grace,
@@ -88,14 +88,14 @@
             tokens: 0,
             purposes: BTreeMap::new(),
             drains: Vec::new(),
-            books: home.receiver.map(|receiver| Books::new(receiver, home.from)),
+            books: home.accounting.map(|receiver| AccountingSender::new(receiver, home.source_ip)),
         }
     }
 
     fn ask(&mut self, now: Moment, purpose: Purpose, what: Request, out: &mut Outbox) {
         self.tokens += 1;
         self.purposes.insert(self.tokens, purpose);
-        self.member.ask(now, self.tokens, what, out);
+        self.member.request(now, self.tokens, what, out);
     }
 
     /// A number that no start of any planner had; the service begins once it is on disk.
@@ -103,14 +103,14 @@
         if self.numbered {
             return;
         }
-        let alone = now.0.max(self.member.last_number() + 1);
+        let alone = now.0.max(self.member.last_start_number() + 1);
         let fields = vec![
             ("number", number.unwrap_or(alone).to_string()),
             ("from", if number.is_some() { "the record" } else { "its own disk" }.to_string()),
         ];
         out.log(Level::Info, "start_number", fields);
         let number = number.unwrap_or(alone);
-        self.numbered = self.member.use_number(number, out);
+        self.numbered = self.member.use_start_number(number, out);
     }
 
     fn begin(&mut self, now: Moment, number: u64, out: &mut Outbox) {
@@ -122,9 +122,9 @@
         self.stand_by(now, None, out);
     }
 
-    fn among(&self) -> orders::Among {
-        let others = self.member.sharers().into_values().chain([self.name.clone()]);
-        orders::Among { name: self.name.clone(), all: others.collect() }
+    fn among(&self) -> orders::PlannerSet {
+        let others = self.member.sharing_peers().into_values().chain([self.name.clone()]);
+        orders::PlannerSet { name: self.name.clone(), planners: others.collect() }
     }
 
     /// What the record says, told to the service: of these subjects, or all of it.
@@ -134,15 +134,16 @@
         }
         let record = &self.member.record;
         let among = self.among();
-        let these = subjects.and_then(|subjects| orders::of(record, &self.service, now, subjects, &among));
-        let whole = || orders::whole(record, &self.service, now, &among);
+        let these =
+            subjects.and_then(|subjects| orders::changes_for(record, &self.service, now, subjects, &among));
+        let whole = || orders::full_standing(record, &self.service, now, &among);
         let stands = these.unwrap_or_else(|| self.service.overrides().diff(&whole()));
         self.service.apply_overrides(now, &stands, out);
     }
 
     /// Orders in steps, where it is ours to let them go on.
     fn release(&mut self, now: Moment, out: &mut Outbox) {
-        let Some(number) = self.member.may(now, RELEASE_DUTY) else { return self.releaser.rest() };
+        let Some(number) = self.member.fencing_token(now, RELEASE_DUTY) else { return self.releaser.rest() };
         let tried = self.sharing.as_ref().map_or(self.service.try_counts(), Sharing::tried);
         for what in self.releaser.look(now, number, &self.member.record, tried) {
             self.tell_record(now, Some(what), out);
@@ -153,11 +154,11 @@
         let AdminRequest { link, method, target, body } = asked;
         let refuse = |why: String| json!({ "refused": why }).to_string();
         match (method.as_str(), target.as_str()) {
-            ("POST", "/orders") => match admin::order(&body) {
+            ("POST", "/orders") => match admin::parse_order(&body) {
                 Ok(command) => self.ask(now, Purpose::Answer(link), Request::Command(command), out),
                 Err(why) => self.service.answer_admin(link, 400, &refuse(why), out),
             },
-            ("POST", "/duties") => match admin::hand(&body) {
+            ("POST", "/duties") => match admin::parse_duty_placement(&body) {
                 Ok(command) => self.ask(now, Purpose::Answer(link), Request::Command(command), out),
                 Err(why) => self.service.answer_admin(link, 400, &refuse(why), out),
             },
@@ -169,12 +170,12 @@
                 let view = self.duties_view(now);
                 self.service.answer_admin(link, 200, &view, out);
             }
-            ("POST", "/members") => match admin::change(&body, &self.member.seats(now)) {
-                Ok(change) => self.ask(now, Purpose::Answer(link), Request::Change(change), out),
+            ("POST", "/members") => match admin::parse_member_change(&body, &self.member.member_views(now)) {
+                Ok(change) => self.ask(now, Purpose::Answer(link), Request::MemberChange(change), out),
                 Err(why) => self.service.answer_admin(link, 400, &refuse(why), out),
             },
-            ("GET", "/record?stale") => self.ask(now, Purpose::Look(link), Request::Stale, out),
-            ("GET", "/record") => self.ask(now, Purpose::Look(link), Request::Fresh, out),
+            ("GET", "/record?stale") => self.ask(now, Purpose::Look(link), Request::StaleRead, out),
+            ("GET", "/record") => self.ask(now, Purpose::Look(link), Request::LinearizableRead, out),
             ("GET", "/members") => {
                 let view = admin::members_view(&self.name, &self.member, now);
                 self.service.answer_admin(link, 200, &view, out);
@@ -190,27 +191,27 @@
     fn replied(&mut self, now: Moment, token: u64, reply: Reply, out: &mut Outbox) {
         match (self.purposes.remove(&token), reply) {
             (Some(Purpose::Number), reply) => {
-                let number = if let Reply::Kept(number) = reply { Some(number) } else { None };
+                let number = if let Reply::Committed(number) = reply { Some(number) } else { None };
                 self.number(now, number, out);
             }
             (Some(Purpose::Answer(link)), reply) => {
-                let (status, body) = admin::reply(&reply);
+                let (status, body) = admin::render_reply(&reply);
                 self.service.answer_admin(link, status, &body.to_string(), out);
             }
-            (Some(Purpose::Look(link)), Reply::Look { fresh, age }) => {
+            (Some(Purpose::Look(link)), Reply::ReadReady { fresh, age }) => {
                 let view = self.view(now, fresh, age);
                 self.service.answer_admin(link, 200, &view, out);
             }
             (Some(Purpose::Look(link)), _) => {
                 self.service.answer_admin(link, 503, &json!({ "answer": "too much waits" }).to_string(), out);
             }
-            (Some(Purpose::Drain | Purpose::Books) | None, _) => {}
+            (Some(Purpose::Drain | Purpose::AccountingSender) | None, _) => {}
         }
     }
 
     /// Who holds what by the record, and what of it this planner acts on.
     fn duties_view(&self, now: Moment) -> String {
-        let held = self.member.held(now);
+        let held = self.member.held_duties(now);
         let ms = now.0 / 1_000_000;
         let view = |(duty, known): (&String, &pewtergap_record::Duty)| {
             let here = held.iter().find(|held| held.0 == *duty && held.1 == known.fencing_token);
@@ -229,7 +230,9 @@
     /// The books, where they are ours to keep.
     fn keep_books(&mut self, now: Moment, out: &mut Outbox) {
         let Some(books) = &mut self.books else { return };
-        let Some(number) = self.member.may(now, ACCOUNTING_DUTY) else { return books.give_up(now, out) };
+        let Some(number) = self.member.fencing_token(now, ACCOUNTING_DUTY) else {
+            return books.give_up(now, out);
+        };
         let used = self.sharing.as_ref().map(|sharing| sharing.used(now)).unwrap_or_default();
         let what = books.keep(now, number, self.member.record.accounting().0, used, out);
         self.tell_record(now, what, out);
@@ -237,8 +240,9 @@
 
     fn tell_record(&mut self, now: Moment, what: Option<CommandKind>, out: &mut Outbox) {
         let Some(what) = what else { return };
-        let command = Command { id: self.member.draw(), issued_at_ms: now.0 / 1_000_000, kind: Some(what) };
-        self.ask(now, Purpose::Books, Request::Command(command), out);
+        let command =
+            Command { id: self.member.random_id(), issued_at_ms: now.0 / 1_000_000, kind: Some(what) };
+        self.ask(now, Purpose::AccountingSender, Request::Command(command), out);
     }
 
     fn books_input(&mut self, now: Moment, input: Input<'_>, out: &mut Outbox) {
@@ -248,7 +252,7 @@
             Input::Opened { .. } => {
                 books.opened(
                     now,
-                    self.member.may(now, ACCOUNTING_DUTY),
+                    self.member.fencing_token(now, ACCOUNTING_DUTY),
                     self.member.record.accounting(),
                     out,
                 );
@@ -266,8 +270,8 @@
 
     fn share(&mut self, now: Moment, out: &mut Outbox) {
         let Some(sharing) = &mut self.sharing else { return };
-        let own = (self.member.id(), self.member.start_of_disk());
-        let seats = Seats { own, name: self.name.clone(), others: self.member.sharers() };
+        let own = (self.member.id(), self.member.disk_starts());
+        let seats = Seats { own, name: self.name.clone(), others: self.member.sharing_peers() };
         let wants = sharing.look(now, &seats, &mut self.service);
         self.member.demands = sharing.demands(now);
         self.do_shared(now, wants, out);
@@ -277,7 +281,7 @@
     /// write cold servers' lines by its old part until the next look.
     fn lend(&mut self, now: Moment, out: &mut Outbox) {
         if self.sharing.is_some() && self.started {
-            let share = self.member.cold_share(now);
+            let share = self.member.cold_budget_share(now);
             if std::mem::replace(&mut self.lent, share) != share {
                 self.service.apply_hint(now, PeerHint::ColdShare(share), out);
             }
@@ -288,20 +292,20 @@
         for want in wants {
             match want {
                 Shared::Tell(to, kind) => {
-                    let asks = matches!(kind, word::Kind::CountsAsk(_));
-                    if !self.member.share(to, kind, out) && asks {
+                    let asks = matches!(kind, peer_message::Kind::CountsRequest(_));
+                    if !self.member.send_sharing(to, kind, out) && asks {
                         self.sharing.iter_mut().for_each(|sharing| sharing.lost(to));
                     }
                 }
                 Shared::TellAll(kind) => {
-                    let others: Vec<u64> = self.member.sharers().into_keys().collect();
+                    let others: Vec<u64> = self.member.sharing_peers().into_keys().collect();
                     for to in others {
-                        self.member.share(to, kind.clone(), out);
+                        self.member.send_sharing(to, kind.clone(), out);
                     }
                 }
                 Shared::Hint(hint) => self.service.apply_hint(now, hint, out),
                 Shared::Heard(id, state) => {
-                    let name = self.member.sharers().remove(&id).unwrap_or_default();
+                    let name = self.member.sharing_peers().remove(&id).unwrap_or_default();
                     out.log(Level::Info, "member_believed", vec![("member", name), ("state", state.into())]);
                 }
             }
@@ -311,8 +315,8 @@
     fn shared_view(&self, now: Moment) -> String {
         let mut view =
             self.sharing.as_ref().map_or(json!({ "name": self.name }), |sharing| sharing.view(now));
-        view["cold"] = json!(self.member.cold_view(now));
-        view["cold_share"] = json!(self.member.cold_share(now));
+        view["cold"] = json!(self.member.cold_budget_view(now));
+        view["cold_share"] = json!(self.member.cold_budget_share(now));
         view["disk"] = json!(format!("{:016x}", self.member.id()));
         view.to_string()
     }
@@ -334,32 +338,32 @@
                 self.service.probe_server(now, &server, out);
                 continue;
             };
-            let (ours, (id, linked)) = (self.member.may(now, &duty), self.member.holder(&duty));
+            let (ours, (id, linked)) = (self.member.fencing_token(now, &duty), self.member.holder(&duty));
             let holder = Holder { id, linked };
             let wants = self.slices.as_mut().and_then(|all| all.wanted(now, duty, server, ours, holder));
             wants.into_iter().for_each(|wants| self.do_probes(now, wants, out));
         }
         for ProbeResult { server, end, load } in ends {
             let Some(duty) = self.slice_of(&server) else { continue };
-            let ours = self.member.may(now, &duty);
+            let ours = self.member.fencing_token(now, &duty);
             let wants = self.slices.as_mut().and_then(|all| all.ended(now, duty, server, end, load, ours));
             wants.into_iter().for_each(|wants| self.do_probes(now, wants, out));
         }
     }
 
-    fn probes_told(&mut self, now: Moment, from: u64, kind: word::Kind, out: &mut Outbox) {
+    fn probes_told(&mut self, now: Moment, from: u64, kind: peer_message::Kind, out: &mut Outbox) {
         let Some(slices) = &mut self.slices else { return };
         let wants = match kind {
-            word::Kind::ProbeAsk(asked) => match self.member.may(now, &asked.duty) {
+            peer_message::Kind::ProbeRequest(asked) => match self.member.fencing_token(now, &asked.duty) {
                 Some(number) => slices.asked_for(now, from, asked, number),
                 // Ours no more: who asked finds out in time.
                 None => Vec::new(),
             },
-            word::Kind::ProbeTaken(taken) => {
+            peer_message::Kind::ProbeAccepted(taken) => {
                 slices.taken(now, &taken);
                 Vec::new()
             }
-            word::Kind::Probed(told) => slices.told(now, told).into_iter().collect(),
+            peer_message::Kind::ProbeResult(told) => slices.told(now, told).into_iter().collect(),
             _ => Vec::new(),
         };
         wants.into_iter().for_each(|wants| self.do_probes(now, wants, out));
@@ -368,8 +372,8 @@
     fn do_probes(&mut self, now: Moment, wants: Wants, out: &mut Outbox) {
         match wants {
             Wants::Here(server) => self.service.probe_server(now, &server, out),
-            Wants::Tell(to, kind) => self.member.tell(to, kind, out),
-            Wants::TellAll(kind) => self.member.tell_all(&kind, out),
+            Wants::Tell(to, kind) => self.member.send_urgent(to, kind, out),
+            Wants::TellAll(kind) => self.member.broadcast_urgent(&kind, out),
             Wants::Heard { server, end, load } => {
                 self.service.remote_probe_ended(now, &server, end, load, out)
             }
@@ -378,7 +382,7 @@
 
     fn view(&self, now: Moment, fresh: bool, age: Span) -> String {
         let among = self.among();
-        let here = |kept: &ActiveOrder| orders::part_here(kept, now, &among);
+        let here = |kept: &ActiveOrder| orders::applied_share(kept, now, &among);
         admin::record_view(&self.member, fresh, age, here).to_string()
     }
 
@@ -393,7 +397,7 @@
             }
             let given = told.notified_at.0 / 1_000_000;
             let drain = Drain { server, started, notified_at_ms: given, grace_ms: grace };
-            let id = self.member.draw();
+            let id = self.member.random_id();
             self.drains.push(Command { id, issued_at_ms: given, kind: Some(CommandKind::Drain(drain)) });
         }
         let under_way = self.purposes.values().any(|purpose| matches!(purpose, Purpose::Drain));
@@ -415,10 +419,10 @@
     }
 
     fn take_number(&mut self, now: Moment, out: &mut Outbox) {
-        let least = now.0.max(self.member.last_number() + 1);
+        let least = now.0.max(self.member.last_start_number() + 1);
         let take = AllocateStartNumber { planner: self.name.clone(), at_least: least };
         let command = Command {
-            id: self.member.draw(),
+            id: self.member.random_id(),
             issued_at_ms: now.0 / 1_000_000,
             kind: Some(CommandKind::AllocateStartNumber(take)),
         };
@@ -428,8 +432,10 @@
     /// What each has left for the other.
     fn settle(&mut self, now: Moment, out: &mut Outbox) {
         loop {
-            let (asked, told) =
-                (std::mem::take(&mut self.service.external_requests), std::mem::take(&mut self.member.told));
+            let (asked, told) = (
+                std::mem::take(&mut self.service.external_requests),
+                std::mem::take(&mut self.member.events),
+            );
             if asked.is_empty() && told.is_empty() {
                 break;
             }
@@ -438,17 +444,17 @@
             }
             for told in told {
                 match told {
-                    Told::Reply { token, reply } => self.replied(now, token, reply, out),
-                    Told::Changed(subjects) => self.stand_by(now, subjects.as_ref(), out),
-                    Told::Numbered(number) => self.begin(now, number, out),
-                    Told::Probes(from, kind) => self.probes_told(now, from, kind, out),
-                    Told::Shared(from, kind) => {
+                    MemberEvent::Reply { token, reply } => self.replied(now, token, reply, out),
+                    MemberEvent::SubjectsChanged(subjects) => self.stand_by(now, subjects.as_ref(), out),
+                    MemberEvent::StartNumberStored(number) => self.begin(now, number, out),
+                    MemberEvent::Probe(from, kind) => self.probes_told(now, from, kind, out),
+                    MemberEvent::Sharing(from, kind) => {
                         let heard = self.sharing.as_mut().map(|sharing| sharing.hear(now, from, kind));
                         self.do_shared(now, heard.unwrap_or_default(), out);
                     }
                     // Control machines alone serve watches; and what was restored is told as changed.
-                    Told::Roster(..) | Told::Restored => {}
-                    Told::Lost(id) => self.sharing.iter_mut().for_each(|sharing| sharing.lost(id)),
+                    MemberEvent::Roster(..) | MemberEvent::Restored => {}
+                    MemberEvent::PeerLost(id) => self.sharing.iter_mut().for_each(|sharing| sharing.lost(id)),
                 }
             }
         }
@@ -457,7 +463,7 @@
     }
 }
 
-impl Node for Together {
+impl Node for PlannerNode {
     fn handle(&mut self, now: Moment, input: Input<'_>, out: &mut Outbox) {
         let over = matches!(input, Input::Due { timer: GONE });
         self.lend(now, out);
@@ -493,22 +499,24 @@
                 out.wake(NUMBERED, now + Span::millis(1_000));
             }
             Input::Due { timer: GONE } => out.push(Effect::Exit { code: 0 }),
-            Input::File { name, .. } if name == self.member.file() => self.member.handle(now, input, out),
+            Input::File { name, .. } if name == self.member.file_name() => {
+                self.member.handle(now, input, out)
+            }
             Input::Synced { .. } => self.member.handle(now, input, out),
-            Input::Listening { door: DOOR, .. }
-            | Input::NotListening { door: DOOR, .. }
-            | Input::Accepted { door: DOOR, .. } => self.member.handle(now, input, out),
+            Input::Listening { door: MEMBER_LISTENER, .. }
+            | Input::NotListening { door: MEMBER_LISTENER, .. }
+            | Input::Accepted { door: MEMBER_LISTENER, .. } => self.member.handle(now, input, out),
             Input::Opened { link } | Input::Bytes { link, .. } | Input::Closed { link, .. }
                 if self.books.as_ref().is_some_and(|books| books.has(link)) =>
             {
                 self.books_input(now, input, out)
             }
             Input::Opened { link } | Input::Bytes { link, .. } | Input::Closed { link, .. }
-                if self.member.has(link) =>
+                if self.member.owns_link(link) =>
             {
                 self.member.handle(now, input, out)
             }
-            Input::Due { timer } if timer >= TIMERS => self.member.handle(now, input, out),
+            Input::Due { timer } if timer >= FIRST_TIMER => self.member.handle(now, input, out),
             Input::Stop if !self.stopping => {
                 self.stopping = true;
                 self.member.stop(now, out);
--- a/crates/member/src/alone.rs
+++ b/crates/member/src/recovery.rs
@@ -1,8 +1,8 @@
 //! The way on when a majority is lost for good: the operator's deliberate act on what one disk still has.
 
 use crate::disk;
-use crate::member::digest;
-use crate::words::{self, OnDisk, Seat};
+use crate::member::founders_digest;
+use crate::messages::{self, DiskRecordKind, MemberInfo};
 use pewtergap_raft::{Body, Snapshot, WalRecord};
 use pewtergap_record::{Command, Record};
 use pewtergap_store::WalWriter;
@@ -10,7 +10,7 @@
 
 /// What goes on, and from where.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct GoesOn {
+pub struct Recovered {
     pub index: u64,
     pub term: u64,
     pub orders: usize,
@@ -20,10 +20,10 @@
 
 /// The file of a member that goes on alone, as a new cluster, with all that its disk holds. What only the lost ones
 /// had is lost; what this one had and no majority ever kept goes on as if it had been.
-pub fn alone(bytes: &[u8]) -> Result<(Vec<u8>, GoesOn), String> {
+pub fn recover_single_member(bytes: &[u8]) -> Result<(Vec<u8>, Recovered), String> {
     let found = disk::open(bytes).map_err(|fault| fault.to_string())?;
     let mut identity = found.identity.ok_or("the file says not whose it is")?;
-    if identity.cluster == 0 {
+    if identity.cluster_id == 0 {
         return Err("it belonged to no cluster".into());
     }
     let log = found.log;
@@ -41,22 +41,24 @@
         }
     }
     let members = log.members.1.list.iter().map(|member| member.name.clone()).collect();
-    let seat = Seat {
+    let seat = MemberInfo {
         id: identity.id,
         name: identity.name.clone(),
-        at: String::new(),
-        votes: true,
-        observes: false,
+        address: String::new(),
+        is_voter: true,
+        is_observer: false,
     };
     // Another cluster: what is left of the old one must not meet it as the same.
     identity.founders = vec![seat];
-    identity.cluster = digest(&identity.founders);
-    let seats = words::Seats { list: identity.founders.clone(), retired: Vec::new() };
-    let snapshot = Snapshot { index, term, members: words::members(seats), data: record.encode_snapshot() };
+    identity.cluster_id = founders_digest(&identity.founders);
+    let seats = messages::Membership { members: identity.founders.clone(), retired: Vec::new() };
+    let snapshot =
+        Snapshot { index, term, members: messages::decode_membership(seats), data: record.encode_snapshot() };
     let mut rows = disk::head(&identity, &found.seen, found.number);
-    rows.push(words::on_disk(&WalRecord::Snapshot(snapshot)));
-    rows.push(words::on_disk(&WalRecord::HardState { term: log.term, vote: 0 }));
-    let rows: Vec<Vec<u8>> = rows.into_iter().map(|row: OnDisk| words::write(row)).collect();
-    let goes_on = GoesOn { index, term, orders: record.orders().count(), members };
+    rows.push(messages::encode_record(&WalRecord::Snapshot(snapshot)));
+    rows.push(messages::encode_record(&WalRecord::HardState { term: log.term, vote: 0 }));
+    let rows: Vec<Vec<u8>> =
+        rows.into_iter().map(|row: DiskRecordKind| messages::record_to_bytes(row)).collect();
+    let goes_on = Recovered { index, term, orders: record.orders().count(), members };
     Ok((WalWriter::default().encode_new_file(&rows), goes_on))
 }
--- a/crates/member/src/releaser.rs
+++ b/crates/member/src/rollout.rs
@@ -22,34 +22,40 @@
 const MOST: usize = 64;
 
 /// Tries and drops so far.
-pub type Figures = (u64, u64);
+pub type TryCounts = (u64, u64);
 
 struct Looked {
     at: Moment,
-    from: Figures,
+    from: TryCounts,
     reached: u32,
     /// The part dropped before the first step that this one saw.
     before: Option<f64>,
 }
 
 #[derive(Default)]
-pub struct Releaser {
+pub struct RolloutController {
     looked: BTreeMap<u64, Looked>,
 }
 
-fn part(from: Figures, to: Figures) -> Option<f64> {
+fn part(from: TryCounts, to: TryCounts) -> Option<f64> {
     let (tries, drops) = (to.0.saturating_sub(from.0), to.1.saturating_sub(from.1));
     (tries >= FEW).then(|| drops as f64 / tries as f64)
 }
 
-impl Releaser {
+impl RolloutController {
     /// Held no more: whoever holds it next looks for itself.
     pub fn rest(&mut self) {
         self.looked.clear();
     }
 
     /// What the record is to be told now, under this number of the duty.
-    pub fn look(&mut self, now: Moment, number: u64, record: &Record, figures: Figures) -> Vec<CommandKind> {
+    pub fn look(
+        &mut self,
+        now: Moment,
+        number: u64,
+        record: &Record,
+        figures: TryCounts,
+    ) -> Vec<CommandKind> {
         let open: BTreeMap<u64, (u32, u32, Span)> = record
             .orders()
             .filter_map(|(_, kept)| {
--- a/crates/member/src/sharing.rs
+++ b/crates/member/src/sharing.rs
@@ -1,8 +1,8 @@
 //! What planners share, at one of them: it says what it sees, hears what others see, and makes hints for its module of it.
 //! What is not heard is left to the module's own guess. Nothing here waits for anybody.
 
-use crate::shared::{Counts, CountsAsk, EvidenceTold, Gossiped};
-use crate::words::word;
+use crate::messages::peer_message;
+use crate::sharing_messages::{CountsRequest, CountsResponse, EvidenceReport, GossipMessage};
 use pewtergap_control::{PeerHint, Service};
 use pewtergap_counts::{CountEstimate, LocalCounts, PeerCounts};
 use pewtergap_evidence::Evidence;
@@ -16,17 +16,17 @@
 
 /// How often counts and evidence are told, how old a count may be that is gone by, and the terms of budgets.
 #[derive(Clone, Copy, Debug)]
-pub struct Shares {
-    pub every: Span,
-    pub fresh: Span,
+pub struct SharingConfig {
+    pub interval: Span,
+    pub max_age: Span,
     pub terms: BudgetConfig,
     /// Proxies of the whole fleet, and streams that one planner takes at most.
     pub proxies: f64,
-    pub most_streams: f64,
+    pub max_streams: f64,
 }
 
 /// Of what all may bring cold servers.
-pub const COLD: &str = "cold";
+pub const COLD_BUDGET: &str = "cold";
 /// An answer that has not come by so many times `every` does not come.
 const LATE: f64 = 6.0;
 /// Calls under way are told of the servers that have most.
@@ -35,8 +35,8 @@
 const NEWS: f64 = 0.02;
 
 pub enum Wants {
-    Tell(Id, word::Kind),
-    TellAll(word::Kind),
+    Tell(Id, peer_message::Kind),
+    TellAll(peer_message::Kind),
     Hint(PeerHint),
     /// What is believed of a member has changed.
     Heard(Id, &'static str),
@@ -50,7 +50,7 @@
 }
 
 pub struct Sharing {
-    shares: Shares,
+    shares: SharingConfig,
     of: (Id, u64),
     name: String,
     others_names: BTreeMap<Id, String>,
@@ -78,13 +78,13 @@
 }
 
 impl Sharing {
-    pub fn new(shares: Shares, seed: u64) -> Sharing {
+    pub fn new(shares: SharingConfig, seed: u64) -> Sharing {
         Sharing {
             shares,
             of: (0, 0),
             name: String::new(),
             others_names: BTreeMap::new(),
-            gossip: Gossip::new(Moment(0), 0, 0, GossipConfig::with_probe_interval(shares.every), seed),
+            gossip: Gossip::new(Moment(0), 0, 0, GossipConfig::with_probe_interval(shares.interval), seed),
             own: LocalCounts::new(0),
             others: PeerCounts::default(),
             evidence: Evidence::new(0),
@@ -112,7 +112,7 @@
                 now,
                 id,
                 start << 20,
-                GossipConfig::with_probe_interval(self.shares.every),
+                GossipConfig::with_probe_interval(self.shares.interval),
                 self.seed ^ id,
             );
             (self.own, self.evidence) = (LocalCounts::new(start), Evidence::new(start));
@@ -132,22 +132,26 @@
         }
     }
 
-    pub fn hear(&mut self, now: Moment, from: Id, kind: word::Kind) -> Vec<Wants> {
+    pub fn hear(&mut self, now: Moment, from: Id, kind: peer_message::Kind) -> Vec<Wants> {
         let mut wants = Vec::new();
         match kind {
-            word::Kind::Gossip(gossiped) => {
-                if let Some(message) = gossiped.message() {
+            peer_message::Kind::Gossip(gossiped) => {
+                if let Some(message) = gossiped.to_gossip() {
                     self.gossip.receive(now, from, &message);
                     self.post(&mut wants);
                 }
             }
-            word::Kind::CountsAsk(ask) if self.others_names.contains_key(&from) => {
-                let part = self.own.make_report(from, ask.ask());
-                wants.extend(part.map(|part| Wants::Tell(from, word::Kind::Counts(Counts::of(part)))));
+            peer_message::Kind::CountsRequest(ask) if self.others_names.contains_key(&from) => {
+                let part = self.own.make_report(from, ask.to_ask());
+                wants.extend(part.map(|part| {
+                    Wants::Tell(from, peer_message::Kind::CountsResponse(CountsResponse::from_part(part)))
+                }));
             }
-            word::Kind::Counts(counts) => drop(self.others.receive(now, from, &counts.part())),
-            word::Kind::Evidence(told) if self.others_names.contains_key(&from) => {
-                self.evidence.receive_report(now, from, &told.told());
+            peer_message::Kind::CountsResponse(counts) => {
+                drop(self.others.receive(now, from, &counts.into_part()))
+            }
+            peer_message::Kind::Evidence(told) if self.others_names.contains_key(&from) => {
+                self.evidence.receive_report(now, from, &told.into_evidence());
             }
             _ => {}
         }
@@ -156,7 +160,10 @@
 
     fn post(&mut self, wants: &mut Vec<Wants>) {
         let out = self.gossip.take_messages();
-        wants.extend(out.iter().map(|(to, m)| Wants::Tell(*to, word::Kind::Gossip(Gossiped::of(m)))));
+        wants.extend(
+            out.iter()
+                .map(|(to, m)| Wants::Tell(*to, peer_message::Kind::Gossip(GossipMessage::from_gossip(m)))),
+        );
     }
 
     /// What passed here since the last look, into our own counts.
@@ -195,16 +202,18 @@
             let before = self.believed.insert(*id, state).unwrap_or(MemberState::Alive);
             wants.extend((before != state).then(|| Wants::Heard(*id, said(state))));
         }
-        if now.since(self.told_at) < self.shares.every {
+        if now.since(self.told_at) < self.shares.interval {
             return wants;
         }
         self.told_at = now;
         self.count(now, service);
         self.add_tries();
-        self.others.expire_requests(now, self.shares.every.times(LATE));
+        self.others.expire_requests(now, self.shares.interval.times(LATE));
         for id in self.others_names.keys() {
             let ask = self.others.request_report(now, *id);
-            wants.extend(ask.map(|ask| Wants::Tell(*id, word::Kind::CountsAsk(CountsAsk::of(ask)))));
+            wants.extend(ask.map(|ask| {
+                Wants::Tell(*id, peer_message::Kind::CountsRequest(CountsRequest::from_ask(ask)))
+            }));
         }
         let own = self.of.0;
         if let Some(part) =
@@ -213,8 +222,9 @@
             self.others.receive(now, own, &part);
         }
         if !self.others_names.is_empty() {
-            wants
-                .push(Wants::TellAll(word::Kind::Evidence(EvidenceTold::of(self.evidence.make_report(now)))));
+            wants.push(Wants::TellAll(peer_message::Kind::Evidence(EvidenceReport::from_evidence(
+                self.evidence.make_report(now),
+            ))));
         }
         let elsewhere = self.elsewhere(now);
         let near = |a: f64, b: f64| (a - b).abs() <= NEWS * b.max(1e-9);
@@ -237,7 +247,7 @@
     }
 
     fn fresh(&self, now: Moment, id: Id) -> bool {
-        self.others.age(now, id).is_some_and(|age| age <= self.shares.fresh)
+        self.others.age(now, id).is_some_and(|age| age <= self.shares.max_age)
     }
 
     /// Calls per second at all others: as told by those that are heard; the proxies that nobody told of count as average.
@@ -268,7 +278,7 @@
     /// A count of all planners, and of how long ago.
     pub fn read(&self, now: Moment, key: &str, each: Option<f64>) -> CountEstimate {
         let ids: Vec<Id> = self.others_names.keys().copied().chain([self.of.0]).collect();
-        self.others.estimate(now, key, &ids, self.shares.fresh, each)
+        self.others.estimate(now, key, &ids, self.shares.max_age, each)
     }
 
     /// Tries and drops at all planners that are heard, since this one began to hear each: what one had before would make a
@@ -345,7 +355,7 @@
         let calls: BTreeMap<&String, Value> =
             keys.map(|key| (key, figure(self.read(now, key, None)))).collect();
         json!({ "name": self.name, "start": self.of.1, "slow": self.gossip.health_score(), "members": members,
-            "joined": figure(self.read(now, "joined", Some(self.shares.most_streams))),
+            "joined": figure(self.read(now, "joined", Some(self.shares.max_streams))),
             "here": self.own.value("joined"), "elsewhere": self.elsewhere, "calls": calls,
             "lighter": self.evidence.weight_reductions(), "tellers_broken": self.evidence.unreliable_peers() })
     }
--- a/crates/member/src/shared.rs
+++ b/crates/member/src/sharing_messages.rs
@@ -1,6 +1,6 @@
 //! What members tell each other of who is heard, of counts and of servers, as protobuf, and the way to the machines' own types.
 
-use crate::words::MOST_NAME;
+use crate::messages::MOST_NAME;
 use pewtergap_counts::{CountEntry, CountReport, ReportRequest, MAX_KEYS};
 use pewtergap_evidence::{PeerReport, ServerObservation, MAX_OBSERVATIONS};
 use pewtergap_gossip::{MemberState, Message as Gossip, MessageKind, Update, MAX_MEMBERS};
@@ -8,38 +8,38 @@
 use prost::{Message, Oneof};
 
 #[derive(Clone, PartialEq, Message)]
-pub struct Gossiped {
-    #[prost(oneof = "Saying", tags = "1, 2, 3, 4, 5")]
-    pub say: Option<Saying>,
+pub struct GossipMessage {
+    #[prost(oneof = "GossipKind", tags = "1, 2, 3, 4, 5")]
+    pub kind: Option<GossipKind>,
     #[prost(message, repeated, tag = "6")]
-    pub news: Vec<NewsTold>,
+    pub updates: Vec<UpdateMessage>,
 }
 
 #[derive(Clone, PartialEq, Oneof)]
-pub enum Saying {
+pub enum GossipKind {
     #[prost(uint64, tag = "1")]
     Ping(u64),
     #[prost(uint64, tag = "2")]
     Ack(u64),
     #[prost(message, tag = "3")]
-    Ask(AskFor),
+    PingRequest(PingRequest),
     #[prost(uint64, tag = "4")]
     Nack(u64),
     /// All that is known; whether the same is wanted back.
     #[prost(bool, tag = "5")]
-    Whole(bool),
+    FullSync(bool),
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct AskFor {
+pub struct PingRequest {
     #[prost(uint64, tag = "1")]
     pub token: u64,
     #[prost(fixed64, tag = "2")]
-    pub whom: u64,
+    pub target: u64,
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct NewsTold {
+pub struct UpdateMessage {
     #[prost(fixed64, tag = "1")]
     pub subject: u64,
     #[prost(uint64, tag = "2")]
@@ -53,49 +53,51 @@
 
 const STATES: [MemberState; 3] = [MemberState::Alive, MemberState::Suspect, MemberState::Gone];
 
-impl Gossiped {
-    pub fn of(message: &Gossip) -> Gossiped {
+impl GossipMessage {
+    pub fn from_gossip(message: &Gossip) -> GossipMessage {
         let say = match message.kind {
-            MessageKind::Ping(token) => Saying::Ping(token),
-            MessageKind::Ack(token) => Saying::Ack(token),
-            MessageKind::PingRequest(token, whom) => Saying::Ask(AskFor { token, whom }),
-            MessageKind::Nack(token) => Saying::Nack(token),
-            MessageKind::FullSync(back) => Saying::Whole(back),
+            MessageKind::Ping(token) => GossipKind::Ping(token),
+            MessageKind::Ack(token) => GossipKind::Ack(token),
+            MessageKind::PingRequest(token, whom) => {
+                GossipKind::PingRequest(PingRequest { token, target: whom })
+            }
+            MessageKind::Nack(token) => GossipKind::Nack(token),
+            MessageKind::FullSync(back) => GossipKind::FullSync(back),
         };
-        let news = |n: &Update| NewsTold {
+        let news = |n: &Update| UpdateMessage {
             subject: n.member,
             incarnation: n.incarnation,
             state: n.state as u32,
             by: n.reported_by,
         };
-        Gossiped { say: Some(say), news: message.updates.iter().map(news).collect() }
+        GossipMessage { kind: Some(say), updates: message.updates.iter().map(news).collect() }
     }
 
-    pub fn message(&self) -> Option<Gossip> {
-        let say = match self.say.as_ref()? {
-            Saying::Ping(token) => MessageKind::Ping(*token),
-            Saying::Ack(token) => MessageKind::Ack(*token),
-            Saying::Ask(ask) => MessageKind::PingRequest(ask.token, ask.whom),
-            Saying::Nack(token) => MessageKind::Nack(*token),
-            Saying::Whole(back) => MessageKind::FullSync(*back),
+    pub fn to_gossip(&self) -> Option<Gossip> {
+        let say = match self.kind.as_ref()? {
+            GossipKind::Ping(token) => MessageKind::Ping(*token),
+            GossipKind::Ack(token) => MessageKind::Ack(*token),
+            GossipKind::PingRequest(ask) => MessageKind::PingRequest(ask.token, ask.target),
+            GossipKind::Nack(token) => MessageKind::Nack(*token),
+            GossipKind::FullSync(back) => MessageKind::FullSync(*back),
         };
-        let news = |n: &NewsTold| {
+        let news = |n: &UpdateMessage| {
             let state = *STATES.get(n.state as usize)?;
             Some(Update { member: n.subject, incarnation: n.incarnation, state, reported_by: n.by })
         };
-        Some(Gossip { kind: say, updates: self.news.iter().filter_map(news).collect() })
+        Some(Gossip { kind: say, updates: self.updates.iter().filter_map(news).collect() })
     }
 
     pub fn check(&self) -> Result<(), String> {
-        match self.news.len() {
+        match self.updates.len() {
             n if n > MAX_MEMBERS => Err(format!("news: {n}, {MAX_MEMBERS} at most")),
-            _ => self.say.as_ref().map(drop).ok_or("gossip says nothing of this format".into()),
+            _ => self.kind.as_ref().map(drop).ok_or("gossip says nothing of this format".into()),
         }
     }
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct CountsAsk {
+pub struct CountsRequest {
     #[prost(uint64, tag = "1")]
     pub token: u64,
     #[prost(uint64, tag = "2")]
@@ -105,7 +107,7 @@
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct Counts {
+pub struct CountsResponse {
     #[prost(uint64, tag = "1")]
     pub token: u64,
     #[prost(uint64, tag = "2")]
@@ -125,26 +127,26 @@
     #[prost(double, tag = "2")]
     pub value: f64,
     #[prost(double, tag = "3")]
-    pub least: f64,
+    pub min: f64,
     #[prost(double, tag = "4")]
-    pub most: f64,
+    pub max: f64,
 }
 
-impl CountsAsk {
-    pub fn of(ask: ReportRequest) -> CountsAsk {
-        CountsAsk { token: ask.token, start: ask.start, number: ask.last_sequence }
+impl CountsRequest {
+    pub fn from_ask(ask: ReportRequest) -> CountsRequest {
+        CountsRequest { token: ask.token, start: ask.start, number: ask.last_sequence }
     }
 
-    pub fn ask(&self) -> ReportRequest {
+    pub fn to_ask(&self) -> ReportRequest {
         ReportRequest { token: self.token, start: self.start, last_sequence: self.number }
     }
 }
 
-impl Counts {
-    pub fn of(part: CountReport) -> Counts {
-        let row = |r: CountEntry| CountRow { key: r.key, value: r.value, least: r.min, most: r.max };
+impl CountsResponse {
+    pub fn from_part(part: CountReport) -> CountsResponse {
+        let row = |r: CountEntry| CountRow { key: r.key, value: r.value, min: r.min, max: r.max };
         let rows = part.entries.into_iter().map(row).collect();
-        Counts {
+        CountsResponse {
             token: part.token,
             start: part.start,
             number: part.sequence,
@@ -153,8 +155,8 @@
         }
     }
 
-    pub fn part(self) -> CountReport {
-        let row = |r: CountRow| CountEntry { key: r.key, value: r.value, min: r.least, max: r.most };
+    pub fn into_part(self) -> CountReport {
+        let row = |r: CountRow| CountEntry { key: r.key, value: r.value, min: r.min, max: r.max };
         let rows = self.rows.into_iter().map(row).collect();
         CountReport {
             token: self.token,
@@ -175,13 +177,13 @@
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct EvidenceTold {
+pub struct EvidenceReport {
     #[prost(uint64, tag = "1")]
     pub start: u64,
     #[prost(uint64, tag = "2")]
     pub number: u64,
     #[prost(message, repeated, tag = "3")]
-    pub seen: Vec<SeenTold>,
+    pub observations: Vec<ObservationEntry>,
     #[prost(uint64, tag = "4")]
     pub tried: u64,
     #[prost(uint64, tag = "5")]
@@ -189,7 +191,7 @@
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct SeenTold {
+pub struct ObservationEntry {
     #[prost(string, tag = "1")]
     pub server: String,
     #[prost(double, tag = "2")]
@@ -200,32 +202,32 @@
     pub age_ms: u64,
 }
 
-impl EvidenceTold {
-    pub fn of(told: PeerReport) -> EvidenceTold {
-        let seen = |s: ServerObservation| SeenTold {
+impl EvidenceReport {
+    pub fn from_evidence(told: PeerReport) -> EvidenceReport {
+        let seen = |s: ServerObservation| ObservationEntry {
             server: s.server,
             tries: s.tries,
             dropped: s.dropped,
             age_ms: s.age.0 / 1_000_000,
         };
         let rows = told.observations.into_iter().map(seen).collect();
-        EvidenceTold {
+        EvidenceReport {
             start: told.start,
             number: told.sequence,
-            seen: rows,
+            observations: rows,
             tried: told.servers_tried,
             bad: told.servers_bad,
         }
     }
 
-    pub fn told(self) -> PeerReport {
-        let seen = |s: SeenTold| ServerObservation {
+    pub fn into_evidence(self) -> PeerReport {
+        let seen = |s: ObservationEntry| ServerObservation {
             server: s.server,
             tries: s.tries,
             dropped: s.dropped,
             age: Span::millis(s.age_ms.min(3_600_000)),
         };
-        let rows = self.seen.into_iter().map(seen).collect();
+        let rows = self.observations.into_iter().map(seen).collect();
         PeerReport {
             start: self.start,
             sequence: self.number,
@@ -236,9 +238,9 @@
     }
 
     pub fn check(&self) -> Result<(), String> {
-        match self.seen.len() {
+        match self.observations.len() {
             n if n > MAX_OBSERVATIONS => Err(format!("seen: {n}, {MAX_OBSERVATIONS} at most")),
-            _ if self.seen.iter().any(|seen| seen.server.len() > MOST_NAME) => {
+            _ if self.observations.iter().any(|seen| seen.server.len() > MOST_NAME) => {
                 Err("server: is too long".into())
             }
             _ => Ok(()),
--- a/crates/member/src/slices.rs
+++ b/crates/member/src/slices.rs
@@ -16,7 +16,7 @@
 //! | any | told under a number that is not older | | the module hears it |
 //! | any | told under an older number | as it is | counted |
 
-use crate::words::{word, ProbeAsk, ProbeTaken, Probed};
+use crate::messages::{peer_message, ProbeAccepted, ProbeRequest, ProbeResult};
 use pewtergap_control::ProbeOutcome;
 use pewtergap_duty::Fence;
 use pewtergap_time::{Moment, Span};
@@ -43,9 +43,9 @@
     /// Ask the server from here.
     Here(String),
     /// A word for the holder, by its disk's number.
-    Tell(u64, word::Kind),
+    Tell(u64, peer_message::Kind),
     /// A word for all.
-    TellAll(word::Kind),
+    TellAll(peer_message::Kind),
     /// What another saw.
     Heard { server: String, end: ProbeOutcome, load: Loads },
 }
@@ -74,7 +74,7 @@
     ProbeOutcome::Unreachable,
 ];
 
-pub fn names(zones: &[String], each: usize) -> Vec<String> {
+pub fn probe_duty_names(zones: &[String], each: usize) -> Vec<String> {
     zones.iter().flat_map(|zone| (0..each).map(move |slice| format!("probe/{zone}/{slice}"))).collect()
 }
 
@@ -105,7 +105,10 @@
         }
         if holder.linked {
             self.asked.insert(server.clone(), now + TAKEN);
-            return Some(Wants::Tell(holder.id, word::Kind::ProbeAsk(ProbeAsk { duty, server })));
+            return Some(Wants::Tell(
+                holder.id,
+                peer_message::Kind::ProbeRequest(ProbeRequest { duty, server }),
+            ));
         }
         self.doubts += 1;
         let from = self.own.get(&server).map_or(now, |last| (*last + DOUBT).max(now));
@@ -127,17 +130,17 @@
     }
 
     /// Another planner wants it asked, and the slice is ours.
-    pub fn asked_for(&mut self, now: Moment, from: u64, asked: ProbeAsk, number: u64) -> Vec<Wants> {
+    pub fn asked_for(&mut self, now: Moment, from: u64, asked: ProbeRequest, number: u64) -> Vec<Wants> {
         let (duty, server) = (asked.duty, asked.server);
         if let Some((at, end, load)) = self.last.get(&server).filter(|last| now.since(last.0) <= FRESH) {
             let told = probed(duty, server, number, *end, *load, now.since(*at));
             return vec![Wants::Tell(from, told)];
         }
-        let taken = ProbeTaken { duty, number, server: server.clone() };
-        vec![Wants::Tell(from, word::Kind::ProbeTaken(taken)), Wants::Here(server)]
+        let taken = ProbeAccepted { duty, number, server: server.clone() };
+        vec![Wants::Tell(from, peer_message::Kind::ProbeAccepted(taken)), Wants::Here(server)]
     }
 
-    pub fn taken(&mut self, now: Moment, taken: &ProbeTaken) {
+    pub fn taken(&mut self, now: Moment, taken: &ProbeAccepted) {
         if self.fence.check(&taken.duty, taken.number).is_ok() {
             if let Some(asked) = self.asked.get_mut(&taken.server) {
                 *asked = now + self.within + WAY;
@@ -145,13 +148,13 @@
         }
     }
 
-    pub fn told(&mut self, now: Moment, told: Probed) -> Option<Wants> {
+    pub fn told(&mut self, now: Moment, told: ProbeResult) -> Option<Wants> {
         self.fence.check(&told.duty, told.number).ok()?;
         self.asked.remove(&told.server);
-        let end = *ENDS.get(told.end as usize)?;
+        let end = *ENDS.get(told.outcome as usize)?;
         // What is no number says nothing.
         let number = |value: Option<f64>| value.filter(|value| value.is_finite());
-        let load = (number(told.util), number(told.in_hand));
+        let load = (number(told.util), number(told.in_flight));
         if self.last.len() < MOST {
             let seen = now - Span::millis(told.age_ms.min(60_000));
             self.last.insert(told.server.clone(), (seen, end, load));
@@ -187,8 +190,16 @@
     end: ProbeOutcome,
     load: Loads,
     age: Span,
-) -> word::Kind {
+) -> peer_message::Kind {
     let at = ENDS.iter().position(|known| *known == end).unwrap_or(0) as u32;
     let (util, in_hand) = load;
-    word::Kind::Probed(Probed { duty, number, server, end: at, util, in_hand, age_ms: age.0 / 1_000_000 })
+    peer_message::Kind::ProbeResult(ProbeResult {
+        duty,
+        number,
+        server,
+        outcome: at,
+        util,
+        in_flight: in_hand,
+        age_ms: age.0 / 1_000_000,
+    })
 }
--- a/crates/member/tests/books.rs
+++ b/crates/member/tests/accounting.rs
@@ -1,6 +1,6 @@
 //! The books, fed by hand: what is asked at the effect.
 
-use pewtergap_member::books::{Books, Receiver};
+use pewtergap_member::accounting::{AccountingConfig, AccountingSender};
 use pewtergap_node::{Effect, Outbox};
 use pewtergap_record::AccountingState as Kept;
 use pewtergap_time::{Moment, Span};
@@ -20,7 +20,7 @@
     ];
     let sent = cases.map(|(what, may, kept)| {
         let at = SocketAddr::from(([127, 0, 0, 1], 9));
-        let mut books = Books::new(Receiver { at, period: Span::millis(1_000) }, None);
+        let mut books = AccountingSender::new(AccountingConfig { at, period: Span::millis(1_000) }, None);
         let mut out = Outbox::default();
         assert_eq!(books.keep(NOW, 5, closed, Vec::new(), &mut out), None, "it dials");
         books.opened(NOW, may, (kept, "{}"), &mut out);
--- a/crates/member/tests/hand.rs
+++ b/crates/member/tests/hand.rs
@@ -1,7 +1,7 @@
 //! A member fed by hand: whom it speaks with, and what it believes of its disk.
 
-use pewtergap_member::words::{word, Hello, Refuse, Seat, Word};
-use pewtergap_member::{Member, Post};
+use pewtergap_member::messages::{peer_message, Hello, MemberInfo, PeerMessage, Rejection};
+use pewtergap_member::{Member, MemberConfig};
 use pewtergap_node::{Effect, Input, Link, Outbox, NO_FILE};
 use pewtergap_protocol::{encode, Frames};
 use pewtergap_raft::RaftConfig;
@@ -27,21 +27,21 @@
 impl Hand {
     fn new(members: &[&str], file: Option<Vec<u8>>) -> Hand {
         let at = SocketAddr::from(([127, 0, 0, 1], 1));
-        let post = Post {
+        let post = MemberConfig {
             name: "a".into(),
             listen: (members.len() > 1).then_some(at),
-            members: members.iter().map(|name| (name.to_string(), at)).collect(),
-            from: None,
+            founders: members.iter().map(|name| (name.to_string(), at)).collect(),
+            source_ip: None,
             times: RaftConfig { heartbeat_interval: Span::millis(50), election_timeout: Span::millis(300) },
-            patience: Span::millis(1_000),
+            request_timeout: Span::millis(1_000),
             seed: if file.is_some() { 10 } else { 9 },
-            format: 2,
+            max_format: 2,
             duties: None,
-            receiver: None,
-            shares: None,
-            slices: (0, Span(0)),
+            accounting: None,
+            sharing: None,
+            probe_slices: (0, Span(0)),
             observers: Vec::new(),
-            watches: false,
+            serves_watches: false,
         };
         let member = Member::new(post);
         let (out, due, seen) = (Outbox::default(), Vec::new(), Vec::new());
@@ -88,14 +88,14 @@
                     self.seen.push(format!("{} {}", line.event, why.collect::<String>()).trim().to_string());
                 }
                 Effect::Send { bytes, .. } => {
-                    let mut frames: Frames<Word> = Frames::default();
+                    let mut frames: Frames<PeerMessage> = Frames::default();
                     frames.push(&bytes);
                     let word = frames.take().ok().flatten().and_then(|word| word.kind);
                     match word {
-                        Some(word::Kind::Refuse(refuse)) => {
+                        Some(peer_message::Kind::Reject(refuse)) => {
                             self.seen.push(format!("refused: {}", refuse.reason))
                         }
-                        Some(word::Kind::Welcome(_)) => self.seen.push("welcome".into()),
+                        Some(peer_message::Kind::Welcome(_)) => self.seen.push("welcome".into()),
                         _ => {}
                     }
                 }
@@ -132,14 +132,14 @@
         let from = SocketAddr::from(([127, 0, 0, 9], 9));
         self.seen.clear();
         self.give(Input::Accepted { link, door: 16, from });
-        let bytes = encode(&Word::of(word::Kind::Hello(hello)));
+        let bytes = encode(&PeerMessage::new(peer_message::Kind::Hello(hello)));
         self.give(Input::Bytes { link, bytes: &bytes });
         self.seen.join(", ")
     }
 }
 
 fn hello(name: &str, id: u64, start: u64) -> Hello {
-    Hello { lowest: 1, highest: 1, name: name.into(), id, start, nonce: start * 7, ..Hello::default() }
+    Hello { min_format: 1, max_format: 1, name: name.into(), id, start, nonce: start * 7, ..Hello::default() }
 }
 
 #[test]
@@ -148,8 +148,8 @@
     let mut told = vec![
         ("a name of nobody", hand.comes(hello("x", 5, 1))),
         ("our own name", hand.comes(hello("a", 5, 1))),
-        ("a newer format", hand.comes(Hello { lowest: 3, highest: 4, ..hello("b", 5, 1) })),
-        ("one that speaks a newer one too", hand.comes(Hello { highest: 3, ..hello("b", 5, 3) })),
+        ("a newer format", hand.comes(Hello { min_format: 3, max_format: 4, ..hello("b", 5, 1) })),
+        ("one that speaks a newer one too", hand.comes(Hello { max_format: 3, ..hello("b", 5, 3) })),
         ("the same start again", hand.comes(hello("b", 5, 3))),
         ("an earlier start of that disk", hand.comes(hello("b", 5, 2))),
         ("the same start, drawn anew", hand.comes(Hello { nonce: 99, ..hello("b", 5, 3) })),
@@ -159,7 +159,7 @@
     // Alone in a cluster of its own, it is of another one than they are.
     let mut other = Hand::new(&["a"], None);
     other.pass(1_000);
-    told.push(("of another cluster", other.comes(Hello { cluster: 77, ..hello("b", 5, 1) })));
+    told.push(("of another cluster", other.comes(Hello { cluster_id: 77, ..hello("b", 5, 1) })));
     let told: Vec<String> = told.into_iter().map(|(who, said)| format!("{who}: {said}")).collect();
     insta::assert_snapshot!(told.join("\n"));
 }
@@ -168,11 +168,11 @@
 fn a_disk_that_fails_a_sync_is_not_believed_again() {
     let mut hand = Hand::new(&["a"], None);
     hand.pass(500);
-    assert!(hand.member.agree().is_some_and(|agree| agree.commit_index() > 0), "it has begun");
+    assert!(hand.member.raft().is_some_and(|agree| agree.commit_index() > 0), "it has begun");
     hand.disk = false;
     hand.seen.clear();
     let number = hand.now.0;
-    hand.member.use_number(number, &mut hand.out);
+    hand.member.use_start_number(number, &mut hand.out);
     hand.give(Input::Reload);
     assert_eq!(hand.seen, ["record_not_synced no space left on device", "exit 4"]);
     // Whatever comes then: it says nothing more.
@@ -214,33 +214,39 @@
 #[test]
 fn who_was_welcomed_while_its_file_was_still_being_made_joins_all_the_same() {
     let mut hand = Hand::new(&["a", "b", "c"], None);
-    let say = |hand: &mut Hand, link: Link, kind: word::Kind| {
-        let bytes = encode(&Word::of(kind));
+    let say = |hand: &mut Hand, link: Link, kind: peer_message::Kind| {
+        let bytes = encode(&PeerMessage::new(kind));
         hand.give(Input::Opened { link });
         hand.give(Input::Bytes { link, bytes: &bytes });
     };
     hand.pass(100);
     // Another says that this disk is an old copy: it begins anew, and the disk takes its time.
     hand.slow = Some(Vec::new());
-    let refuse = Refuse { old_copy: true, ..Refuse::of("its disk is an older copy of itself") };
+    let refuse = Rejection { old_copy: true, ..Rejection::new("its disk is an older copy of itself") };
     let link = hand.dialled[0];
-    say(&mut hand, link, word::Kind::Refuse(refuse));
+    say(&mut hand, link, peer_message::Kind::Reject(refuse));
     let before = hand.dialled.len();
     hand.pass(1_500);
     assert!(hand.dialled.len() > before, "it dials again");
-    let founders: Vec<Seat> = (5..8)
-        .map(|id| Seat { id, name: format!("m{id}"), at: String::new(), votes: true, observes: false })
+    let founders: Vec<MemberInfo> = (5..8)
+        .map(|id| MemberInfo {
+            id,
+            name: format!("m{id}"),
+            address: String::new(),
+            is_voter: true,
+            is_observer: false,
+        })
         .collect();
-    let cluster = pewtergap_member::digest(&founders);
+    let cluster = pewtergap_member::founders_digest(&founders);
     for link in hand.dialled.clone().into_iter().skip(before) {
         for name in ["b", "c"] {
-            let welcome = Hello { cluster, founders: founders.clone(), ..hello(name, 5, 1) };
-            say(&mut hand, link, word::Kind::Welcome(welcome));
+            let welcome = Hello { cluster_id: cluster, founders: founders.clone(), ..hello(name, 5, 1) };
+            say(&mut hand, link, peer_message::Kind::Welcome(welcome));
         }
     }
-    assert!(hand.member.agree().is_none(), "its file is not there yet");
+    assert!(hand.member.raft().is_none(), "its file is not there yet");
     hand.slow.take().into_iter().flatten().for_each(|ticket| hand.synced(ticket));
-    assert!(hand.member.agree().is_some(), "it belongs now");
+    assert!(hand.member.raft().is_some(), "it belongs now");
 }
 
 /// A leader whose own settings share nothing never looked again at what was on its way: whoever had handed a part back was
@@ -260,13 +266,13 @@
         let command = Command { id, issued_at_ms: hand.now.0 / 1_000_000, kind: what };
         hand.disk = true;
         hand.slow = Some(Vec::new());
-        hand.member.ask(hand.now, id, Request::Command(command), &mut hand.out);
+        hand.member.request(hand.now, id, Request::Command(command), &mut hand.out);
         hand.give(Input::Due { timer: u64::MAX });
-        assert_eq!(hand.member.taking_from(7), id == 2, "while it is not on disk");
+        assert_eq!(hand.member.is_taking_from(7), id == 2, "while it is not on disk");
         let tickets = hand.slow.take().unwrap_or_default();
         tickets.into_iter().for_each(|ticket| hand.synced(ticket));
         hand.pass(200);
-        assert!(!hand.member.taking_from(7));
+        assert!(!hand.member.is_taking_from(7));
         assert!(hand.member.record.past_outcome(id).is_some());
     }
 }
@@ -274,6 +280,6 @@
 #[test]
 fn a_seat_that_does_not_observe_is_written_as_by_builds_that_know_no_observers() {
     // A cluster's number is a digest of these bytes: with others, a new build would be of another cluster than its disk.
-    let bytes = prost::Message::encode_to_vec(&Seat::founder(5, "m"));
+    let bytes = prost::Message::encode_to_vec(&MemberInfo::founder(5, "m"));
     assert_eq!(bytes, [9, 5, 0, 0, 0, 0, 0, 0, 0, 18, 1, b'm', 32, 1]);
 }
--- a/crates/member/tests/releaser.rs
+++ b/crates/member/tests/rollout.rs
@@ -1,6 +1,6 @@
 //! The releaser, fed by hand: how an order in steps goes on, and when it is taken back.
 
-use pewtergap_member::releaser::Releaser;
+use pewtergap_member::rollout::RolloutController;
 use pewtergap_record::{AssignDuty, Cap, Command, CommandKind, Order, OrderAction, Record, RELEASE_DUTY};
 use pewtergap_time::{Moment, Span};
 use std::fmt::Write;
@@ -9,7 +9,7 @@
 
 struct Hand {
     record: Record,
-    releaser: Releaser,
+    releaser: RolloutController,
     index: u64,
     ms: u64,
     figures: (u64, u64),
@@ -72,7 +72,7 @@
 
 #[test]
 fn an_order_goes_on_step_by_step_and_is_taken_back_where_it_hurts() {
-    let releaser = Releaser::default();
+    let releaser = RolloutController::default();
     let record = Record::default();
     let mut hand = Hand { record, releaser, index: 0, ms: 0, figures: (0, 0), trace: String::new() };
     hand.apply(CommandKind::RaiseFormat(2));
--- a/crates/pewtergap/src/operator.rs
+++ b/crates/pewtergap/src/operator.rs
@@ -368,7 +368,7 @@
     let told = |e: std::io::Error| (3, format!("{}: {e}", path.display()));
     let before = std::fs::read(&path).map_err(told)?;
     let refused = |why: String| (3, format!("{}: {why}", path.display()));
-    let (after, goes_on) = pewtergap_member::alone(&before).map_err(refused)?;
+    let (after, goes_on) = pewtergap_member::recover_single_member(&before).map_err(refused)?;
     let aside = path.with_extension("record.before-alone");
     std::fs::write(&aside, &before).map_err(told)?;
     pewtergap_reactor::keep(&path, &after).map_err(told)?;
--- a/crates/pewtergap/tests/tier.rs
+++ b/crates/pewtergap/tests/tier.rs
@@ -4,7 +4,7 @@
 mod fleet;
 
 use fleet::*;
-use pewtergap_member::words as members;
+use pewtergap_member::messages as members;
 use pewtergap_protocol::{encode, Checked, Frames};
 use pewtergap_watch::messages::{Hello, Kind, Reason, ScopeMessage, WatchMessage, Welcome};
 use std::io::{Read, Write};
@@ -270,11 +270,19 @@
     assert!(met, "none asked the strange machine first");
     // A member from before observers: whatever it came as, it would take an observer for one that learns.
     let mut member = TcpStream::connect(machine.members.at).expect("a link");
-    let hello =
-        members::Hello { lowest: 1, highest: 3, name: "c2".into(), id: 5, start: 1, ..Default::default() };
-    member.write_all(&encode(&members::Word::of(members::word::Kind::Hello(hello)))).expect("written");
-    match hear::<members::Word>(&mut member).kind {
-        Some(members::word::Kind::Refuse(refuse)) => {
+    let hello = members::Hello {
+        min_format: 1,
+        max_format: 3,
+        name: "c2".into(),
+        id: 5,
+        start: 1,
+        ..Default::default()
+    };
+    member
+        .write_all(&encode(&members::PeerMessage::new(members::peer_message::Kind::Hello(hello))))
+        .expect("written");
+    match hear::<members::PeerMessage>(&mut member).kind {
+        Some(members::peer_message::Kind::Reject(refuse)) => {
             assert_eq!(refuse.reason, "speaks formats 1 to 3, we 4 to 4");
         }
         other => panic!("{other:?}"),
