--- a/crates/settings/src/files.rs
+++ b/crates/settings/src/files.rs
@@ -5,8 +5,11 @@
 use pewtergap_control::channel::Channel as Queue;
 use pewtergap_control::{ListSource, ListenConfig, ProbeConfig, ReportConfig, Service, ServiceConfig};
 use pewtergap_duty::LeaseConfig;
-use pewtergap_member::words::FORMATS;
-use pewtergap_member::{slice_names, Duties, Post, Receiver, Shares, Together, MOST_MEMBERS, MOST_OBSERVERS};
+use pewtergap_member::messages::FORMATS;
+use pewtergap_member::{
+    probe_duty_names, AccountingConfig, DutyConfig, MemberConfig, PlannerNode, SharingConfig, MAX_MEMBERS,
+    MAX_OBSERVERS,
+};
 use pewtergap_node::Node;
 use pewtergap_planner::{
     Capabilities, ChannelLimits, Contract, Fleet, KeyScope, Planner, RetrySafety, Route, Slicing, Throttle,
@@ -38,7 +41,7 @@
     pub reports: ReportConfig,
     pub probing: ProbeConfig,
     /// Who agrees with this planner on what it holds for others; alone unless others are named.
-    pub post: Post,
+    pub post: MemberConfig,
     /// Whom it watches instead of being a member.
     pub watch: Option<WatchTargetConfig>,
     pub seed: Option<u64>,
@@ -179,23 +182,23 @@
 }
 
 /// Whoever agrees with this planner. Left out, it is alone.
-fn cluster(part: &Section) -> Post {
-    let members = found_at(part, "members", "member");
+fn cluster(part: &Section) -> MemberConfig {
+    let founders = found_at(part, "members", "member");
     let observers = found_at(part, "observers", "member");
-    if let Some(both) = observers.iter().find(|one| members.iter().any(|other| other.0 == one.0)) {
+    if let Some(both) = observers.iter().find(|one| founders.iter().any(|other| other.0 == one.0)) {
         part.fault("observers", format!("\"{}\" is among the members, who vote", both.0));
     }
-    if observers.len() > MOST_OBSERVERS {
+    if observers.len() > MAX_OBSERVERS {
         part.fault(
             "observers",
-            format!("{} observers: {MOST_OBSERVERS} at most were expected", observers.len()),
+            format!("{} observers: {MAX_OBSERVERS} at most were expected", observers.len()),
         );
     }
-    if members.is_empty() && !observers.is_empty() {
+    if founders.is_empty() && !observers.is_empty() {
         part.fault("observers", "members is missing: whom do they observe?");
     }
-    if members.len() > MOST_MEMBERS || !members.is_empty() && members.len().is_multiple_of(2) {
-        part.fault("members", format!("{} members: 1, 3, 5 or 7 were expected", members.len()));
+    if founders.len() > MAX_MEMBERS || !founders.is_empty() && founders.len().is_multiple_of(2) {
+        part.fault("members", format!("{} members: 1, 3, 5 or 7 were expected", founders.len()));
     }
     let times = RaftConfig {
         heartbeat_interval: part.or("beat", Span::millis(50)),
@@ -207,29 +210,29 @@
             format!("{} is less than four beats of {}", times.election_timeout, times.heartbeat_interval),
         );
     }
-    let patience = part.or("patience", Span::millis(3_000));
+    let request_timeout = part.or("patience", Span::millis(3_000));
     let listen = part.maybe("listen");
-    let format = part.or("format", FORMATS.1 as usize) as u32;
-    if !(FORMATS.0..=FORMATS.1).contains(&format) {
-        part.fault("format", format!("{format}: this build speaks {} to {}", FORMATS.0, FORMATS.1));
-    } else if format < OBSERVERS_FORMAT && !observers.is_empty() {
-        part.fault("format", format!("{format}: observers need {OBSERVERS_FORMAT}"));
+    let max_format = part.or("format", FORMATS.1 as usize) as u32;
+    if !(FORMATS.0..=FORMATS.1).contains(&max_format) {
+        part.fault("format", format!("{max_format}: this build speaks {} to {}", FORMATS.0, FORMATS.1));
+    } else if max_format < OBSERVERS_FORMAT && !observers.is_empty() {
+        part.fault("format", format!("{max_format}: observers need {OBSERVERS_FORMAT}"));
     }
-    Post {
+    MemberConfig {
         name: String::new(),
         listen,
-        members,
-        from: None,
+        founders,
+        source_ip: None,
         times,
-        patience,
+        request_timeout,
         seed: 0,
-        format,
+        max_format,
         duties: None,
-        receiver: None,
-        shares: None,
-        slices: (0, Span(0)),
+        accounting: None,
+        sharing: None,
+        probe_slices: (0, Span(0)),
         observers,
-        watches: false,
+        serves_watches: false,
     }
 }
 
@@ -252,14 +255,23 @@
 }
 
 /// What planners share; left out, they share nothing.
-fn sharing(part: &Section, fleet: &Fleet, reports: &ReportConfig, contract: &Contract, drift: f64) -> Shares {
-    let every = part.or("every", Span::millis(500));
-    let fresh = part.or("fresh", Span::millis(3_000));
-    if every < Span::millis(50) {
+fn sharing(
+    part: &Section,
+    fleet: &Fleet,
+    reports: &ReportConfig,
+    contract: &Contract,
+    drift: f64,
+) -> SharingConfig {
+    let interval = part.or("every", Span::millis(500));
+    let max_age = part.or("fresh", Span::millis(3_000));
+    if interval < Span::millis(50) {
         part.fault("every", "at least 50ms were expected");
     }
-    if fresh < every.times(2.0) {
-        part.clash("fresh", format!("{fresh} is less than twice what passes between two tellings, {every}"));
+    if max_age < interval.times(2.0) {
+        part.clash(
+            "fresh",
+            format!("{max_age} is less than twice what passes between two tellings, {interval}"),
+        );
     }
     let terms = BudgetConfig {
         share_validity: part.or("holds", Span::millis(30_000)),
@@ -268,16 +280,17 @@
         max_clock_drift: drift,
         planner_count: fleet.planners as u64,
     };
-    let (proxies, most_streams) = (fleet.proxies as f64, reports.max_streams as f64);
-    Shares { every, fresh, terms, proxies, most_streams }
+    let (proxies, max_streams) = (fleet.proxies as f64, reports.max_streams as f64);
+    SharingConfig { interval, max_age, terms, proxies, max_streams }
 }
 
-fn books(part: &Section) -> Receiver {
-    let receiver = Receiver { at: part.need("receiver"), period: part.or("period", Span::millis(60_000)) };
-    if receiver.period < Span::millis(100) {
+fn books(part: &Section) -> AccountingConfig {
+    let accounting =
+        AccountingConfig { at: part.need("receiver"), period: part.or("period", Span::millis(60_000)) };
+    if accounting.period < Span::millis(100) {
         part.fault("period", "at least 100ms were expected");
     }
-    receiver
+    accounting
 }
 
 /// Whom a planner watches that is no member.
@@ -329,18 +342,18 @@
         let name = file_name(part);
         let from = part.maybe("source_address");
         let post = part.within("cluster", "cluster", cluster);
-        if !post.members.is_empty() && post.listen.is_none() {
+        if !post.founders.is_empty() && post.listen.is_none() {
             part.fault("cluster", "listen is missing: where do the other members come in?");
         }
-        let mut belong = post.members.iter().chain(&post.observers);
-        if !post.members.is_empty() && !belong.any(|one| one.0 == name) {
+        let mut belong = post.founders.iter().chain(&post.observers);
+        if !post.founders.is_empty() && !belong.any(|one| one.0 == name) {
             part.clash("cluster", format!("\"{name}\" is neither among the members nor among the observers"));
         }
         let (listen, terms) = part
             .need_part("watches", &["watches"], watches)
             .unwrap_or((SocketAddr::from(([127, 0, 0, 1], 0)), WatchConfig::default()));
         let home = ControlMachineConfig {
-            member: Post { name, from, ..post },
+            member: MemberConfig { name, source_ip: from, ..post },
             watches: listen,
             admin: part.maybe("admin"),
             watch_config: terms,
@@ -414,7 +427,7 @@
             source_ip: part.maybe("source_address"),
         };
         let post = part.within("cluster", "cluster", cluster);
-        if !post.members.is_empty() && post.listen.is_none() {
+        if !post.founders.is_empty() && post.listen.is_none() {
             part.fault("cluster", "listen is missing: where do the other members come in?");
         }
         let watch = part.maybe_part("watch", "watch", watch);
@@ -422,8 +435,8 @@
         let duties = part.maybe_part("duties", "duties", duties).map(|(lease, steady, slices)| {
             let names = [Some(CLEANING_DUTY), Some(RELEASE_DUTY), receiver.map(|_| ACCOUNTING_DUTY)];
             let names = names.into_iter().flatten().map(str::to_string);
-            let names = names.chain(slice_names(&zones, slices)).collect();
-            (Duties { lease, steady, names }, slices)
+            let names = names.chain(probe_duty_names(&zones, slices)).collect();
+            (DutyConfig { lease, rejoin_delay: steady, names }, slices)
         });
         let drift = duties.as_ref().map_or(0.0, |duties| duties.0.lease.max_clock_drift);
         let shares =
@@ -431,10 +444,10 @@
         if shares.is_some() && duties.is_none() {
             part.fault("sharing", "duties() is missing: its leases say who may use which part of a budget");
         }
-        if shares.is_some() && post.members.len() > fleet.planners {
+        if shares.is_some() && post.founders.len() > fleet.planners {
             let what = format!(
                 "{} members, the fleet is meant to have {} planners",
-                post.members.len(),
+                post.founders.len(),
                 fleet.planners
             );
             part.clash("sharing", what);
@@ -444,7 +457,7 @@
         if receiver.is_some() && duties.is_none() {
             part.fault("books", "duties() is missing: one planner at a time keeps them");
         }
-        let member = !post.members.is_empty() || duties.is_some() || shares.is_some() || receiver.is_some();
+        let member = !post.founders.is_empty() || duties.is_some() || shares.is_some() || receiver.is_some();
         if watch.is_some() && member {
             let what = "a planner that watches is no member: cluster(), duties(), sharing() and books() are for those that are";
             part.fault("watch", what);
@@ -470,7 +483,7 @@
             slicing: Slicing { slices: 0, exclusive: false, write_stop_delay: Span(0), write_linger: Span(0) },
             reports,
             probing: probing.2,
-            post: Post { name: name.clone(), from: doors.source_ip, duties, receiver, shares, slices, ..post },
+            post: MemberConfig { name: name.clone(), source_ip: doors.source_ip, duties, accounting: receiver, sharing: shares, probe_slices: slices, ..post },
             watch,
             seed: part.maybe("seed"),
             dir: part.or("state_dir", ".".to_string()).into(),
@@ -512,9 +525,9 @@
 
 impl ServiceFile {
     /// The planner that this file describes: the service and the member beside it.
-    pub fn planner(self, now: Moment, seed: u64) -> Together {
-        let (grace, post) = (self.contract.drain_grace, Post { seed, ..self.post.clone() });
-        Together::new(self.service(now, seed), post, grace)
+    pub fn planner(self, now: Moment, seed: u64) -> PlannerNode {
+        let (grace, post) = (self.contract.drain_grace, MemberConfig { seed, ..self.post.clone() });
+        PlannerNode::new(self.service(now, seed), post, grace)
     }
 
     /// What this file describes: a planner that watches, or one that is a member.
--- a/crates/settings/tests/faults.rs
+++ b/crates/settings/tests/faults.rs
@@ -84,7 +84,7 @@
             format!(
                 "fine: {}, {} vote, {} observe; {} watches, {} snapshots, each {}",
                 post.name,
-                post.members.len(),
+                post.founders.len(),
                 post.observers.len(),
                 terms.max_watches,
                 terms.max_snapshots,
--- a/crates/tier/src/control_machine.rs
+++ b/crates/tier/src/control_machine.rs
@@ -8,7 +8,9 @@
 
 use crate::keys;
 use pewtergap_control::{AdminRequest, AdminServer};
-use pewtergap_member::{admin, Member, Post, Reply, Request, Told, DOOR, TIMERS};
+use pewtergap_member::{
+    admin, Member, MemberConfig, MemberEvent, Reply, Request, FIRST_TIMER, MEMBER_LISTENER,
+};
 use pewtergap_node::{Effect, Input, Level, Link, Node, Outbox};
 use pewtergap_record::RELEASE_DUTY;
 use pewtergap_time::{Moment, Span};
@@ -19,7 +21,7 @@
 use std::net::SocketAddr;
 
 const ADMIN: u32 = 1;
-const WATCHES: u32 = DOOR + 1;
+const WATCHES: u32 = MEMBER_LISTENER + 1;
 
 mod timer {
     pub const FRESH: u64 = 1;
@@ -41,7 +43,7 @@
 #[derive(Clone, Debug)]
 pub struct ControlMachineConfig {
     /// Its place among the members.
-    pub member: Post,
+    pub member: MemberConfig,
     /// Where planners come in.
     pub watches: SocketAddr,
     pub admin: Option<SocketAddr>,
@@ -73,7 +75,7 @@
 
 impl ControlMachine {
     pub fn new(config: ControlMachineConfig) -> ControlMachine {
-        let post = Post { watches: true, seed: config.seed, ..config.member.clone() };
+        let post = MemberConfig { serves_watches: true, seed: config.seed, ..config.member.clone() };
         let watch_config = WatchConfig { timer: timer::SERVING, ..config.watch_config };
         ControlMachine {
             serving: WatchServer::new(watch_config, post.name.clone(), config.seed),
@@ -92,7 +94,7 @@
     fn ask(&mut self, now: Moment, purpose: Purpose, what: Request, out: &mut Outbox) {
         self.tokens += 1;
         self.purposes.insert(self.tokens, purpose);
-        self.member.ask(now, self.tokens, what, out);
+        self.member.request(now, self.tokens, what, out);
     }
 
     fn start(&mut self, now: Moment, out: &mut Outbox) {
@@ -110,7 +112,7 @@
     /// Tells watchers what is applied by now.
     fn publish(&mut self, now: Moment, out: &mut Outbox) {
         let (place, record) =
-            (self.member.agree().map_or(0, |agree| agree.applied_index()), self.member.cluster());
+            (self.member.raft().map_or(0, |agree| agree.applied_index()), self.member.cluster_id());
         // One whose disk was lost reads the record anew, from its beginning: what was told stays until that is caught up.
         if place == 0 || place < self.place || !self.restored && place == self.place {
             return;
@@ -120,7 +122,7 @@
             out.log(Level::Error, "another_record", fields);
             return out.push(Effect::Exit { code: 4 });
         }
-        let touched = std::mem::take(&mut self.member.touched);
+        let touched = std::mem::take(&mut self.member.touched_subjects);
         if std::mem::take(&mut self.restored) {
             self.serving.restore(now, place, keys::whole(&self.member.record), out);
         } else {
@@ -139,16 +141,16 @@
     fn look(&mut self, now: Moment, out: &mut Outbox) {
         out.wake(timer::FRESH, now + FRESH);
         let waiting = self.purposes.values().filter(|purpose| matches!(purpose, Purpose::Fresh(_))).count();
-        if waiting < MOST_FRESH && self.member.agree().is_some() {
-            self.ask(now, Purpose::Fresh(now), Request::Fresh, out);
+        if waiting < MOST_FRESH && self.member.raft().is_some() {
+            self.ask(now, Purpose::Fresh(now), Request::LinearizableRead, out);
         }
     }
 
     fn tell_roster(&mut self, now: Moment, out: &mut Outbox) {
         out.wake(timer::ROSTER, now + ROSTER);
-        for (id, name) in self.member.machines() {
+        for (id, name) in self.member.control_machines() {
             for told in self.serving.roster.updates_for(now, &name) {
-                self.member.tell_roster(id, told, out);
+                self.member.send_roster(id, told, out);
             }
         }
     }
@@ -159,12 +161,14 @@
         let AdminRequest { link, method, target, body } = asked;
         let (path, query) = target.split_once('?').unwrap_or((&target, ""));
         let refused = match (method.as_str(), path) {
-            ("POST", "/orders") => match admin::order(&body).and_then(|command| self.steps(command)) {
+            ("POST", "/orders") => match admin::parse_order(&body).and_then(|command| self.steps(command)) {
                 Ok(command) => return self.ask(now, Purpose::Answer(link), Request::Command(command), out),
                 Err(why) => (400, why),
             },
-            ("POST", "/members") => match admin::change(&body, &self.member.seats(now)) {
-                Ok(change) => return self.ask(now, Purpose::Answer(link), Request::Change(change), out),
+            ("POST", "/members") => match admin::parse_member_change(&body, &self.member.member_views(now)) {
+                Ok(change) => {
+                    return self.ask(now, Purpose::Answer(link), Request::MemberChange(change), out)
+                }
                 Err(why) => (400, why),
             },
             ("GET", "/members") => {
@@ -172,7 +176,7 @@
                 return self.answer(link, 200, &view, out);
             }
             ("GET", "/record") => {
-                let what = if query == "stale" { Request::Stale } else { Request::Fresh };
+                let what = if query == "stale" { Request::StaleRead } else { Request::LinearizableRead };
                 return self.ask(now, Purpose::Look(link), what, out);
             }
             ("GET", "/watchers") => match self.watchers(now, query) {
@@ -214,10 +218,10 @@
 
     fn replied(&mut self, now: Moment, token: u64, reply: Reply, out: &mut Outbox) {
         match (self.purposes.remove(&token), reply) {
-            (Some(Purpose::Fresh(asked)), Reply::Look { fresh: true, .. }) => {
+            (Some(Purpose::Fresh(asked)), Reply::ReadReady { fresh: true, .. }) => {
                 self.serving.confirm_fresh(asked)
             }
-            (Some(Purpose::Look(link)), Reply::Look { fresh, age }) => {
+            (Some(Purpose::Look(link)), Reply::ReadReady { fresh, age }) => {
                 let view = admin::record_view(&self.member, fresh, age, |_| 0.0);
                 self.answer(link, 200, &view.to_string(), out);
             }
@@ -225,7 +229,7 @@
                 self.answer(link, 503, &json!({ "answer": "too much waits" }).to_string(), out);
             }
             (Some(Purpose::Answer(link)), reply) => {
-                let (status, body) = admin::reply(&reply);
+                let (status, body) = admin::render_reply(&reply);
                 self.answer(link, status, &body.to_string(), out);
             }
             (Some(Purpose::Fresh(_)) | None, _) => {}
@@ -268,23 +272,23 @@
     /// What the member has left to be done.
     fn settle(&mut self, now: Moment, out: &mut Outbox) {
         loop {
-            let told = std::mem::take(&mut self.member.told);
+            let told = std::mem::take(&mut self.member.events);
             if told.is_empty() {
                 break;
             }
-            self.restored |= told.contains(&Told::Restored);
+            self.restored |= told.contains(&MemberEvent::Restored);
             // Before a read is called fresh, what it saw is told.
             self.publish(now, out);
             for told in told {
                 match told {
-                    Told::Reply { token, reply } => self.replied(now, token, reply, out),
-                    Told::Roster(from, told) => {
+                    MemberEvent::Reply { token, reply } => self.replied(now, token, reply, out),
+                    MemberEvent::Roster(from, told) => {
                         if let Err(why) = self.serving.roster.receive(now, &from, told) {
                             out.log(Level::Warn, "roster_refused", vec![("from", from), ("why", why)]);
                         }
                     }
-                    Told::Lost(id) => {
-                        let name = self.member.agree().and_then(|agree| agree.member(id));
+                    MemberEvent::PeerLost(id) => {
+                        let name = self.member.raft().and_then(|agree| agree.member(id));
                         if let Some(name) = name.map(|member| member.name.clone()) {
                             self.serving.roster.machine_lost(now, &name);
                         }
@@ -302,7 +306,7 @@
             timer::ROSTER => self.tell_roster(now, out),
             timer::GONE => out.push(Effect::Exit { code: 0 }),
             timer::SERVING => self.serving.handle(now, Input::Due { timer: due }, out),
-            due if due >= TIMERS => self.member.handle(now, Input::Due { timer: due }, out),
+            due if due >= FIRST_TIMER => self.member.handle(now, Input::Due { timer: due }, out),
             _ => {}
         }
     }
@@ -327,9 +331,9 @@
             Input::Start => self.start(now, out),
             Input::Due { timer } => self.due(now, timer, out),
             Input::File { .. } | Input::Synced { .. } => self.member.handle(now, input, out),
-            Input::Listening { door: DOOR, .. }
-            | Input::NotListening { door: DOOR, .. }
-            | Input::Accepted { door: DOOR, .. } => self.member.handle(now, input, out),
+            Input::Listening { door: MEMBER_LISTENER, .. }
+            | Input::NotListening { door: MEMBER_LISTENER, .. }
+            | Input::Accepted { door: MEMBER_LISTENER, .. } => self.member.handle(now, input, out),
             Input::Listening { door, at } => self.listening(door, at, out),
             Input::NotListening { why, .. } => {
                 out.log(Level::Error, "not_listening", vec![("why", why)]);
@@ -347,7 +351,7 @@
             Input::Opened { link } | Input::Bytes { link, .. } | Input::Closed { link, .. } => {
                 if self.serving.owns_link(link) {
                     self.serving.handle(now, input, out);
-                } else if self.member.has(link) {
+                } else if self.member.owns_link(link) {
                     self.member.handle(now, input, out);
                 }
             }
--- a/crates/tier/src/watching_planner.rs
+++ b/crates/tier/src/watching_planner.rs
@@ -64,7 +64,7 @@
     scope: Scope,
     /// What is told, in the form in which orders are read.
     record: Record,
-    among: orders::Among,
+    among: orders::PlannerSet,
     tickets: u64,
     writing: Option<Writing>,
     /// Something changed that no write holds.
@@ -78,7 +78,7 @@
         let routes = service.routes().iter().cloned().collect();
         WatchingPlanner {
             scope: Scope { servers: None, routes: Some(routes) },
-            among: orders::Among { name: watches.planner.clone(), all: Vec::new() },
+            among: orders::PlannerSet { name: watches.planner.clone(), planners: Vec::new() },
             service,
             watches,
             stage: Stage::Opening,
@@ -214,8 +214,8 @@
     /// What the record says, told to the service: of these subjects, or all of it.
     fn stand_by(&mut self, now: Moment, subjects: Option<&BTreeSet<Subject>>, out: &mut Outbox) {
         let (record, service, among) = (&self.record, &self.service, &self.among);
-        let these = subjects.and_then(|subjects| orders::of(record, service, now, subjects, among));
-        let whole = || service.overrides().diff(&orders::whole(record, service, now, among));
+        let these = subjects.and_then(|subjects| orders::changes_for(record, service, now, subjects, among));
+        let whole = || service.overrides().diff(&orders::full_standing(record, service, now, among));
         let stands = these.unwrap_or_else(whole);
         self.service.apply_overrides(now, &stands, out);
     }
@@ -303,7 +303,7 @@
     fn view(&self, now: Moment) -> serde_json::Value {
         let watching = self.watching();
         let age = watching.and_then(|watching| watching.age(now));
-        let here = |kept: &pewtergap_record::ActiveOrder| orders::part_here(kept, now, &self.among);
+        let here = |kept: &pewtergap_record::ActiveOrder| orders::applied_share(kept, now, &self.among);
         json!({ "fresh": false, "age_ms": age.map(|age| age.0.div_ceil(1_000_000)),
             "index": watching.map_or(0, WatchClient::index), "watching": watching.and_then(WatchClient::watching),
             "orders": admin::orders_view(&self.record, here), "drains": admin::drains_view(&self.record),
