--- a/crates/watch/src/client.rs
+++ b/crates/watch/src/client.rs
@@ -1,48 +1,49 @@
-//! A planner's side: its one watch, as a machine without I/O, over words.
+//! The planner's end of its watch, as a state machine without I/O that works on messages.
 //!
 //! | state | input | next | effect |
 //! | --- | --- | --- | --- |
-//! | resting | its moment has come | dialling | the first machine by rendezvous that may be dialled |
-//! | dialling | the link stands | asking | hello, with record, place and what was broken off |
-//! | asking | welcome, its record, its place or a later one | watching | a word of life; told |
-//! | asking | welcome of another record, of a version that was not offered, or of a lower place | resting | left: never back |
-//! | dialling, asking | refused, closed, or nothing in time | resting | the machine's own back-off, and a pause |
-//! | watching | a piece | watching | took; if done all held are applied as one |
-//! | watching | a piece out of its order, a place below the own, more than is held | resting | left |
-//! | watching | refused, closed, the machine not heard | resting | told; a snapshot under way is held, to go on elsewhere |
-//! | any but left | leaves | left | the machine is told; nothing more |
+//! | idle | the backoff has expired | connecting | dial the preferred machine that may be dialled |
+//! | connecting | link established | handshaking | send `Hello` with record id, index and partial snapshot |
+//! | handshaking | `Welcome` for the same record with the same or a later index | watching | send a ping, report the watch |
+//! | handshaking | `Welcome` for another record, with an unknown version or a lower index | idle | disconnect: state never goes back |
+//! | connecting, handshaking | refused, closed or timed out | idle | back off from this machine, and pause |
+//! | watching | a chunk | watching | send an ack; if it is the last, apply all pending chunks at once |
+//! | watching | a chunk out of order, an index below the own, more than the limits | idle | disconnect |
+//! | watching | refused, closed, machine silent | idle | report the loss; keep a partial snapshot to resume elsewhere |
+//! | any but left | `leave` | left | tell the machine; nothing more happens |
 //!
-//! Bounded: one link, one state and what is told of the next ([`crate::state::MOST_KEYS`], [`crate::state::MOST_BYTES`]),
-//! [`MOST_PINGS`] words of life on their way and as many answers that wait for their place.
+//! Memory is bounded: one link, one state and one set of pending changes ([`crate::state::MAX_KEYS`],
+//! [`crate::state::MAX_BYTES`]), [`MAX_PINGS`] unanswered pings and as many answers that wait for their
+//! index.
 
-use crate::choice::Choice;
 use crate::config::WatchConfig;
+use crate::machine_selector::MachineSelector;
 use crate::messages::{
     Ack, Changes, Hello, Kind, Leave, Ping, Pong, Reason, Refuse, Welcome, SUPPORTED_VERSIONS,
 };
 use crate::scope::Scope;
-use crate::state::{Held, SavedState};
+use crate::state::{PendingChanges, SavedState};
 use pewtergap_time::{Moment, Span};
 use std::collections::VecDeque;
 use std::net::{IpAddr, SocketAddr};
 
-pub const MOST_PINGS: usize = 4;
-/// A watch that stood so long was a good one.
-const GOOD: Span = Span::millis(5_000);
-/// Late by more than this: it was not the machine that was silent.
-const LATE: Span = Span::millis(1_000);
-/// Between two words about what is in force, at least.
-const SAID: Span = Span::millis(100);
-/// What a machine that is wrong is left alone for.
-const WRONG: Span = Span::millis(10_000);
+pub const MAX_PINGS: usize = 4;
+/// A watch that was up for this long resets the backoff.
+const STABLE_AFTER: Span = Span::millis(5_000);
+/// If a timer fires later than this, the process was stalled and the peer's silence means nothing.
+const STALL_THRESHOLD: Span = Span::millis(1_000);
+/// Minimum interval between two pings that report a new applied index.
+const REPORT_INTERVAL: Span = Span::millis(100);
+/// Backoff from a machine that broke the protocol.
+const PROTOCOL_ERROR_BACKOFF: Span = Span::millis(10_000);
 
 pub struct ClientConfig {
     pub planner: String,
-    /// Higher with each start of the planner, also when its disk was lost.
+    /// Higher with each start of the planner, even if its disk was lost.
     pub start: u64,
     pub machines: Vec<(String, SocketAddr)>,
     pub scope: Scope,
-    /// The near end of its links.
+    /// Local address of its links.
     pub source_ip: Option<IpAddr>,
     pub seed: u64,
     pub watch_config: WatchConfig,
@@ -50,35 +51,35 @@
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WatchEvent {
-    /// The state at a place. `anew`: the entries are all that stands, not what changed.
+    /// The state as of an index. With `reset`, `entries` is the full state rather than the changes.
     Changed { index: u64, reset: bool, entries: Vec<(String, Option<Vec<u8>>)> },
-    /// A watch stands at this machine.
+    /// A watch was established at this machine.
     Watching(String),
-    /// It stands no more, or could not be had, and why.
+    /// The watch was lost or could not be established, with the reason.
     Lost(String),
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Act {
+pub enum Action {
     Dial(SocketAddr),
-    Say(Kind),
-    Finish,
-    Cut,
-    Tell(WatchEvent),
+    Send(Kind),
+    Close,
+    Abort,
+    Notify(WatchEvent),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    Resting,
-    Dialling,
-    Asking,
+    Idle,
+    Connecting,
+    Handshaking,
     Watching,
     Left,
 }
 
-/// All that had been kept `age` before `sent` is in force here.
+/// Everything committed up to `age` before `sent` is covered by the index `head`.
 #[derive(Clone, Copy, Debug)]
-struct Fresh {
+struct Freshness {
     sent: Moment,
     age: Span,
     head: u64,
@@ -89,414 +90,435 @@
     start: u64,
     watch_number: u64,
     config: WatchConfig,
-    choice: Choice,
-    /// Whom it dials or watches.
-    at: usize,
+    selector: MachineSelector,
+    /// Index of the machine that it dials or watches.
+    machine_index: usize,
     state: State,
     since: Moment,
-    heard: Moment,
+    last_contact: Moment,
     scope: Scope,
     scope_number: u64,
-    /// Which one the machine was told.
-    said_scope: u64,
-    /// What is told anew is not there yet: what is held is of another scope.
-    other_scope: bool,
-    kept: SavedState,
-    held: Held,
+    /// Number of the scope that the machine was last sent.
+    sent_scope: u64,
+    /// The saved state belongs to another scope, and the snapshot of the new one has not arrived yet.
+    scope_outdated: bool,
+    saved: SavedState,
+    pending: PendingChanges,
     applied: u64,
-    /// The last piece on this link.
-    number: u64,
-    /// What was said to be in force, and when by a word of its own.
-    said: u64,
-    said_at: Moment,
-    pinged: Moment,
-    tokens: u64,
+    /// Number of the last chunk on this link.
+    last_chunk: u64,
+    /// Applied index that was last reported, and when a ping last reported one.
+    reported: u64,
+    reported_at: Moment,
+    last_ping: Moment,
+    last_token: u64,
     echo: u64,
-    pings: VecDeque<(u64, Moment)>,
-    /// Answers whose place is not in force yet.
-    waiting: VecDeque<Fresh>,
-    fresh: Option<Fresh>,
-    grace: Moment,
+    unanswered_pings: VecDeque<(u64, Moment)>,
+    /// Answers whose index is not applied yet.
+    waiting_pongs: VecDeque<Freshness>,
+    freshness: Option<Freshness>,
+    resumed_at: Moment,
 }
 
 impl Client {
-    pub fn new(client_config: ClientConfig, kept: Option<SavedState>) -> Client {
-        let kept = kept.unwrap_or_default();
+    pub fn new(client_config: ClientConfig, saved: Option<SavedState>) -> Client {
+        let saved = saved.unwrap_or_default();
         let scope = client_config.scope.or_all_if_too_large();
         Client {
-            choice: Choice::new(&client_config.planner, client_config.machines, client_config.seed),
+            selector: MachineSelector::new(
+                &client_config.planner,
+                client_config.machines,
+                client_config.seed,
+            ),
             planner: client_config.planner,
             start: client_config.start,
             watch_number: 0,
             config: client_config.watch_config,
-            at: 0,
-            state: State::Resting,
+            machine_index: 0,
+            state: State::Idle,
             since: Moment(0),
-            heard: Moment(0),
-            other_scope: kept.scope.as_ref().is_some_and(|of| *of != scope),
+            last_contact: Moment(0),
+            scope_outdated: saved.scope.as_ref().is_some_and(|of| *of != scope),
             scope,
             scope_number: 1,
-            said_scope: 0,
-            applied: kept.index,
-            kept,
-            held: Held::default(),
-            number: 0,
-            said: 0,
-            said_at: Moment(0),
-            pinged: Moment(0),
-            tokens: 0,
+            sent_scope: 0,
+            applied: saved.index,
+            saved,
+            pending: PendingChanges::default(),
+            last_chunk: 0,
+            reported: 0,
+            reported_at: Moment(0),
+            last_ping: Moment(0),
+            last_token: 0,
             echo: 0,
-            pings: VecDeque::new(),
-            waiting: VecDeque::new(),
-            fresh: None,
-            grace: Moment(0),
+            unanswered_pings: VecDeque::new(),
+            waiting_pongs: VecDeque::new(),
+            freshness: None,
+            resumed_at: Moment(0),
         }
     }
 
-    /// The place up to which all within the scope was told.
+    /// Index up to which all changes within the scope were received.
     pub fn index(&self) -> u64 {
-        self.kept.index
+        self.saved.index
     }
 
-    pub fn in_force(&self) -> u64 {
+    pub fn applied_index(&self) -> u64 {
         self.applied
     }
 
     pub fn saved_state(&self) -> &SavedState {
-        &self.kept
+        &self.saved
     }
 
-    pub fn choice(&self) -> &Choice {
-        &self.choice
+    pub fn selector(&self) -> &MachineSelector {
+        &self.selector
     }
 
-    /// The machine whose watch stands.
+    /// The machine that is being watched.
     pub fn watching(&self) -> Option<&str> {
-        (self.state == State::Watching).then(|| self.choice.name(self.at))
+        (self.state == State::Watching).then(|| self.selector.name(self.machine_index))
     }
 
-    /// All that had been kept so long ago is in force here. None: not known since this start.
+    /// Everything committed up to this long ago is applied here. `None`: unknown since this start.
     pub fn age(&self, now: Moment) -> Option<Span> {
-        self.fresh.map(|fresh| fresh.age + self.config.at_most(now.since(fresh.sent)))
+        self.freshness.map(|fresh| fresh.age + self.config.max_elapsed(now.since(fresh.sent)))
     }
 
-    /// Entries held of pieces that are not done.
+    /// Number of entries in chunks that are not complete yet.
     pub fn pending_len(&self) -> usize {
-        self.held.entries.len()
+        self.pending.entries.len()
     }
 
-    // ---- what happens
+    // ---- events
 
-    /// Planners that start together don't dial together.
+    /// Delays the first dial, so that planners that start together don't dial together.
     pub fn started(&mut self, now: Moment) {
-        self.choice.started(now);
+        self.selector.delay_first_dial(now);
     }
 
-    pub fn opened(&mut self, now: Moment, acts: &mut Vec<Act>) {
-        if self.state != State::Dialling {
+    pub fn opened(&mut self, now: Moment, actions: &mut Vec<Action>) {
+        if self.state != State::Connecting {
             return;
         }
-        (self.state, self.number, self.said_scope) = (State::Asking, 0, self.scope_number);
+        (self.state, self.last_chunk, self.sent_scope) = (State::Handshaking, 0, self.scope_number);
         self.watch_number += 1;
-        let partial_snapshot = self.held.snapshot.clone();
+        let partial_snapshot = self.pending.snapshot.clone();
         let hello = Hello {
             min_version: SUPPORTED_VERSIONS.0,
             max_version: SUPPORTED_VERSIONS.1,
-            record_id: self.kept.record_id,
-            index: self.kept.index,
+            record_id: self.saved.record_id,
+            index: self.saved.index,
             partial_snapshot,
             planner: self.planner.clone(),
             start: self.start,
             watch_number: self.watch_number,
             scope: self.scope.to_message(self.scope_number),
-            reset: self.other_scope,
+            reset: self.scope_outdated,
         };
-        self.heard = now;
-        acts.push(Act::Say(Kind::Hello(hello)));
+        self.last_contact = now;
+        actions.push(Action::Send(Kind::Hello(hello)));
     }
 
-    pub fn closed(&mut self, now: Moment, why: &str, acts: &mut Vec<Act>) {
-        if !matches!(self.state, State::Resting | State::Left) {
-            self.over(now, None, why, acts);
+    pub fn closed(&mut self, now: Moment, why: &str, actions: &mut Vec<Action>) {
+        if !matches!(self.state, State::Idle | State::Left) {
+            self.disconnect(now, None, why, actions);
         }
     }
 
-    /// What came can't be read.
-    pub fn wrong(&mut self, now: Moment, why: &str, acts: &mut Vec<Act>) {
-        if matches!(self.state, State::Asking | State::Watching) {
-            acts.push(Act::Cut);
-            self.held = Held::default();
-            self.over(now, Some(WRONG), why, acts);
+    /// A message is malformed or not allowed.
+    pub fn protocol_error(&mut self, now: Moment, why: &str, actions: &mut Vec<Action>) {
+        if matches!(self.state, State::Handshaking | State::Watching) {
+            actions.push(Action::Abort);
+            self.pending = PendingChanges::default();
+            self.disconnect(now, Some(PROTOCOL_ERROR_BACKOFF), why, actions);
         }
     }
 
-    pub fn word(&mut self, now: Moment, word: Kind, acts: &mut Vec<Act>) {
-        self.heard = now;
-        match (self.state, word) {
-            (State::Asking, Kind::Welcome(welcome)) => self.welcome(now, welcome, acts),
-            (State::Asking | State::Watching, Kind::Refuse(refuse)) => self.refused(now, refuse, acts),
-            (State::Watching, Kind::Changes(changes)) => self.changes(now, changes, acts),
-            (State::Watching, Kind::Pong(alive)) => self.alive(alive),
+    pub fn handle_message(&mut self, now: Moment, message: Kind, actions: &mut Vec<Action>) {
+        self.last_contact = now;
+        match (self.state, message) {
+            (State::Handshaking, Kind::Welcome(welcome)) => self.handle_welcome(now, welcome, actions),
+            (State::Handshaking | State::Watching, Kind::Refuse(refuse)) => {
+                self.handle_refuse(now, refuse, actions)
+            }
+            (State::Watching, Kind::Changes(changes)) => self.handle_changes(now, changes, actions),
+            (State::Watching, Kind::Pong(pong)) => self.handle_pong(pong),
             (State::Watching, Kind::SnapshotDelayed(_)) => {}
-            (State::Asking | State::Watching, _) => {
-                self.wrong(now, "a word that no machine may say here", acts);
+            (State::Handshaking | State::Watching, _) => {
+                self.protocol_error(now, "unexpected message", actions);
             }
             _ => {}
         }
     }
 
-    fn welcome(&mut self, now: Moment, welcome: Welcome, acts: &mut Vec<Act>) {
+    fn handle_welcome(&mut self, now: Moment, welcome: Welcome, actions: &mut Vec<Action>) {
         if !(SUPPORTED_VERSIONS.0..=SUPPORTED_VERSIONS.1).contains(&welcome.version) {
-            return self.wrong(now, &format!("version {} was not offered", welcome.version), acts);
-        }
-        let own = self.kept.index;
-        if self.kept.record_id != 0 && welcome.record_id != self.kept.record_id {
-            return self.wrong(now, "another record stands there", acts);
-        }
-        if welcome.head < own {
-            acts.push(Act::Cut);
-            let why = format!("{} is applied there, {own} here", welcome.head);
-            return self.over(now, None, &why, acts);
-        }
-        // A state of no place is nobody's yet.
-        self.kept.record_id = welcome.record_id;
-        if !welcome.resumes_snapshot || self.held.snapshot.is_none() {
-            self.held = Held::default();
+            return self.protocol_error(
+                now,
+                &format!("version {} was not offered", welcome.version),
+                actions,
+            );
+        }
+        let own_index = self.saved.index;
+        if self.saved.record_id != 0 && welcome.record_id != self.saved.record_id {
+            return self.protocol_error(now, "the machine serves another record", actions);
+        }
+        if welcome.head < own_index {
+            actions.push(Action::Abort);
+            let why = format!("the machine has applied index {}, the planner {own_index}", welcome.head);
+            return self.disconnect(now, None, &why, actions);
+        }
+        // A saved state with index 0 belongs to no record yet.
+        self.saved.record_id = welcome.record_id;
+        if !welcome.resumes_snapshot || self.pending.snapshot.is_none() {
+            self.pending = PendingChanges::default();
         }
         (self.state, self.since) = (State::Watching, now);
-        self.pings.clear();
+        self.unanswered_pings.clear();
         self.echo = 0;
-        acts.push(Act::Tell(WatchEvent::Watching(self.choice.name(self.at).into())));
-        self.ping(now, acts);
-        // Its hello named the scope of then.
-        if self.said_scope != self.scope_number {
-            self.held = Held::default();
-            self.say_scope(now, acts);
+        actions.push(Action::Notify(WatchEvent::Watching(self.selector.name(self.machine_index).into())));
+        self.send_ping(now, actions);
+        // The scope changed after `Hello` was sent.
+        if self.sent_scope != self.scope_number {
+            self.pending = PendingChanges::default();
+            self.send_scope(now, actions);
         }
     }
 
-    fn refused(&mut self, now: Moment, refuse: Refuse, acts: &mut Vec<Act>) {
-        acts.push(Act::Finish);
+    fn handle_refuse(&mut self, now: Moment, refuse: Refuse, actions: &mut Vec<Action>) {
+        actions.push(Action::Close);
         let reason = Reason::try_from(refuse.reason).unwrap_or(Reason::Bad);
-        let again = Span::millis(refuse.retry_after_ms.min(3_600_000));
-        self.over(now, Some(again), &format!("{reason:?}: {}", refuse.detail), acts);
+        let retry_after = Span::millis(refuse.retry_after_ms.min(3_600_000));
+        self.disconnect(now, Some(retry_after), &format!("{reason:?}: {}", refuse.detail), actions);
     }
 
-    fn changes(&mut self, now: Moment, changes: Changes, acts: &mut Vec<Act>) {
+    fn handle_changes(&mut self, now: Moment, changes: Changes, actions: &mut Vec<Action>) {
         let (number, through, done) = (changes.number, changes.through, changes.done);
-        if number != self.number + 1 {
-            return self.wrong(now, "a piece out of its order", acts);
+        if number != self.last_chunk + 1 {
+            return self.protocol_error(now, "chunk out of order", actions);
         }
-        self.number = number;
+        self.last_chunk = number;
         if changes.scope != self.scope_number {
-            return self.say(now, Kind::Ack(Ack { number, applied: self.applied }), acts);
+            return self.send(now, Kind::Ack(Ack { number, applied: self.applied }), actions);
         }
-        if done && through < self.kept.index {
-            return self.wrong(now, "a place below the own", acts);
+        if done && through < self.saved.index {
+            return self.protocol_error(now, "index below the planner's own", actions);
         }
-        // Another scope's state does not go on, and a snapshot has a beginning.
-        let begun = changes.reset || self.held.snapshot.is_some();
-        if (self.other_scope || changes.after.is_some()) && !begun {
-            return self.wrong(now, "a snapshot without its beginning", acts);
+        // A snapshot must begin with a `reset`, and the state of another scope cannot be continued.
+        let snapshot_begun = changes.reset || self.pending.snapshot.is_some();
+        if (self.scope_outdated || changes.after.is_some()) && !snapshot_begun {
+            return self.protocol_error(now, "snapshot without its beginning", actions);
         }
-        if let Err(why) = self.held.take(changes) {
-            return self.wrong(now, &why, acts);
+        if let Err(why) = self.pending.add(changes) {
+            return self.protocol_error(now, &why, actions);
         }
-        self.say(now, Kind::Ack(Ack { number, applied: self.applied }), acts);
+        self.send(now, Kind::Ack(Ack { number, applied: self.applied }), actions);
         if done {
-            self.done(through, acts);
+            self.apply_pending(through, actions);
         }
     }
 
-    /// All that is held is applied as one.
-    fn done(&mut self, index: u64, acts: &mut Vec<Act>) {
-        let held = std::mem::take(&mut self.held);
-        let reset = held.snapshot.is_some();
+    /// Applies all pending changes at once.
+    fn apply_pending(&mut self, index: u64, actions: &mut Vec<Action>) {
+        let pending = std::mem::take(&mut self.pending);
+        let reset = pending.snapshot.is_some();
         if reset {
-            self.kept.entries.clear();
-            self.other_scope = false;
-            self.kept.scope = Some(self.scope.clone());
+            self.saved.entries.clear();
+            self.scope_outdated = false;
+            self.saved.scope = Some(self.scope.clone());
         }
         let mut entries = Vec::new();
-        for (key, value) in held.entries {
+        for (key, value) in pending.entries {
             match &value {
-                Some(value) => drop(self.kept.entries.insert(key.clone(), value.clone())),
-                None => drop(self.kept.entries.remove(&key)),
+                Some(value) => drop(self.saved.entries.insert(key.clone(), value.clone())),
+                None => drop(self.saved.entries.remove(&key)),
             }
             if value.is_some() || !reset {
                 entries.push((key, value));
             }
         }
-        self.kept.index = index;
-        acts.push(Act::Tell(WatchEvent::Changed { index, reset, entries }));
+        self.saved.index = index;
+        actions.push(Action::Notify(WatchEvent::Changed { index, reset, entries }));
     }
 
-    fn alive(&mut self, alive: Pong) {
-        let Some(at) = self.pings.iter().position(|(token, _)| *token == alive.token) else { return };
-        let sent = self.pings[at].1;
-        self.pings.drain(..=at);
-        self.echo = alive.token;
-        // Where many wait already, those that wait are reached first.
-        if let Some(age) = alive.age_ms.filter(|_| self.waiting.len() < MOST_PINGS) {
+    fn handle_pong(&mut self, pong: Pong) {
+        let Some(at) = self.unanswered_pings.iter().position(|(token, _)| *token == pong.token) else {
+            return;
+        };
+        let sent = self.unanswered_pings[at].1;
+        self.unanswered_pings.drain(..=at);
+        self.echo = pong.token;
+        // If too many answers wait already, the older ones, whose index is reached first, are kept.
+        if let Some(age) = pong.age_ms.filter(|_| self.waiting_pongs.len() < MAX_PINGS) {
             let age = Span::millis(age.min(1 << 40));
-            self.waiting.push_back(Fresh { sent, age, head: alive.head });
+            self.waiting_pongs.push_back(Freshness { sent, age, head: pong.head });
         }
-        self.freshen();
+        self.update_freshness();
     }
 
-    /// Answers whose place is in force.
-    fn freshen(&mut self) {
+    /// Evaluates the answers whose index is applied.
+    fn update_freshness(&mut self) {
         let applied = self.applied;
-        // What each of two would say at one moment.
-        let newer = |one: &Fresh, than: &Fresh| {
+        // Compares the ages that both would give at the same moment.
+        let newer = |one: &Freshness, than: &Freshness| {
             let later = one.sent.max(than.sent);
-            one.age + self.config.at_most(later.since(one.sent))
-                <= than.age + self.config.at_most(later.since(than.sent))
+            one.age + self.config.max_elapsed(later.since(one.sent))
+                <= than.age + self.config.max_elapsed(later.since(than.sent))
         };
-        let mut best = self.fresh;
-        for fresh in self.waiting.iter().filter(|fresh| fresh.head <= applied) {
+        let mut best = self.freshness;
+        for fresh in self.waiting_pongs.iter().filter(|fresh| fresh.head <= applied) {
             if best.as_ref().is_none_or(|best| newer(fresh, best)) {
                 best = Some(*fresh);
             }
         }
-        self.fresh = best;
-        self.waiting.retain(|fresh| fresh.head > applied);
+        self.freshness = best;
+        self.waiting_pongs.retain(|fresh| fresh.head > applied);
     }
 
-    /// The caller has the state of this place in force, and on its disk.
-    pub fn applied(&mut self, now: Moment, index: u64, acts: &mut Vec<Act>) {
-        self.applied = self.applied.max(index.min(self.kept.index));
-        self.freshen();
-        if self.state == State::Watching && self.said < self.applied && now >= self.said_at + SAID {
-            self.ping(now, acts);
+    /// The caller has applied the state as of this index and saved it to disk.
+    pub fn applied(&mut self, now: Moment, index: u64, actions: &mut Vec<Action>) {
+        self.applied = self.applied.max(index.min(self.saved.index));
+        self.update_freshness();
+        if self.state == State::Watching
+            && self.reported < self.applied
+            && now >= self.reported_at + REPORT_INTERVAL
+        {
+            self.send_ping(now, actions);
         }
     }
 
-    /// Another scope from here on; all within it is told anew.
-    pub fn rescope(&mut self, now: Moment, scope: Scope, acts: &mut Vec<Act>) {
+    /// Switches to another scope, whose whole state is sent by the machine.
+    pub fn rescope(&mut self, now: Moment, scope: Scope, actions: &mut Vec<Action>) {
         let scope = scope.or_all_if_too_large();
         if scope == self.scope {
             return;
         }
         self.scope = scope;
         self.scope_number += 1;
-        self.held = Held::default();
-        self.other_scope = self.kept.scope.as_ref().is_some_and(|of| *of != self.scope);
+        self.pending = PendingChanges::default();
+        self.scope_outdated = self.saved.scope.as_ref().is_some_and(|of| *of != self.scope);
         if self.state == State::Watching {
-            self.say_scope(now, acts);
+            self.send_scope(now, actions);
         }
     }
 
-    fn say_scope(&mut self, now: Moment, acts: &mut Vec<Act>) {
-        self.said_scope = self.scope_number;
-        self.say(now, Kind::Rescope(self.scope.to_message(self.scope_number)), acts);
+    fn send_scope(&mut self, now: Moment, actions: &mut Vec<Action>) {
+        self.sent_scope = self.scope_number;
+        self.send(now, Kind::Rescope(self.scope.to_message(self.scope_number)), actions);
     }
 
-    /// It ends in order and is expected no more.
-    pub fn leave(&mut self, now: Moment, acts: &mut Vec<Act>) {
+    /// Shuts down in order; the planner is no longer expected anywhere.
+    pub fn leave(&mut self, now: Moment, actions: &mut Vec<Action>) {
         match self.state {
             State::Watching => {
-                self.say(now, Kind::Leave(Leave {}), acts);
-                acts.push(Act::Finish);
+                self.send(now, Kind::Leave(Leave {}), actions);
+                actions.push(Action::Close);
             }
-            State::Dialling | State::Asking => acts.push(Act::Cut),
-            State::Resting | State::Left => {}
+            State::Connecting | State::Handshaking => actions.push(Action::Abort),
+            State::Idle | State::Left => {}
         }
         self.state = State::Left;
     }
 
-    // ---- time
+    // ---- timers
 
-    /// When `tick` is to be called; None: never.
+    /// When `tick` is to be called; `None` if never.
     pub fn due(&self, now: Moment) -> Option<Moment> {
         match self.state {
             State::Left => None,
-            State::Resting => match self.choice.next(now)? {
+            State::Idle => match self.selector.next(now)? {
                 Ok(_) => Some(now),
                 Err(when) => Some(when),
             },
-            State::Dialling | State::Asking => Some(self.since.max(self.grace) + self.config.connect_timeout),
+            State::Connecting | State::Handshaking => {
+                Some(self.since.max(self.resumed_at) + self.config.connect_timeout)
+            }
             State::Watching => {
-                let ping = self.pinged + self.config.ping_interval;
-                let silent = self.heard.max(self.grace) + self.config.machine_timeout;
-                let say = (self.said < self.applied).then_some(self.said_at + SAID);
-                Some(say.into_iter().chain([ping, silent]).fold(silent, Moment::min))
+                let ping = self.last_ping + self.config.ping_interval;
+                let silent = self.last_contact.max(self.resumed_at) + self.config.machine_timeout;
+                let report = (self.reported < self.applied).then_some(self.reported_at + REPORT_INTERVAL);
+                Some(report.into_iter().chain([ping, silent]).fold(silent, Moment::min))
             }
         }
     }
 
-    /// `was`: when it was to be called.
-    pub fn tick(&mut self, now: Moment, was: Moment, acts: &mut Vec<Act>) {
-        if now.since(was) > LATE {
-            self.grace = now;
+    /// `scheduled`: the time for which the call was scheduled.
+    pub fn tick(&mut self, now: Moment, scheduled: Moment, actions: &mut Vec<Action>) {
+        if now.since(scheduled) > STALL_THRESHOLD {
+            self.resumed_at = now;
         }
         match self.state {
-            State::Resting => {
-                if let Some(Ok(at)) = self.choice.next(now) {
-                    if let Some(address) = self.choice.address(at) {
-                        (self.state, self.at, self.since) = (State::Dialling, at, now);
-                        acts.push(Act::Dial(address));
+            State::Idle => {
+                if let Some(Ok(at)) = self.selector.next(now) {
+                    if let Some(address) = self.selector.address(at) {
+                        (self.state, self.machine_index, self.since) = (State::Connecting, at, now);
+                        actions.push(Action::Dial(address));
                     }
                 }
             }
-            State::Dialling | State::Asking
-                if now >= self.since.max(self.grace) + self.config.connect_timeout =>
+            State::Connecting | State::Handshaking
+                if now >= self.since.max(self.resumed_at) + self.config.connect_timeout =>
             {
-                acts.push(Act::Cut);
-                self.over(now, None, "no answer in time", acts);
+                actions.push(Action::Abort);
+                self.disconnect(now, None, "no answer within the time limit", actions);
             }
             State::Watching => {
-                if now >= self.heard.max(self.grace) + self.config.machine_timeout {
-                    acts.push(Act::Cut);
-                    return self.over(now, None, "it was not heard", acts);
+                if now >= self.last_contact.max(self.resumed_at) + self.config.machine_timeout {
+                    actions.push(Action::Abort);
+                    return self.disconnect(now, None, "the machine is silent", actions);
                 }
-                if now >= self.since + GOOD {
-                    self.choice.stands(self.at);
+                if now >= self.since + STABLE_AFTER {
+                    self.selector.record_success(self.machine_index);
                 }
-                let news = self.said < self.applied && now >= self.said_at + SAID;
-                if news || now >= self.pinged + self.config.ping_interval {
-                    self.ping(now, acts);
+                let news = self.reported < self.applied && now >= self.reported_at + REPORT_INTERVAL;
+                if news || now >= self.last_ping + self.config.ping_interval {
+                    self.send_ping(now, actions);
                 }
             }
-            State::Dialling | State::Asking | State::Left => {}
+            State::Connecting | State::Handshaking | State::Left => {}
         }
     }
 
-    fn ping(&mut self, now: Moment, acts: &mut Vec<Act>) {
-        self.tokens += 1;
-        let (token, applied, echo) = (self.tokens, self.applied, self.echo);
-        // Of one that was not answered for so long nothing is known any more.
-        if self.pings.len() >= MOST_PINGS {
-            self.pings.pop_front();
+    fn send_ping(&mut self, now: Moment, actions: &mut Vec<Action>) {
+        self.last_token += 1;
+        let (token, applied, echo) = (self.last_token, self.applied, self.echo);
+        // The oldest unanswered ping is given up.
+        if self.unanswered_pings.len() >= MAX_PINGS {
+            self.unanswered_pings.pop_front();
         }
-        self.pings.push_back((token, now));
-        self.pinged = now;
-        self.say(now, Kind::Ping(Ping { token, applied, echo }), acts);
+        self.unanswered_pings.push_back((token, now));
+        self.last_ping = now;
+        self.send(now, Kind::Ping(Ping { token, applied, echo }), actions);
     }
 
-    /// Each word upward that says what is in force says the newest.
-    fn say(&mut self, now: Moment, word: Kind, acts: &mut Vec<Act>) {
-        if matches!(word, Kind::Ack(_) | Kind::Ping(_)) {
-            self.said = self.applied;
+    /// Acks and pings report the latest applied index.
+    fn send(&mut self, now: Moment, message: Kind, actions: &mut Vec<Action>) {
+        if matches!(message, Kind::Ack(_) | Kind::Ping(_)) {
+            self.reported = self.applied;
         }
-        // What was just taken is in force a moment later, and that is not to wait.
-        if matches!(word, Kind::Ping(_)) {
-            self.said_at = now;
+        // Only pings are rate limited: a chunk that was just acknowledged is applied a moment later, and
+        // that index must not have to wait.
+        if matches!(message, Kind::Ping(_)) {
+            self.reported_at = now;
         }
-        acts.push(Act::Say(word));
+        actions.push(Action::Send(message));
     }
 
-    fn over(&mut self, now: Moment, again: Option<Span>, why: &str, acts: &mut Vec<Act>) {
-        if self.state == State::Watching && now >= self.since + GOOD {
-            self.choice.stands(self.at);
-        }
-        // What a batch told and did not end is told again from the place; a snapshot goes on.
-        if self.held.snapshot.is_none() {
-            self.held = Held::default();
-        }
-        self.state = State::Resting;
-        self.said = 0;
-        self.choice.over(now, self.at, again);
-        acts.push(Act::Tell(WatchEvent::Lost(format!("{}: {why}", self.choice.name(self.at)))));
+    fn disconnect(&mut self, now: Moment, retry_after: Option<Span>, why: &str, actions: &mut Vec<Action>) {
+        if self.state == State::Watching && now >= self.since + STABLE_AFTER {
+            self.selector.record_success(self.machine_index);
+        }
+        // An incomplete batch of changes is sent again from the index; a snapshot can be resumed.
+        if self.pending.snapshot.is_none() {
+            self.pending = PendingChanges::default();
+        }
+        self.state = State::Idle;
+        self.reported = 0;
+        self.selector.record_failure(now, self.machine_index, retry_after);
+        actions.push(Action::Notify(WatchEvent::Lost(format!(
+            "{}: {why}",
+            self.selector.name(self.machine_index)
+        ))));
     }
 }
--- a/crates/watch/src/config.rs
+++ b/crates/watch/src/config.rs
@@ -1,33 +1,33 @@
-//! Spans and bounds of a watch, at both ends.
+//! Intervals, timeouts and limits of a watch, for both ends.
 
-use crate::cache::MOST_TOMBSTONES;
+use crate::cache::MAX_TOMBSTONES;
 use pewtergap_time::Span;
 
 #[derive(Clone, Copy, Debug)]
 pub struct WatchConfig {
-    /// The timer that this end sets for itself; nothing else of its node may use the number.
+    /// Timer id used by this end, which must be unique within its node.
     pub timer: u64,
-    /// Watches that a machine serves; further ones are refused `Full`.
+    /// Watches that a machine serves; further ones are refused with `Full`.
     pub max_watches: usize,
-    /// Snapshots at once; further ones wait.
+    /// Concurrent snapshots; further ones wait.
     pub max_snapshots: usize,
-    /// Between the beginnings of two batches for one watcher, at least.
+    /// Minimum interval between the starts of two batches to one watcher.
     pub batch_interval: Span,
-    /// Between two words of life.
+    /// Interval between pings.
     pub ping_interval: Span,
-    /// A machine not heard for so long is left.
+    /// A planner disconnects from a machine that was silent for this long.
     pub machine_timeout: Span,
-    /// A planner not heard for so long is closed, and unheard.
+    /// A machine closes the link to a planner that was silent for this long and counts it as unheard.
     pub planner_timeout: Span,
-    /// A watcher that takes nothing of what was sent for so long is closed.
+    /// A watcher that acknowledges nothing for this long is closed.
     pub ack_timeout: Span,
-    /// From dialling to `Welcome`, and from a link to its `Hello`, at most.
+    /// Time limit from dialling to `Welcome`, and from accepting a link to its `Hello`.
     pub connect_timeout: Span,
-    /// A snapshot gives way to those that wait after so long, and goes on later.
+    /// A snapshot that took this long yields to waiting ones and is resumed later.
     pub snapshot_slot: Span,
-    /// Keys that are gone and remembered as such; whoever is behind them begins anew.
+    /// Deleted keys that are remembered; a watcher that is behind the oldest needs a snapshot.
     pub max_tombstones: usize,
-    /// No clock is faster or slower than true time by more than this part.
+    /// Largest deviation of any clock's rate, as a fraction.
     pub max_clock_drift: f64,
 }
 
@@ -44,20 +44,20 @@
             ack_timeout: Span::millis(5_000),
             connect_timeout: Span::millis(2_000),
             snapshot_slot: Span::millis(2_000),
-            max_tombstones: MOST_TOMBSTONES,
+            max_tombstones: MAX_TOMBSTONES,
             max_clock_drift: 0.02,
         }
     }
 }
 
 impl WatchConfig {
-    /// The longest that may truly have gone by when an own clock says this much.
-    pub fn at_most(&self, measured: Span) -> Span {
+    /// Upper bound of the true time that passed while the local clock measured this.
+    pub fn max_elapsed(&self, measured: Span) -> Span {
         measured.times(1.0 / (1.0 - self.max_clock_drift)) + Span(1)
     }
 }
 
-/// Rounded up: what is told of an age is never less.
-pub(crate) fn up_ms(span: Span) -> u64 {
+/// Rounds up, so that a reported age is never too low.
+pub(crate) fn to_ms_rounded_up(span: Span) -> u64 {
     span.0.div_ceil(1_000_000)
 }
--- a/crates/watch/src/lib.rs
+++ b/crates/watch/src/lib.rs
@@ -1,20 +1,21 @@
-//! The tier between the record and the planners. A **control machine** applies the record (it votes or observes) and serves
-//! **watches**: a planner holds one, at one machine, and is kept up to date with all that is in force within its scope.
+//! Distribution of the record to planners. A **control machine** applies the record (as a voter or observer)
+//! and serves **watches**: each planner watches one machine and is kept up to date with everything in force
+//! within its scope.
 //!
-//! Not in here: agreement, what an order means, sockets. Keys are text whose first part says what they are about, values
-//! are bytes that only their reader understands.
+//! Consensus, the meaning of orders and sockets are elsewhere. Keys are text whose first part names the kind
+//! of subject; values are opaque bytes.
 //!
-//! **State, not log.** Each key stands once, at the place of the record that changed it last. A watcher is a cursor in
-//! that order: what waits for it is what stands beyond its cursor within its scope, so a thousand changes of one key wait
-//! as one, and nothing is queued for anybody.
+//! **State, not log.** Each key is stored once, at the index of the record entry that last changed it. A
+//! watcher is a cursor in that order, and what is left to send is everything after its cursor within its
+//! scope. A thousand changes of one key are therefore sent as one, and there are no queues per watcher.
 #![forbid(unsafe_code)]
 
 pub mod cache;
-pub mod choice;
+pub mod chunks;
 pub mod client;
 pub mod config;
+pub mod machine_selector;
 pub mod messages;
-pub mod pieces;
 pub mod roster;
 pub mod scope;
 pub mod server;
--- a/crates/watch/src/messages.rs
+++ b/crates/watch/src/messages.rs
@@ -1,30 +1,32 @@
-//! What planners and control machines say on a watch, and machines to each other of their watchers, as protobuf in the
-//! members' framing.
+//! Protobuf messages between planners and control machines on a watch, and between control machines about
+//! their watchers, in the framing of the members' links.
 //!
-//! A planner dials and says `Hello`; `Welcome` or `Refuse` answers. From then on the machine says `Changes` in pieces, at
-//! most [`MAX_CHUNKS_IN_FLIGHT`] of them not yet answered by `Ack`, so that a word of life never waits behind more than those.
+//! A planner dials and sends `Hello`, which is answered by `Welcome` or `Refuse`. From then on the machine
+//! sends `Changes` in chunks, of which at most [`MAX_CHUNKS_IN_FLIGHT`] may lack their `Ack`, so that a pong
+//! never waits behind more than these.
 
 use pewtergap_protocol::Checked;
 use prost::{Message, Oneof};
 
-/// Versions of these words that this build speaks, lowest and highest.
+/// Protocol versions that this build supports, lowest and highest.
 pub const SUPPORTED_VERSIONS: (u32, u32) = (1, 1);
-pub const MOST_NAME: usize = 256;
-/// Of a key: what it is about, and a name.
-pub const MOST_KEY: usize = MOST_NAME + 16;
-/// Of a value: an order with its reason.
-pub const MOST_VALUE: usize = 4 * 1024;
-/// Names of servers, and of routes, that one scope may have.
+pub const MAX_NAME_BYTES: usize = 256;
+/// A key is the kind of subject and a name.
+pub const MAX_KEY_BYTES: usize = MAX_NAME_BYTES + 16;
+/// A value is an order with its reason.
+pub const MAX_VALUE_BYTES: usize = 4 * 1024;
+/// Limit on the server names, and on the route names, of a scope.
 pub const MAX_SCOPE_NAMES: usize = 4_096;
-/// Entries of a piece, and their bytes; a single entry always fits.
-pub const MOST_ENTRIES: usize = 512;
-pub const MOST_PIECE: usize = 16 * 1024;
-/// Pieces on their way to one watcher.
+/// Limits on the entries of a chunk and on their bytes; a single entry always fits.
+pub const MAX_ENTRIES: usize = 512;
+pub const MAX_CHUNK_BYTES: usize = 16 * 1024;
+/// Limit on unacknowledged chunks per watcher.
 pub const MAX_CHUNKS_IN_FLIGHT: usize = 2;
-/// Rows of one word about watchers.
-pub const MOST_ROWS: usize = 512;
-/// Bytes of a word: what a machine holds of each watcher that has said half of one. A scope that needs more is said as all.
-pub const MOST_WORD: usize = 256 * 1024;
+/// Rows of one roster update.
+pub const MAX_ROWS: usize = 512;
+/// Limit on the bytes of a message, which a machine buffers for each watcher whose message is incomplete. A
+/// scope that would not fit is widened to all.
+pub const MAX_MESSAGE_BYTES: usize = 256 * 1024;
 
 #[derive(Clone, PartialEq, Message)]
 pub struct WatchMessage {
@@ -34,31 +36,31 @@
 
 #[derive(Clone, PartialEq, Oneof)]
 pub enum Kind {
-    /// First, from the planner.
+    /// The planner's first message.
     #[prost(message, tag = "1")]
     Hello(Hello),
     #[prost(message, tag = "2")]
     Welcome(Welcome),
-    /// The machine's last word on a link.
+    /// The machine's last message on a link.
     #[prost(message, tag = "3")]
     Refuse(Refuse),
     #[prost(message, tag = "4")]
     Changes(Changes),
-    /// The planner has this piece.
+    /// Acknowledges a chunk.
     #[prost(message, tag = "5")]
     Ack(Ack),
-    /// A word of life from the planner, one a second and when something new is in force; answered by `Pong`.
+    /// From the planner, once a second and when a new index was applied; answered by `Pong`.
     #[prost(message, tag = "6")]
     Ping(Ping),
     #[prost(message, tag = "7")]
     Pong(Pong),
-    /// Another scope from here on: all within it is told anew.
+    /// Changes the scope; a snapshot of the new one follows.
     #[prost(message, tag = "8")]
     Rescope(ScopeMessage),
-    /// A snapshot has to wait, so long; the watch stands meanwhile.
+    /// A snapshot has to wait for this long; the watch stays open.
     #[prost(message, tag = "9")]
     SnapshotDelayed(SnapshotDelayed),
-    /// The planner ends in order and is expected no more.
+    /// The planner shuts down in order and is no longer expected.
     #[prost(message, tag = "10")]
     Leave(Leave),
 }
@@ -69,48 +71,50 @@
     pub min_version: u32,
     #[prost(uint32, tag = "2")]
     pub max_version: u32,
-    /// Whose state it holds; 0: nobody's yet.
+    /// Record that the planner's state belongs to; 0: none yet.
     #[prost(fixed64, tag = "3")]
     pub record_id: u64,
-    /// All within its scope up to this place is applied; 0: nothing.
+    /// All changes within its scope up to this index are applied; 0: none.
     #[prost(uint64, tag = "4")]
     pub index: u64,
-    /// How far a snapshot that was broken off has come. It goes on there, at any machine that has its base and is not
-    /// behind `seen`.
+    /// Progress of an interrupted snapshot. It can be resumed at any machine that still has its base and is
+    /// not behind `seen`.
     #[prost(message, optional, tag = "5")]
     pub partial_snapshot: Option<PartialSnapshot>,
     #[prost(string, tag = "6")]
     pub planner: String,
-    /// Which start of the planner, and which of its watches in that start: the highest of both is where it is.
+    /// Number of this start of the planner, and of the watch within that start. The watch with the highest
+    /// pair is the planner's current one.
     #[prost(uint64, tag = "7")]
     pub start: u64,
     #[prost(uint64, tag = "8")]
     pub watch_number: u64,
     #[prost(message, required, tag = "9")]
     pub scope: ScopeMessage,
-    /// What it holds is of another scope: all is told anew, but never of a lower place.
+    /// The planner's state belongs to another scope: it needs a snapshot, but never one with a lower index.
     #[prost(bool, tag = "10")]
     pub reset: bool,
 }
 
 #[derive(Clone, PartialEq, Message)]
 pub struct PartialSnapshot {
-    /// The place that was applied where it began.
+    /// The index that was applied when the snapshot began.
     #[prost(uint64, tag = "1")]
     pub base: u64,
-    /// All keys up to this one, in their order, were told; what changed beyond the base follows them.
+    /// All keys up to this one, in key order, were sent; changes after the base follow them.
     #[prost(string, tag = "2")]
     pub after: String,
-    /// The highest place that was applied where any of it was told: a machine that has less would mix what was with what
-    /// is. The entries' places don't do: a key that had gone was not told, and would be missing at a lower place.
+    /// The highest index that was applied at a machine while it sent a part. A machine that is behind it
+    /// would mix older with newer state. The indexes of the entries don't suffice: a deleted key was not
+    /// sent, and would be missing at a lower index.
     #[prost(uint64, tag = "3")]
     pub seen: u64,
-    /// All keys were told; only what changed beyond the base follows.
+    /// All keys were sent; only the changes after the base follow.
     #[prost(bool, tag = "4")]
     pub all_keys: bool,
 }
 
-/// Zones, and what concerns everybody, are in each scope.
+/// Zones and global entries are part of every scope.
 #[derive(Clone, PartialEq, Message)]
 pub struct ScopeMessage {
     #[prost(bool, tag = "1")]
@@ -121,47 +125,47 @@
     pub all_routes: bool,
     #[prost(string, repeated, tag = "4")]
     pub routes: Vec<String>,
-    /// Counts the planner's scopes, so that it knows which one a piece is of.
+    /// Counts the planner's scopes, to tell which one a chunk belongs to.
     #[prost(uint64, tag = "5")]
     pub number: u64,
 }
 
 #[derive(Clone, PartialEq, Message)]
 pub struct Welcome {
-    /// Spoken on this link.
+    /// The version used on this link.
     #[prost(uint32, tag = "1")]
     pub version: u32,
     #[prost(fixed64, tag = "2")]
     pub record_id: u64,
-    /// The place that is applied here.
+    /// The index that is applied here.
     #[prost(uint64, tag = "3")]
     pub head: u64,
     #[prost(string, tag = "4")]
     pub machine: String,
-    /// The snapshot that was broken off goes on; if not, what is held of it is of no use.
+    /// The interrupted snapshot is resumed; otherwise its partial state must be discarded.
     #[prost(bool, tag = "5")]
     pub resumes_snapshot: bool,
 }
 
-/// Why a watch is refused or ended. What a planner does next is in its own table.
+/// Why a watch is refused or ended. The planner's reaction is in the table of [`crate::client`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum Reason {
-    /// A word that nobody may say here.
+    /// A message that is malformed or not allowed.
     Bad = 0,
-    /// The versions spoken don't meet.
+    /// There is no common version.
     Version = 1,
-    /// The planner holds another record's state.
+    /// The planner's state belongs to another record.
     Record = 2,
-    /// This machine is behind the planner's place, or has no record yet.
+    /// This machine is behind the planner's index, or has no record yet.
     Behind = 3,
-    /// No room for another watch.
+    /// The limit on watches is reached.
     Full = 4,
-    /// A newer start or watch of the same planner is here.
+    /// The planner has a watch with a higher start or watch number.
     Replaced = 5,
-    /// The planner does not take what is sent, or was not heard.
+    /// The planner acknowledges nothing, or was silent.
     Deaf = 6,
-    /// This machine ends.
+    /// This machine is shutting down.
     Stopping = 7,
 }
 
@@ -171,39 +175,42 @@
     pub reason: i32,
     #[prost(string, tag = "2")]
     pub detail: String,
-    /// When it may be tried here again.
+    /// When this machine may be tried again.
     #[prost(uint64, tag = "3")]
     pub retry_after_ms: u64,
 }
 
-/// A piece of what has to be told. Pieces are held until one is `done`; then all of them are applied as one, and the
-/// planner's place is `through`.
+/// A chunk of changes. Chunks are collected until one is `done`; then all of them are applied at once, and
+/// the planner's index is `through`.
 ///
-/// A snapshot goes through the keys in their order, each as it stands then, and after them through all that changed
-/// beyond the place at which it began: by then both together are the state at `through`. It is no walk by places: a
-/// machine that read the record from a snapshot has all keys at one place, and such a walk could not be broken off.
+/// A snapshot goes through the keys in key order, sending each as it is at that time, and then through all
+/// changes after the index at which it began; both together give the state at `through`. It doesn't go by
+/// index: a machine that read the record from a snapshot has all keys at one index, and such an iteration
+/// could not be resumed.
 #[derive(Clone, PartialEq, Message)]
 pub struct Changes {
     /// Counts from 1 on each link.
     #[prost(uint64, tag = "1")]
     pub number: u64,
-    /// A snapshot begins: what was held of an earlier one goes, and what is not told until it is done is not there.
+    /// A snapshot begins: a partial one is discarded, and keys that are not sent before it is done don't
+    /// exist.
     #[prost(bool, tag = "2")]
     pub reset: bool,
-    /// Of a snapshot whose keys are not all told yet: all up to this one are.
+    /// Within the keys of a snapshot: the last key that was sent.
     #[prost(string, optional, tag = "3")]
     pub after: Option<String>,
-    /// All that changed up to this place within the scope was told; of a snapshot's keys the place at which it began.
+    /// All changes within the scope up to this index were sent; within the keys of a snapshot, the index at
+    /// which it began.
     #[prost(uint64, tag = "4")]
     pub through: u64,
     #[prost(bool, tag = "5")]
     pub done: bool,
     #[prost(message, repeated, tag = "6")]
     pub entries: Vec<EntryMessage>,
-    /// The place that was applied where this was said.
+    /// The index that was applied when this was sent.
     #[prost(uint64, tag = "7")]
     pub head: u64,
-    /// The number of the scope that this is of.
+    /// Number of the scope that this belongs to.
     #[prost(uint64, tag = "8")]
     pub scope: u64,
 }
@@ -214,7 +221,7 @@
     pub key: String,
     #[prost(uint64, tag = "2")]
     pub index: u64,
-    /// None: it is gone.
+    /// `None`: the key was deleted.
     #[prost(bytes = "vec", optional, tag = "3")]
     pub value: Option<Vec<u8>>,
 }
@@ -223,7 +230,7 @@
 pub struct Ack {
     #[prost(uint64, tag = "1")]
     pub number: u64,
-    /// What is in force at this planner.
+    /// The index that is applied at this planner.
     #[prost(uint64, tag = "2")]
     pub applied: u64,
 }
@@ -234,20 +241,22 @@
     pub token: u64,
     #[prost(uint64, tag = "2")]
     pub applied: u64,
-    /// The token of the newest `Pong` that was heard, 0 before the first: this word is no older than that one. Bytes that
-    /// a cut held back may say what a planner had long ago, and it may have ended since.
+    /// The token of the newest `Pong` received, 0 before the first: this message was not sent before that
+    /// pong. Bytes delayed by a network partition may report what a planner had applied long ago, and it may
+    /// have ended since.
     #[prost(uint64, tag = "3")]
     pub echo: u64,
 }
 
-/// When the machine answered, all that had been kept `age_ms` before was applied at `head`.
+/// When the machine answered, everything committed up to `age_ms` before was applied, with `head` as its
+/// index.
 #[derive(Clone, PartialEq, Message)]
 pub struct Pong {
     #[prost(uint64, tag = "1")]
     pub token: u64,
     #[prost(uint64, tag = "2")]
     pub head: u64,
-    /// None: the machine has never known.
+    /// `None`: unknown to the machine.
     #[prost(uint64, optional, tag = "3")]
     pub age_ms: Option<u64>,
 }
@@ -261,26 +270,27 @@
 #[derive(Clone, PartialEq, Message)]
 pub struct Leave {}
 
-/// What a control machine tells another of its own watchers, on the members' links. An empty one is a word of life.
+/// A control machine's report on its own watchers to another one, on the members' links. An empty one is a
+/// heartbeat.
 #[derive(Clone, PartialEq, Message)]
 pub struct RosterUpdate {
-    /// Drawn anew for each word; `echo` is the newest one heard from whom this goes to: what a word says is no older than
-    /// the moment at which the word that it echoes was sent.
+    /// Random for each update; `echo` is the newest token received from the machine that this is sent to.
+    /// The contents are no older than the moment at which the echoed update was sent.
     #[prost(fixed64, tag = "1")]
     pub token: u64,
     #[prost(fixed64, tag = "2")]
     pub echo: u64,
-    /// The first of all rows: what was told before by this machine is put aside.
+    /// The first update of a full report: earlier ones from this machine no longer count.
     #[prost(bool, tag = "3")]
     pub reset: bool,
     #[prost(message, repeated, tag = "4")]
     pub rows: Vec<RosterRow>,
-    /// All that this machine holds for heard was heard so long ago at most.
+    /// Everything that this machine counts as heard was heard at most this long ago.
     #[prost(uint64, tag = "5")]
     pub max_contact_age_ms: u64,
 }
 
-/// A planner, as its machine knows it.
+/// A planner as its machine knows it.
 #[derive(Clone, PartialEq, Message)]
 pub struct RosterRow {
     #[prost(string, tag = "1")]
@@ -291,22 +301,22 @@
     pub watch_number: u64,
     #[prost(uint64, tag = "4")]
     pub applied: u64,
-    /// For so long it has not been heard; for one that is `here` see `heard_ms`.
+    /// Time since it was last heard; for a `connected` one see `max_contact_age_ms`.
     #[prost(uint64, tag = "5")]
     pub contact_age_ms: u64,
-    /// Its watch stands at the machine that tells, and it is heard.
+    /// It watches the machine that sends this, and is heard.
     #[prost(bool, tag = "6")]
     pub connected: bool,
-    /// It ended in order.
+    /// It shut down in order.
     #[prost(bool, tag = "7")]
     pub left: bool,
 }
 
-fn name(field: &str, text: &str, most: usize) -> Result<(), String> {
+fn check_name(field: &str, text: &str, max: usize) -> Result<(), String> {
     match text {
         "" => Err(format!("{field} is missing")),
-        text if text.len() > most => Err(format!("{field} has {} bytes, {most} at most", text.len())),
-        text if text.chars().any(char::is_control) => Err(format!("{field} has control characters")),
+        text if text.len() > max => Err(format!("{field} has {} bytes, limit {max}", text.len())),
+        text if text.chars().any(char::is_control) => Err(format!("{field} contains control characters")),
         _ => Ok(()),
     }
 }
@@ -315,9 +325,9 @@
     pub fn check(&self) -> Result<(), String> {
         for (field, names) in [("servers", &self.servers), ("routes", &self.routes)] {
             if names.len() > MAX_SCOPE_NAMES {
-                return Err(format!("{field}: {} of {MAX_SCOPE_NAMES} at most", names.len()));
+                return Err(format!("{field} has {} names, limit {MAX_SCOPE_NAMES}", names.len()));
             }
-            names.iter().try_for_each(|text| name(field, text, MOST_NAME))?;
+            names.iter().try_for_each(|text| check_name(field, text, MAX_NAME_BYTES))?;
         }
         Ok(())
     }
@@ -330,28 +340,28 @@
 }
 
 impl Checked for WatchMessage {
-    const MOST: usize = MOST_WORD;
+    const MOST: usize = MAX_MESSAGE_BYTES;
 
     fn check(&self) -> Result<(), String> {
-        match self.kind.as_ref().ok_or("no word")? {
+        match self.kind.as_ref().ok_or("message without a kind")? {
             Kind::Hello(hello) => {
-                name("planner", &hello.planner, MOST_NAME)?;
-                let after = hello.partial_snapshot.as_ref().map_or("", |broken| &broken.after);
-                if after.len() > MOST_KEY {
-                    return Err(format!("after has {} bytes, {MOST_KEY} at most", after.len()));
+                check_name("planner", &hello.planner, MAX_NAME_BYTES)?;
+                let after = hello.partial_snapshot.as_ref().map_or("", |partial| &partial.after);
+                if after.len() > MAX_KEY_BYTES {
+                    return Err(format!("after has {} bytes, limit {MAX_KEY_BYTES}", after.len()));
                 }
                 hello.scope.check()
             }
-            Kind::Welcome(welcome) => name("machine", &welcome.machine, MOST_NAME),
+            Kind::Welcome(welcome) => check_name("machine", &welcome.machine, MAX_NAME_BYTES),
             Kind::Changes(changes) => {
-                if changes.entries.len() > MOST_ENTRIES {
-                    return Err(format!("entries: {} of {MOST_ENTRIES} at most", changes.entries.len()));
+                if changes.entries.len() > MAX_ENTRIES {
+                    return Err(format!("{} entries, limit {MAX_ENTRIES}", changes.entries.len()));
                 }
                 for entry in &changes.entries {
-                    name("key", &entry.key, MOST_KEY)?;
+                    check_name("key", &entry.key, MAX_KEY_BYTES)?;
                     let bytes = entry.value.as_ref().map_or(0, Vec::len);
-                    if bytes > MOST_VALUE {
-                        return Err(format!("value has {bytes} bytes, {MOST_VALUE} at most"));
+                    if bytes > MAX_VALUE_BYTES {
+                        return Err(format!("value has {bytes} bytes, limit {MAX_VALUE_BYTES}"));
                     }
                 }
                 Ok(())
@@ -365,9 +375,9 @@
 
 impl RosterUpdate {
     pub fn check(&self) -> Result<(), String> {
-        if self.rows.len() > MOST_ROWS {
-            return Err(format!("rows: {} of {MOST_ROWS} at most", self.rows.len()));
+        if self.rows.len() > MAX_ROWS {
+            return Err(format!("{} rows, limit {MAX_ROWS}", self.rows.len()));
         }
-        self.rows.iter().try_for_each(|row| name("planner", &row.planner, MOST_NAME))
+        self.rows.iter().try_for_each(|row| check_name("planner", &row.planner, MAX_NAME_BYTES))
     }
 }
--- a/crates/watch/src/roster.rs
+++ b/crates/watch/src/roster.rs
@@ -1,129 +1,136 @@
-//! Who has what in force, over all machines, as each of them knows it.
+//! Which index each planner has applied, across all machines, as known at each of them.
 //!
-//! Each machine knows its own watchers and tells the others; the highest (start, turn) of a planner is where it is.
+//! Each machine knows its own watchers and reports them to the others; the highest (start, watch number) of
+//! a planner tells where it is.
 //!
-//! | row of a planner | input | next |
+//! | planner's row | input | next |
 //! | --- | --- | --- |
-//! | none, or an older (start, turn) | heard here, or told by a machine | that one; of the same start what was in force still is |
-//! | of this (start, turn) | heard with a higher place | that place: it never falls within a start |
-//! | here | its watch ends | unheard since it was heard last |
-//! | any | left, or forgotten by an operator | expected no more; an older word does not bring it back |
-//! | told by a machine | that machine is not heard, or begins anew | unheard since then, until a machine tells of it again |
-//! | unheard, or left | an hour passed | forgotten, and said |
+//! | none, or an older (start, watch number) | heard here, or reported by a machine | that one; within a start the applied index is kept |
+//! | same (start, watch number) | heard with a higher index | that index: it never decreases within a start |
+//! | here | its watch ends | unheard since it was last heard |
+//! | any | left, or forgotten by an operator | no longer expected; older messages don't bring it back |
+//! | reported by a machine | that machine is silent, or starts a new report | unheard since then, until a machine reports it again |
+//! | unheard, or left | an hour passed | removed, and logged |
 //!
-//! **What counts as heard is reckoned back.** A word says what was so when it was sent, and a cut may have held it for
-//! long: so each echoes the newest token of the other side, and is taken to be as old as that one. `in force` counts
-//! nobody whose word, so reckoned, is older than its bound, and says how old the oldest counted one is.
+//! **Ages are upper bounds.** An update reports the state at the time of sending and may have been delayed
+//! by a network partition. Each update therefore echoes the newest token of the other side and is taken to
+//! be as old as the update that carried it. `in_force` counts no planner whose report, measured this way, is
+//! older than its limit, and returns the age of the oldest one counted.
 //!
-//! Bounds: [`MOST_KNOWN`] planners; further ones are counted as uncounted, so that nobody takes the rest for all.
+//! At most [`MAX_PLANNERS`] planners are tracked; further ones are returned as uncounted, so that the counts
+//! are not mistaken for totals.
 
-use crate::config::{up_ms, WatchConfig};
-use crate::messages::{RosterRow, RosterUpdate, MOST_ROWS};
+use crate::config::{to_ms_rounded_up, WatchConfig};
+use crate::messages::{RosterRow, RosterUpdate, MAX_ROWS};
 use pewtergap_time::{Moment, Span};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-pub const MOST_KNOWN: usize = 8_192;
-/// Machines that may tell rows.
-pub const MOST_MACHINES: usize = 64;
-/// Names that one answer gives of the slowest, and of the unheard.
-pub const MOST_NAMED: usize = 8;
-const FORGOTTEN: Span = Span::millis(3_600_000);
-const CHANGES: Span = Span::millis(200);
-const LIFE: Span = Span::millis(1_000);
-/// Words for one machine at a time; the rest is told at the next.
-const MOST_WORDS: usize = 4;
-/// Longer ago than anything is counted.
-const NOT_VOUCHED: u64 = 1 << 40;
+pub const MAX_PLANNERS: usize = 8_192;
+/// Machines that may send reports.
+pub const MAX_MACHINES: usize = 64;
+/// Names listed as slowest, and as unheard, in one answer.
+pub const MAX_LISTED: usize = 8;
+const FORGET_AFTER: Span = Span::millis(3_600_000);
+const UPDATE_INTERVAL: Span = Span::millis(200);
+const HEARTBEAT_INTERVAL: Span = Span::millis(1_000);
+/// Updates sent to a machine at a time; the rest follows with the next call.
+const MAX_UPDATES_PER_CALL: usize = 4;
+/// Older than any limit, so nothing is counted.
+const UNCONFIRMED_MS: u64 = 1 << 40;
 /// Tokens sent to a machine that it may still echo.
-const MOST_TOKENS: usize = 64;
+const MAX_TOKENS: usize = 64;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Whereabouts {
-    /// It watches at this machine.
+enum Location {
+    /// It watches this machine.
     Here,
-    /// At another one, which holds it for heard.
-    At(u16),
-    /// At none that is known of; which machine it was at last.
+    /// It watches another machine, which counts it as heard.
+    AtMachine(u16),
+    /// It watches no machine as far as is known; the last machine that reported it.
     Unheard(Option<u16>),
     Left,
 }
 
 #[derive(Clone, Debug)]
-struct Known {
-    /// Start and turn.
+struct PlannerRow {
+    /// Start number and watch number.
     watch: (u64, u64),
     applied: u64,
-    whereabouts: Whereabouts,
-    /// What it said was so then or later. Of one at another machine: see [`Machine::vouched`].
-    heard: Moment,
-    /// When a machine told of it.
-    came: Moment,
-    /// Others may take it to be here: they are told what became of it, also where that is known from elsewhere. A machine
-    /// that left it to the other one to say so vouched for it on and on (explore, seed 122).
-    mine: bool,
-    /// Under which number its last change stands.
-    changed: u64,
+    location: Location,
+    /// Its last report was made at this moment or later. For one at another machine see also
+    /// [`Machine::as_of`].
+    last_contact: Moment,
+    /// When another machine reported it.
+    reported_at: Moment,
+    /// Other machines may believe that it is here, so this machine reports its changes to them, even those
+    /// learned from others. When a machine left that to the others, its outdated report kept counting
+    /// indefinitely (explore, seed 122).
+    must_report: bool,
+    /// Number of its last change.
+    change: u64,
 }
 
 struct Machine {
-    /// What it holds for heard was so at this moment or later.
-    vouched: Moment,
-    /// Its link stands, and it has told of its rows on it.
-    tells: bool,
-    /// Tokens sent to it, and when.
-    sent: VecDeque<(u64, Moment)>,
-    /// The newest that it sent.
+    /// Everything that it counts as heard was so at this moment or later.
+    as_of: Moment,
+    /// Its link is up, and a full report has begun on it.
+    reporting: bool,
+    /// Tokens sent to it, with the time of sending.
+    sent_tokens: VecDeque<(u64, Moment)>,
+    /// The newest token received from it.
     echo: u64,
-    /// It has echoed one of ours: if it stops to, it has begun anew.
+    /// It has echoed one of our tokens. If it stops doing so, it has started over.
     echoed: bool,
-    /// When it was last told all anew.
+    /// When the last full report to it began.
     full_report_at: Option<Moment>,
-    /// Changes up to this one it has been told, and up to where all rows are told.
-    told: u64,
-    whole: Option<u64>,
-    said: Option<Moment>,
-    said_life: Moment,
+    /// Changes up to this one were sent to it, and up to where a full report includes all rows.
+    sent_up_to: u64,
+    full_report_end: Option<u64>,
+    last_update: Option<Moment>,
+    last_heartbeat: Moment,
 }
 
 impl Machine {
-    /// All that it was told is to be told again.
-    fn forgets(&mut self) {
-        (self.said, self.told, self.whole, self.full_report_at) = (None, 0, None, None);
+    /// Starts a new full report.
+    fn restart_report(&mut self) {
+        (self.last_update, self.sent_up_to, self.full_report_end, self.full_report_at) =
+            (None, 0, None, None);
     }
 }
 
-/// Who has a place in force.
+/// How many planners have applied an index.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct InForce {
-    /// All that are known and have not left.
+    /// All known planners that have not left.
     pub expected: usize,
-    /// Heard ones that have this place, or a later one, in force.
+    /// Heard planners that have applied this index or a later one.
     pub at_or_past: usize,
     pub heard: usize,
-    /// Of all heard ones.
+    /// Lowest applied index of all heard planners.
     pub lowest: Option<u64>,
-    /// Heard ones below the place, the slowest first, [`MOST_NAMED`] at most.
+    /// Heard planners below the index, slowest first, at most [`MAX_LISTED`].
     pub slowest: Vec<(String, u64)>,
-    /// Those unheard for longest, [`MOST_NAMED`] at most.
+    /// Planners unheard for longest, at most [`MAX_LISTED`].
     pub unheard: Vec<(String, Span)>,
     pub unheard_count: usize,
-    /// Planners beyond [`MOST_KNOWN`], of whom nothing is known.
+    /// Planners beyond [`MAX_PLANNERS`], whose state is unknown.
     pub uncounted: usize,
-    /// What the counted ones said is no older. None: nobody is counted.
+    /// Reports of the counted planners are at most this old. `None`: none is counted.
     pub age: Option<Span>,
 }
 
 pub struct Roster {
     machine: String,
     config: WatchConfig,
-    known: BTreeMap<String, Known>,
-    /// By the number of their last change: what a machine has not been told yet lies beyond a number.
-    order: BTreeMap<u64, String>,
+    planners: BTreeMap<String, PlannerRow>,
+    /// Planners by the number of their last change: a machine still has to be sent what is above the last
+    /// number sent.
+    by_change: BTreeMap<u64, String>,
     changes: u64,
-    machines: BTreeMap<String, u16>,
-    of: BTreeMap<u16, Machine>,
+    machine_numbers: BTreeMap<String, u16>,
+    machine_states: BTreeMap<u16, Machine>,
     uncounted: BTreeSet<String>,
-    /// Planners that were forgotten, to be said.
+    /// Planners that were removed, to be logged by the caller.
     pub forgotten: Vec<String>,
     rng: fastrand::Rng,
 }
@@ -133,19 +140,18 @@
         Roster {
             machine,
             config: WatchConfig::default(),
-            known: BTreeMap::new(),
-            order: BTreeMap::new(),
+            planners: BTreeMap::new(),
+            by_change: BTreeMap::new(),
             changes: 0,
-            machines: BTreeMap::new(),
-            of: BTreeMap::new(),
+            machine_numbers: BTreeMap::new(),
+            machine_states: BTreeMap::new(),
             uncounted: BTreeSet::new(),
             forgotten: Vec::new(),
             rng: fastrand::Rng::with_seed(seed),
         }
     }
 
-    /// Other spans than the usual ones.
-    pub fn with(mut self, config: WatchConfig) -> Roster {
+    pub fn with_config(mut self, config: WatchConfig) -> Roster {
         self.config = config;
         self
     }
@@ -154,410 +160,444 @@
         &self.machine
     }
 
-    /// Planners known, those that left with them.
-    pub fn size(&self) -> usize {
-        self.known.len()
+    /// Number of planners tracked, including those that left.
+    pub fn planner_count(&self) -> usize {
+        self.planners.len()
     }
 
-    // ---- what changes
+    // ---- changes
 
-    /// A row as it is from here on; false: there is no room for another one.
-    fn put(&mut self, planner: &str, row: Known) -> bool {
-        let was = self.known.get(planner).map(|was| was.changed);
-        if was.is_none() && self.known.len() >= MOST_KNOWN && !self.room() {
-            if self.uncounted.len() < MOST_KNOWN {
+    /// Inserts or updates a row. Returns false if there is no room for a new one.
+    fn put_row(&mut self, planner: &str, row: PlannerRow) -> bool {
+        let previous = self.planners.get(planner).map(|previous| previous.change);
+        if previous.is_none() && self.planners.len() >= MAX_PLANNERS && !self.make_room() {
+            if self.uncounted.len() < MAX_PLANNERS {
                 self.uncounted.insert(planner.into());
             }
             return false;
         }
         self.uncounted.remove(planner);
-        was.map(|was| self.order.remove(&was));
+        previous.map(|previous| self.by_change.remove(&previous));
         self.changes += 1;
-        self.order.insert(self.changes, planner.into());
-        self.known.insert(planner.into(), Known { changed: self.changes, ..row });
+        self.by_change.insert(self.changes, planner.into());
+        self.planners.insert(planner.into(), PlannerRow { change: self.changes, ..row });
         true
     }
 
-    fn drop(&mut self, planner: &str) {
-        if let Some(known) = self.known.remove(planner) {
-            self.order.remove(&known.changed);
+    fn remove_row(&mut self, planner: &str) {
+        if let Some(row) = self.planners.remove(planner) {
+            self.by_change.remove(&row.change);
         }
     }
 
-    /// One that left is remembered only against old words: it goes first.
-    fn room(&mut self) -> bool {
-        let left = self.known.iter().find(|known| known.1.whereabouts == Whereabouts::Left);
-        let left = left.map(|known| known.0.clone());
-        left.as_deref().map(|left| self.drop(left)).is_some()
+    /// Removes a planner that left, whose row only guards against outdated messages.
+    fn make_room(&mut self) -> bool {
+        let left = self.planners.iter().find(|row| row.1.location == Location::Left);
+        let left = left.map(|row| row.0.clone());
+        left.as_deref().map(|left| self.remove_row(left)).is_some()
     }
 
-    /// A planner that watches here had this in force at `vouched` or later.
-    pub fn planner_heard(&mut self, planner: &str, watch: (u64, u64), applied: u64, vouched: Moment) {
-        let was = self.known.get_mut(planner);
-        let here = Whereabouts::Here;
-        if let Some(was) = was {
-            if was.watch > watch {
+    /// A planner that watches here had applied this index at `as_of` or later.
+    pub fn planner_heard(&mut self, planner: &str, watch: (u64, u64), applied: u64, as_of: Moment) {
+        let previous = self.planners.get_mut(planner);
+        let here = Location::Here;
+        if let Some(previous) = previous {
+            if previous.watch > watch {
                 return;
             }
-            let same_start = was.watch.0 == watch.0;
-            let applied = if same_start { applied.max(was.applied) } else { applied };
-            if (was.watch, was.whereabouts, was.applied) == (watch, here, applied) {
-                was.heard = was.heard.max(vouched);
+            let same_start = previous.watch.0 == watch.0;
+            let applied = if same_start { applied.max(previous.applied) } else { applied };
+            if (previous.watch, previous.location, previous.applied) == (watch, here, applied) {
+                previous.last_contact = previous.last_contact.max(as_of);
                 return;
             }
-            let row = Known {
+            let row = PlannerRow {
                 watch,
                 applied,
-                whereabouts: here,
-                heard: vouched,
-                came: vouched,
-                mine: true,
-                changed: 0,
+                location: here,
+                last_contact: as_of,
+                reported_at: as_of,
+                must_report: true,
+                change: 0,
             };
-            self.put(planner, row);
+            self.put_row(planner, row);
             return;
         }
-        self.put(
+        self.put_row(
             planner,
-            Known {
+            PlannerRow {
                 watch,
                 applied,
-                whereabouts: here,
-                heard: vouched,
-                came: vouched,
-                mine: true,
-                changed: 0,
+                location: here,
+                last_contact: as_of,
+                reported_at: as_of,
+                must_report: true,
+                change: 0,
             },
         );
     }
 
-    /// Its watch here ended.
+    /// A watch at this machine ended.
     pub fn watch_ended(&mut self, planner: &str, watch: (u64, u64), left: bool) {
         self.uncounted.remove(planner);
-        let Some(was) = self.known.get(planner).filter(|was| was.watch == watch) else { return };
-        let whereabouts = if left { Whereabouts::Left } else { Whereabouts::Unheard(None) };
-        if left || was.whereabouts == Whereabouts::Here {
-            let row = Known { whereabouts, ..was.clone() };
-            self.put(planner, row);
+        let Some(previous) = self.planners.get(planner).filter(|previous| previous.watch == watch) else {
+            return;
+        };
+        let location = if left { Location::Left } else { Location::Unheard(None) };
+        if left || previous.location == Location::Here {
+            let row = PlannerRow { location, ..previous.clone() };
+            self.put_row(planner, row);
         }
     }
 
-    /// An operator knows that it comes no more. False: it is heard, or not known.
+    /// An operator knows that this planner won't return. Returns false if it is heard, or unknown.
     pub fn forget(&mut self, now: Moment, planner: &str) -> bool {
-        let Some(was) = self.known.get(planner) else { return self.uncounted.remove(planner) };
-        if self.since(now, was).is_ok() {
+        let Some(previous) = self.planners.get(planner) else { return self.uncounted.remove(planner) };
+        if self.contact_age(now, previous).is_ok() {
             return false;
         }
-        let row = Known { whereabouts: Whereabouts::Left, heard: now, mine: true, ..was.clone() };
-        self.put(planner, row)
+        let row =
+            PlannerRow { location: Location::Left, last_contact: now, must_report: true, ..previous.clone() };
+        self.put_row(planner, row)
     }
 
-    fn number(&mut self, now: Moment, machine: &str) -> Option<u16> {
-        if let Some(number) = self.machines.get(machine) {
+    fn machine_number(&mut self, now: Moment, machine: &str) -> Option<u16> {
+        if let Some(number) = self.machine_numbers.get(machine) {
             return Some(*number);
         }
-        if self.machines.len() >= MOST_MACHINES {
+        if self.machine_numbers.len() >= MAX_MACHINES {
             return None;
         }
-        let number = self.machines.len() as u16;
-        self.machines.insert(machine.into(), number);
+        let number = self.machine_numbers.len() as u16;
+        self.machine_numbers.insert(machine.into(), number);
         let machine = Machine {
-            vouched: Moment(0),
-            tells: false,
-            sent: VecDeque::new(),
+            as_of: Moment(0),
+            reporting: false,
+            sent_tokens: VecDeque::new(),
             echo: 0,
             echoed: false,
             full_report_at: None,
-            told: 0,
-            whole: None,
-            said: None,
-            said_life: now,
+            sent_up_to: 0,
+            full_report_end: None,
+            last_update: None,
+            last_heartbeat: now,
         };
-        self.of.insert(number, machine);
+        self.machine_states.insert(number, machine);
         Some(number)
     }
 
-    /// A machine's words.
-    pub fn receive(&mut self, now: Moment, from: &str, word: RosterUpdate) -> Result<(), String> {
-        word.check()?;
-        let number = self.number(now, from).ok_or(format!("{MOST_MACHINES} machines tell rows already"))?;
-        let Some(machine) = self.of.get_mut(&number) else { return Ok(()) };
-        // The first that it was told may have been lost though the link stands.
+    /// Handles an update from another machine.
+    pub fn receive(&mut self, now: Moment, from: &str, update: RosterUpdate) -> Result<(), String> {
+        update.check()?;
+        let number = self
+            .machine_number(now, from)
+            .ok_or(format!("roster limit of {MAX_MACHINES} machines reached"))?;
+        let Some(machine) = self.machine_states.get_mut(&number) else { return Ok(()) };
+        // The start of the report to it may have been lost although the link is up.
         let unanswered =
             machine.full_report_at.is_some_and(|began| now.since(began) >= self.config.machine_timeout);
-        if word.echo == 0 && (machine.echoed || unanswered) {
-            machine.forgets();
+        if update.echo == 0 && (machine.echoed || unanswered) {
+            machine.restart_report();
         }
-        machine.echoed = word.echo != 0;
-        machine.tells |= word.reset;
-        if !machine.tells {
-            // The rest of what it told before its last link ended. What we say next echoes nothing: it begins anew.
+        machine.echoed = update.echo != 0;
+        machine.reporting |= update.reset;
+        if !machine.reporting {
+            // The rest of a report from before its last link ended. Our next update echoes nothing, so that
+            // it starts over.
             return Ok(());
         }
-        machine.echo = word.token;
-        let sent = machine.sent.iter().find(|(token, _)| *token == word.echo).map(|sent| sent.1);
-        if word.reset {
-            // What it told before its last link was of that link; what it says now is all that stands.
-            self.aside(now, number);
+        machine.echo = update.token;
+        let sent = machine.sent_tokens.iter().find(|(token, _)| *token == update.echo).map(|sent| sent.1);
+        if update.reset {
+            // Earlier reports belong to an earlier link; this one replaces them.
+            self.discard_report(now, number);
         }
-        let Some(machine) = self.of.get_mut(&number) else { return Ok(()) };
+        let Some(machine) = self.machine_states.get_mut(&number) else { return Ok(()) };
         if let Some(sent) = sent {
-            machine.vouched = machine.vouched.max(sent - Span::millis(word.max_contact_age_ms.min(1 << 40)));
+            machine.as_of = machine.as_of.max(sent - Span::millis(update.max_contact_age_ms.min(1 << 40)));
         }
-        // No row is vouched for by a word that echoes nothing.
-        let sent = sent.unwrap_or(machine.vouched);
-        for row in word.rows {
-            self.row(now, number, sent, row);
+        // An update that echoes nothing doesn't confirm any row.
+        let sent = sent.unwrap_or(machine.as_of);
+        for row in update.rows {
+            self.receive_row(now, number, sent, row);
         }
         Ok(())
     }
 
-    fn row(&mut self, now: Moment, number: u16, sent: Moment, row: RosterRow) {
+    fn receive_row(&mut self, now: Moment, number: u16, sent: Moment, row: RosterRow) {
         let watch = (row.start, row.watch_number);
-        let quiet = Span::millis(row.contact_age_ms.min(1 << 40));
-        let whereabouts = match (row.left, row.connected) {
-            (true, _) => Whereabouts::Left,
-            (false, true) => Whereabouts::At(number),
-            (false, false) => Whereabouts::Unheard(Some(number)),
+        let contact_age = Span::millis(row.contact_age_ms.min(1 << 40));
+        let location = match (row.left, row.connected) {
+            (true, _) => Location::Left,
+            (false, true) => Location::AtMachine(number),
+            (false, false) => Location::Unheard(Some(number)),
         };
-        // Forgotten here already, or about to be.
-        let old = quiet >= FORGOTTEN && !row.connected;
-        // Of one that is not counted it is only told since when.
-        let heard = if row.connected { sent - quiet } else { now - quiet };
-        let at = |was: &Known| was.whereabouts == Whereabouts::At(number) && row.connected;
-        let (applied, heard) = match self.known.get(&row.planner) {
-            None if old => return,
-            None => (row.applied, heard),
-            Some(was) if was.watch > watch => return,
-            Some(was) if was.watch == watch => {
-                // Its own machine knows best; what others heard of that is no news.
-                let own = !matches!(was.whereabouts, Whereabouts::Here | Whereabouts::At(_))
-                    || was.whereabouts == Whereabouts::At(number);
-                if !own || (was.whereabouts == Whereabouts::Left && !row.left) {
+        // Already removed here, or about to be.
+        let expired = contact_age >= FORGET_AFTER && !row.connected;
+        // For a planner that isn't counted, only the time of its silence is reported.
+        let last_contact = if row.connected { sent - contact_age } else { now - contact_age };
+        let at = |previous: &PlannerRow| previous.location == Location::AtMachine(number) && row.connected;
+        let (applied, last_contact) = match self.planners.get(&row.planner) {
+            None if expired => return,
+            None => (row.applied, last_contact),
+            Some(previous) if previous.watch > watch => return,
+            Some(previous) if previous.watch == watch => {
+                // The machine that it watches knows best; reports by others don't override it.
+                let authoritative = !matches!(previous.location, Location::Here | Location::AtMachine(_))
+                    || previous.location == Location::AtMachine(number);
+                if !authoritative || (previous.location == Location::Left && !row.left) {
                     return;
                 }
-                (row.applied.max(was.applied), if at(was) { heard.max(was.heard) } else { heard })
+                (
+                    row.applied.max(previous.applied),
+                    if at(previous) { last_contact.max(previous.last_contact) } else { last_contact },
+                )
+            }
+            Some(previous) if previous.watch.0 == watch.0 => {
+                (row.applied.max(previous.applied), last_contact)
             }
-            Some(was) if was.watch.0 == watch.0 => (row.applied.max(was.applied), heard),
-            Some(_) => (row.applied, heard),
+            Some(_) => (row.applied, last_contact),
         };
-        let mine = self.known.get(&row.planner).is_some_and(|was| was.mine && !self.all_know(was));
-        let changed = Known { watch, applied, whereabouts, heard, came: now, mine, changed: 0 };
-        let same = self
-            .known
+        let must_report = self
+            .planners
             .get(&row.planner)
-            .is_some_and(|was| (was.watch, was.applied, was.whereabouts) == (watch, applied, whereabouts));
+            .is_some_and(|previous| previous.must_report && !self.all_machines_notified(previous));
+        let update =
+            PlannerRow { watch, applied, location, last_contact, reported_at: now, must_report, change: 0 };
+        let same = self.planners.get(&row.planner).is_some_and(|previous| {
+            (previous.watch, previous.applied, previous.location) == (watch, applied, location)
+        });
         if !same {
-            self.put(&row.planner, changed);
+            self.put_row(&row.planner, update);
         }
     }
 
-    /// It is not here any more, and all whose links stand were told; to the others all is told anew.
-    fn all_know(&self, was: &Known) -> bool {
-        let here = matches!(was.whereabouts, Whereabouts::Here | Whereabouts::Unheard(None));
-        !here && self.of.values().all(|machine| machine.said.is_none() || machine.told >= was.changed)
+    /// It is no longer here, and all machines with a link were told; the others will get a full report.
+    fn all_machines_notified(&self, previous: &PlannerRow) -> bool {
+        let here = matches!(previous.location, Location::Here | Location::Unheard(None));
+        !here
+            && self
+                .machine_states
+                .values()
+                .all(|machine| machine.last_update.is_none() || machine.sent_up_to >= previous.change)
     }
 
-    /// What this machine told is not known to stand any more.
-    fn aside(&mut self, now: Moment, number: u16) {
-        let Some(vouched) = self.of.get(&number).map(|machine| machine.vouched) else { return };
-        let at = Whereabouts::At(number);
-        let rows: Vec<String> = self
-            .known
-            .iter()
-            .filter(|known| known.1.whereabouts == at)
-            .map(|known| known.0.clone())
-            .collect();
+    /// What this machine reported is no longer known to be current.
+    fn discard_report(&mut self, now: Moment, number: u16) {
+        let Some(as_of) = self.machine_states.get(&number).map(|machine| machine.as_of) else { return };
+        let at = Location::AtMachine(number);
+        let rows: Vec<String> =
+            self.planners.iter().filter(|row| row.1.location == at).map(|row| row.0.clone()).collect();
         for planner in rows {
-            if let Some(was) = self.known.get(&planner) {
-                let whereabouts = Whereabouts::Unheard(Some(number));
-                let heard = Some(was.heard.max(vouched)).filter(|heard| *heard > Moment(0)).unwrap_or(now);
-                let row = Known { whereabouts, heard, ..was.clone() };
-                self.put(&planner, row);
+            if let Some(previous) = self.planners.get(&planner) {
+                let location = Location::Unheard(Some(number));
+                let last_contact = Some(previous.last_contact.max(as_of))
+                    .filter(|last_contact| *last_contact > Moment(0))
+                    .unwrap_or(now);
+                let row = PlannerRow { location, last_contact, ..previous.clone() };
+                self.put_row(&planner, row);
             }
         }
     }
 
-    /// The link to a machine ended, or it is not heard. On its next link all is told anew, by both.
+    /// The link to a machine ended, or it is silent. On the next link both sides send a full report.
     pub fn machine_lost(&mut self, now: Moment, from: &str) {
-        let Some(number) = self.number(now, from) else { return };
-        self.aside(now, number);
-        if let Some(machine) = self.of.get_mut(&number) {
-            machine.forgets();
-            (machine.tells, machine.echo, machine.echoed) = (false, 0, false);
-            machine.sent.clear();
+        let Some(number) = self.machine_number(now, from) else { return };
+        self.discard_report(now, number);
+        if let Some(machine) = self.machine_states.get_mut(&number) {
+            machine.restart_report();
+            (machine.reporting, machine.echo, machine.echoed) = (false, 0, false);
+            machine.sent_tokens.clear();
         }
     }
 
-    // ---- what is told
+    // ---- updates to other machines
 
-    /// What a machine is to be told now; to be asked some times a second for each machine whose link stands.
+    /// Updates to send to a machine now; to be called several times a second for each machine with a link.
     pub fn updates_for(&mut self, now: Moment, to: &str) -> Vec<RosterUpdate> {
-        self.forget_old(now);
-        self.quiet(now);
-        let Some(number) = self.number(now, to) else { return Vec::new() };
-        let max_contact_age_ms = up_ms(self.config.at_most(self.oldest_here(now)));
-        let Some(machine) = self.of.get(&number) else { return Vec::new() };
-        let reset = machine.said.is_none();
-        let whole = if reset { Some(self.changes) } else { machine.whole };
-        let (life, changes) = match machine.said {
+        self.remove_expired(now);
+        self.mark_silent(now);
+        let Some(number) = self.machine_number(now, to) else { return Vec::new() };
+        let max_contact_age_ms = to_ms_rounded_up(self.config.max_elapsed(self.oldest_here(now)));
+        let Some(machine) = self.machine_states.get(&number) else { return Vec::new() };
+        let reset = machine.last_update.is_none();
+        let full_report_end = if reset { Some(self.changes) } else { machine.full_report_end };
+        let (heartbeat_due, update_due) = match machine.last_update {
             None => (true, true),
-            Some(said) => (now.since(machine.said_life) >= LIFE, now.since(said) >= CHANGES),
+            Some(last_update) => (
+                now.since(machine.last_heartbeat) >= HEARTBEAT_INTERVAL,
+                now.since(last_update) >= UPDATE_INTERVAL,
+            ),
         };
-        let mut words: Vec<RosterUpdate> = Vec::new();
-        let (mut told, mut rows) = (machine.told, Vec::new());
-        let mut rest = false;
-        if changes {
-            for (change, planner) in self.order.range(told + 1..) {
-                if words.len() == MOST_WORDS {
-                    rest = true;
+        let mut updates: Vec<RosterUpdate> = Vec::new();
+        let (mut sent_up_to, mut rows) = (machine.sent_up_to, Vec::new());
+        let mut more = false;
+        if update_due {
+            for (change, planner) in self.by_change.range(sent_up_to + 1..) {
+                if updates.len() == MAX_UPDATES_PER_CALL {
+                    more = true;
                     break;
                 }
-                told = *change;
-                let Some(known) = self.known.get(planner) else { continue };
-                rows.extend(self.row_of(now, planner, known, whole.is_some_and(|whole| *change <= whole)));
-                if rows.len() == MOST_ROWS {
-                    words.push(RosterUpdate { rows: std::mem::take(&mut rows), ..RosterUpdate::default() });
+                sent_up_to = *change;
+                let Some(row) = self.planners.get(planner) else { continue };
+                rows.extend(self.to_row(
+                    now,
+                    planner,
+                    row,
+                    full_report_end.is_some_and(|end| *change <= end),
+                ));
+                if rows.len() == MAX_ROWS {
+                    updates.push(RosterUpdate { rows: std::mem::take(&mut rows), ..RosterUpdate::default() });
                 }
             }
         }
-        if !rows.is_empty() || (words.is_empty() && life) {
-            words.push(RosterUpdate { rows, ..RosterUpdate::default() });
+        if !rows.is_empty() || (updates.is_empty() && heartbeat_due) {
+            updates.push(RosterUpdate { rows, ..RosterUpdate::default() });
         }
-        let Some(machine) = self.of.get_mut(&number) else { return Vec::new() };
-        machine.whole = whole.filter(|whole| rest || told < *whole);
-        machine.told = told;
+        let Some(machine) = self.machine_states.get_mut(&number) else { return Vec::new() };
+        machine.full_report_end = full_report_end.filter(|end| more || sent_up_to < *end);
+        machine.sent_up_to = sent_up_to;
         if reset {
             machine.full_report_at = Some(now);
         }
-        let last = words.len();
-        for (at, word) in words.iter_mut().enumerate() {
-            word.token = self.rng.u64(1..);
-            (word.echo, word.reset) = (machine.echo, reset && at == 0);
-            // Before all that changed is told nothing is vouched for: one that is heard no more may be among the rest.
-            word.max_contact_age_ms = if rest || at + 1 < last { NOT_VOUCHED } else { max_contact_age_ms };
-            machine.sent.push_back((word.token, now));
-            (machine.said, machine.said_life) = (Some(now), now);
+        let last = updates.len();
+        for (at, update) in updates.iter_mut().enumerate() {
+            update.token = self.rng.u64(1..);
+            (update.echo, update.reset) = (machine.echo, reset && at == 0);
+            // Nothing is confirmed until all changes are sent: a planner that is no longer heard may be
+            // among the rest.
+            update.max_contact_age_ms =
+                if more || at + 1 < last { UNCONFIRMED_MS } else { max_contact_age_ms };
+            machine.sent_tokens.push_back((update.token, now));
+            (machine.last_update, machine.last_heartbeat) = (Some(now), now);
         }
-        while machine.sent.len() > MOST_TOKENS {
-            machine.sent.pop_front();
+        while machine.sent_tokens.len() > MAX_TOKENS {
+            machine.sent_tokens.pop_front();
         }
-        words
+        updates
     }
 
-    /// Own rows; of others those that no machine may tell of any more, where all is told.
-    fn row_of(&self, now: Moment, planner: &str, known: &Known, whole: bool) -> Option<RosterRow> {
-        let heard = self.since(now, known);
-        let nobodys = !matches!(known.whereabouts, Whereabouts::At(_));
-        (known.mine || (whole && nobodys)).then(|| RosterRow {
+    /// Rows of own watchers and, in a full report, those that no other machine may report any more.
+    fn to_row(
+        &self,
+        now: Moment,
+        planner: &str,
+        row: &PlannerRow,
+        in_full_report: bool,
+    ) -> Option<RosterRow> {
+        let age = self.contact_age(now, row);
+        let not_elsewhere = !matches!(row.location, Location::AtMachine(_));
+        (row.must_report || (in_full_report && not_elsewhere)).then(|| RosterRow {
             planner: planner.into(),
-            start: known.watch.0,
-            watch_number: known.watch.1,
-            applied: known.applied,
-            contact_age_ms: up_ms(self.config.at_most(heard.unwrap_or_else(|quiet| quiet))),
-            connected: known.whereabouts == Whereabouts::Here && heard.is_ok(),
-            left: known.whereabouts == Whereabouts::Left,
+            start: row.watch.0,
+            watch_number: row.watch.1,
+            applied: row.applied,
+            contact_age_ms: to_ms_rounded_up(self.config.max_elapsed(age.unwrap_or_else(|age| age))),
+            connected: row.location == Location::Here && age.is_ok(),
+            left: row.location == Location::Left,
         })
     }
 
-    /// Of those that are heard here the longest since.
+    /// Longest time since a planner that counts as heard here was last heard.
     fn oldest_here(&self, now: Moment) -> Span {
-        let here = self.known.values().filter(|known| known.whereabouts == Whereabouts::Here);
-        here.filter_map(|known| self.since(now, known).ok()).max().unwrap_or(Span(0))
+        let here = self.planners.values().filter(|row| row.location == Location::Here);
+        here.filter_map(|row| self.contact_age(now, row).ok()).max().unwrap_or(Span(0))
     }
 
-    /// Of those that watch here and are not heard the others are told, whatever becomes of their links.
-    fn quiet(&mut self, now: Moment) {
-        let quiet = |known: &Known| known.whereabouts == Whereabouts::Here && self.since(now, known).is_err();
-        let quiet: Vec<String> =
-            self.known.iter().filter(|known| quiet(known.1)).map(|known| known.0.clone()).collect();
-        for planner in quiet {
-            if let Some(was) = self.known.get(&planner) {
-                let row = Known { whereabouts: Whereabouts::Unheard(None), ..was.clone() };
-                self.put(&planner, row);
+    /// Marks planners that watch here but are silent as unheard, so that the others are told even if the
+    /// link stays open.
+    fn mark_silent(&mut self, now: Moment) {
+        let silent = |row: &PlannerRow| row.location == Location::Here && self.contact_age(now, row).is_err();
+        let silent: Vec<String> =
+            self.planners.iter().filter(|row| silent(row.1)).map(|row| row.0.clone()).collect();
+        for planner in silent {
+            if let Some(previous) = self.planners.get(&planner) {
+                let row = PlannerRow { location: Location::Unheard(None), ..previous.clone() };
+                self.put_row(&planner, row);
             }
         }
     }
 
-    fn forget_old(&mut self, now: Moment) {
-        let old = |known: &Known| {
-            let gone = matches!(known.whereabouts, Whereabouts::Unheard(_) | Whereabouts::Left);
-            gone && now.since(known.heard) >= FORGOTTEN
+    fn remove_expired(&mut self, now: Moment) {
+        let expired = |row: &PlannerRow| {
+            let gone = matches!(row.location, Location::Unheard(_) | Location::Left);
+            gone && now.since(row.last_contact) >= FORGET_AFTER
         };
-        let gone: Vec<(String, bool)> = self
-            .known
+        let removed: Vec<(String, bool)> = self
+            .planners
             .iter()
-            .filter(|known| old(known.1))
-            .map(|known| (known.0.clone(), known.1.whereabouts == Whereabouts::Left))
+            .filter(|row| expired(row.1))
+            .map(|row| (row.0.clone(), row.1.location == Location::Left))
             .collect();
-        for (planner, left) in gone {
-            self.drop(&planner);
-            if !left && self.forgotten.len() < MOST_NAMED {
+        for (planner, left) in removed {
+            self.remove_row(&planner);
+            if !left && self.forgotten.len() < MAX_LISTED {
                 self.forgotten.push(planner);
             }
         }
     }
 
-    // ---- what is asked
-
-    /// For how long a planner was not heard: within its bound, or beyond it.
-    fn since(&self, now: Moment, known: &Known) -> Result<Span, Span> {
-        let (heard, bound) = match known.whereabouts {
-            Whereabouts::Here => (known.heard, self.config.planner_timeout),
-            Whereabouts::At(number) => {
-                let machine = self.of.get(&number);
-                let vouched = machine.filter(|machine| machine.tells).map(|machine| machine.vouched);
-                // A row may be newer than the last word that says how old all of them are at most.
-                let heard = vouched.unwrap_or(Moment(0)).max(known.heard);
-                (heard, self.config.planner_timeout + self.config.machine_timeout)
+    // ---- queries
+
+    /// Time since a planner was last heard: `Ok` within its limit, `Err` beyond it.
+    fn contact_age(&self, now: Moment, row: &PlannerRow) -> Result<Span, Span> {
+        let (last_contact, bound) = match row.location {
+            Location::Here => (row.last_contact, self.config.planner_timeout),
+            Location::AtMachine(number) => {
+                let machine = self.machine_states.get(&number);
+                let as_of = machine.filter(|machine| machine.reporting).map(|machine| machine.as_of);
+                // A row may be newer than the last update that bounds the age of all rows.
+                let last_contact = as_of.unwrap_or(Moment(0)).max(row.last_contact);
+                (last_contact, self.config.planner_timeout + self.config.machine_timeout)
             }
-            Whereabouts::Unheard(_) | Whereabouts::Left => (known.heard, Span(0)),
+            Location::Unheard(_) | Location::Left => (row.last_contact, Span(0)),
         };
-        let quiet = now.since(heard);
-        match (quiet < bound, known.whereabouts) {
-            (true, _) => Ok(quiet),
-            // Nothing vouches for it yet: not counted, and unheard for no longer than it is known of.
-            (false, Whereabouts::At(_)) => Err(quiet.min(now.since(known.came))),
-            (false, _) => Err(quiet),
+        let contact_age = now.since(last_contact);
+        match (contact_age < bound, row.location) {
+            (true, _) => Ok(contact_age),
+            // Not confirmed yet: not counted, and unheard for no longer than it has been known.
+            (false, Location::AtMachine(_)) => Err(contact_age.min(now.since(row.reported_at))),
+            (false, _) => Err(contact_age),
         }
     }
 
     pub fn in_force(&self, now: Moment, index: u64) -> InForce {
         let mut found = InForce { uncounted: self.uncounted.len(), ..InForce::default() };
-        for (planner, known) in &self.known {
-            if known.whereabouts == Whereabouts::Left {
+        for (planner, row) in &self.planners {
+            if row.location == Location::Left {
                 continue;
             }
             found.expected += 1;
-            let quiet = match self.since(now, known) {
-                Ok(quiet) => quiet,
-                Err(quiet) => {
+            let contact_age = match self.contact_age(now, row) {
+                Ok(contact_age) => contact_age,
+                Err(contact_age) => {
                     found.unheard_count += 1;
-                    found.unheard.push((planner.clone(), quiet));
+                    found.unheard.push((planner.clone(), contact_age));
                     continue;
                 }
             };
             found.heard += 1;
-            found.lowest = Some(found.lowest.map_or(known.applied, |lowest| lowest.min(known.applied)));
-            if known.applied >= index {
+            found.lowest = Some(found.lowest.map_or(row.applied, |lowest| lowest.min(row.applied)));
+            if row.applied >= index {
                 found.at_or_past += 1;
-                let quiet = self.config.at_most(quiet);
-                found.age = Some(found.age.map_or(quiet, |age| age.max(quiet)));
+                let contact_age = self.config.max_elapsed(contact_age);
+                found.age = Some(found.age.map_or(contact_age, |age| age.max(contact_age)));
             } else {
-                found.slowest.push((planner.clone(), known.applied));
+                found.slowest.push((planner.clone(), row.applied));
             }
         }
-        found.unheard.sort_by_key(|(planner, quiet)| (std::cmp::Reverse(*quiet), planner.clone()));
-        found.unheard.truncate(MOST_NAMED);
+        found.unheard.sort_by_key(|(planner, age)| (std::cmp::Reverse(*age), planner.clone()));
+        found.unheard.truncate(MAX_LISTED);
         found.slowest.sort_by_key(|(planner, applied)| (*applied, planner.clone()));
-        found.slowest.truncate(MOST_NAMED);
+        found.slowest.truncate(MAX_LISTED);
         found
     }
 
-    /// What is believed of one planner: its place, and whether it is counted. For tests and explore.
+    /// The applied index of one planner and the age of its report, if it is counted. For tests and
+    /// simulation.
     pub fn counted(&self, now: Moment, planner: &str) -> Option<(u64, Span)> {
-        let known = self.known.get(planner)?;
-        let quiet = self.since(now, known).ok()?;
-        Some((known.applied, self.config.at_most(quiet)))
+        let row = self.planners.get(planner)?;
+        let contact_age = self.contact_age(now, row).ok()?;
+        Some((row.applied, self.config.max_elapsed(contact_age)))
     }
 }
--- a/crates/watch/src/scope.rs
+++ b/crates/watch/src/scope.rs
@@ -1,21 +1,21 @@
-//! What a planner wants to be told of.
+//! The part of the record that a planner receives.
 //!
 //! | key | in scope |
 //! | --- | --- |
-//! | `server/NAME`, `weight/NAME`, `drain/NAME` | that server is named, or all are |
-//! | `route/NAME` | that route is named, or all are |
+//! | `server/NAME`, `weight/NAME`, `drain/NAME` | if that server is listed, or all servers are in scope |
+//! | `route/NAME` | if that route is listed, or all routes are in scope |
 //! | `zone/NAME`, `releases`, `duties` | always |
 
-use crate::messages::{ScopeMessage, MOST_KEY, MOST_NAME, MOST_WORD};
+use crate::messages::{ScopeMessage, MAX_KEY_BYTES, MAX_MESSAGE_BYTES, MAX_NAME_BYTES};
 use prost::Message;
 use std::collections::BTreeSet;
 
-/// Bytes of a hello beside its scope.
-const MOST_HELLO: usize = MOST_NAME + MOST_KEY + 256;
+/// Size limit of a `Hello` without its scope.
+const MAX_HELLO_BYTES: usize = MAX_NAME_BYTES + MAX_KEY_BYTES + 256;
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Scope {
-    /// None: all.
+    /// `None`: all.
     pub servers: Option<BTreeSet<String>>,
     pub routes: Option<BTreeSet<String>>,
 }
@@ -35,7 +35,7 @@
         }
     }
 
-    /// As it is said, as the so manieth of a planner.
+    /// `number` identifies the scope among those of one planner.
     pub fn to_message(&self, number: u64) -> ScopeMessage {
         let names = |names: &Option<BTreeSet<String>>| names.iter().flatten().cloned().collect();
         ScopeMessage {
@@ -47,10 +47,10 @@
         }
     }
 
-    /// Itself where it can be said, or all: told too much, a planner is not wrong.
+    /// Widens a scope that is too large for a message to all: receiving too much is harmless.
     pub fn or_all_if_too_large(self) -> Scope {
-        let told = self.to_message(0);
-        match told.check().is_ok() && told.encoded_len() + MOST_HELLO <= MOST_WORD {
+        let message = self.to_message(0);
+        match message.check().is_ok() && message.encoded_len() + MAX_HELLO_BYTES <= MAX_MESSAGE_BYTES {
             true => self,
             false => Scope::ALL,
         }
@@ -58,8 +58,11 @@
 }
 
 impl From<ScopeMessage> for Scope {
-    fn from(told: ScopeMessage) -> Scope {
+    fn from(message: ScopeMessage) -> Scope {
         let names = |all: bool, names: Vec<String>| (!all).then(|| names.into_iter().collect());
-        Scope { servers: names(told.all_servers, told.servers), routes: names(told.all_routes, told.routes) }
+        Scope {
+            servers: names(message.all_servers, message.servers),
+            routes: names(message.all_routes, message.routes),
+        }
     }
 }
--- a/crates/watch/src/server.rs
+++ b/crates/watch/src/server.rs
@@ -1,45 +1,46 @@
-//! A control machine's side: watches of planners, as a machine without I/O, over words.
+//! The control machine's end of its watches, as a state machine without I/O that works on messages.
 //!
-//! Nothing is queued for a watcher: it has a position in the cache and at most [`MAX_CHUNKS_IN_FLIGHT`] pieces on their way. What is
-//! held for one is so bounded by its scope's names and two pieces; in all by [`WatchConfig::most_watches`] of them, and by
-//! [`MOST_STRANGERS`] links beside that have not said who they are or are being closed.
+//! There is no queue per watcher: each has a position in the cache and at most [`MAX_CHUNKS_IN_FLIGHT`]
+//! chunks in flight. The memory per watcher is bounded by its scope's names and two chunks, the number of
+//! watchers by [`WatchConfig::max_watches`], and the links that have not sent `Hello` or are being closed by
+//! [`MAX_UNIDENTIFIED`].
 
 mod admission;
 
 use crate::cache::Cache;
-use crate::config::{up_ms, WatchConfig};
+use crate::chunks::{ChunkCache, Position};
+use crate::config::{to_ms_rounded_up, WatchConfig};
 use crate::messages::{Ack, Kind, Ping, Pong, Reason, ScopeMessage, MAX_CHUNKS_IN_FLIGHT};
-use crate::pieces::{Position, Shared};
 use crate::scope::Scope;
-use crate::session::{row, Effect, Event, Session, State, MOST_ANSWERS};
+use crate::session::{transition, Effect, Event, Session, State, MAX_ECHOED_PONGS};
 use pewtergap_node::Link;
 use pewtergap_time::{Moment, Span};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-/// Links that have not said hello, or are being closed; beyond it they are cut unheard.
-pub const MOST_STRANGERS: usize = 1_024;
-/// Late by more than this: it was not the others that were silent.
-const LATE: Span = Span::millis(1_000);
+/// Links that have not sent `Hello` or are being closed; further ones are reset on accept.
+pub const MAX_UNIDENTIFIED: usize = 1_024;
+/// If a timer fires later than this, this process was stalled and the peers' silence means nothing.
+const STALL_THRESHOLD: Span = Span::millis(1_000);
 
-/// What the machine wants done.
+/// What the caller has to do.
 #[derive(Debug)]
-pub enum Act {
-    Say(Link, Kind),
-    /// A piece, as a frame.
-    Piece(Link, Vec<u8>),
-    /// Close once all is written.
-    Finish(Link),
-    Cut(Link),
-    /// A planner watches here, and had so much in force at this moment or later.
-    Heard {
+pub enum Action {
+    Send(Link, Kind),
+    /// A chunk, as a frame.
+    SendFrame(Link, Vec<u8>),
+    /// Close once everything is written.
+    Close(Link),
+    Abort(Link),
+    /// A planner watches here and had applied this index at `as_of` or later.
+    PlannerHeard {
         planner: String,
         start: u64,
         watch_number: u64,
         applied: u64,
-        vouched: Moment,
+        as_of: Moment,
     },
-    Gone {
+    WatchEnded {
         planner: String,
         start: u64,
         watch_number: u64,
@@ -47,21 +48,21 @@
     },
 }
 
-/// For operators.
+/// Statistics for operators.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WatchServerStats {
     pub head: u64,
     pub watches: usize,
-    /// Links that have not said hello, or are being closed.
+    /// Links that have not sent `Hello` or are being closed.
     pub unidentified: usize,
     pub snapshots_active: usize,
     pub snapshots_queued: usize,
     pub chunks_sent: u64,
-    /// Pieces that were made, and told from those made.
+    /// Chunks built, and chunks reused.
     pub chunks_built: u64,
     pub chunks_reused: u64,
     pub refused: BTreeMap<Reason, u64>,
-    /// Bytes said, and heard.
+    /// Set by the caller, which knows the links.
     pub bytes_sent: u64,
     pub bytes_received: u64,
 }
@@ -71,22 +72,22 @@
     machine: String,
     record_id: Option<u64>,
     cache: Cache,
-    asked: Option<Moment>,
+    fresh_as_of: Option<Moment>,
     sessions: BTreeMap<Link, Session>,
     planners: BTreeMap<String, Link>,
-    /// Who is to be looked at, and when.
-    due: BTreeSet<(Moment, Link)>,
-    /// Scopes in use: what stands for each, and by how many it is used.
+    /// Sessions by the time of their next check.
+    schedule: BTreeSet<(Moment, Link)>,
+    /// Scopes in use, with their id and use count.
     scopes: BTreeMap<Arc<Scope>, (u64, usize)>,
-    scopes_made: u64,
-    queue: VecDeque<Link>,
-    snapshots: usize,
-    turning: bool,
-    shared: Shared,
+    last_scope_id: u64,
+    snapshot_queue: VecDeque<Link>,
+    active_snapshots: usize,
+    granting_slots: bool,
+    chunk_cache: ChunkCache,
     stopping: bool,
-    grace: Moment,
+    resumed_at: Moment,
     rng: fastrand::Rng,
-    pieces: u64,
+    chunks_sent: u64,
     refused: BTreeMap<Reason, u64>,
 }
 
@@ -96,21 +97,21 @@
             config,
             machine,
             record_id: None,
-            cache: Cache::remembering(config.max_tombstones),
-            asked: None,
+            cache: Cache::with_max_tombstones(config.max_tombstones),
+            fresh_as_of: None,
             sessions: BTreeMap::new(),
             planners: BTreeMap::new(),
-            due: BTreeSet::new(),
+            schedule: BTreeSet::new(),
             scopes: BTreeMap::new(),
-            scopes_made: 0,
-            queue: VecDeque::new(),
-            snapshots: 0,
-            turning: false,
-            shared: Shared::default(),
+            last_scope_id: 0,
+            snapshot_queue: VecDeque::new(),
+            active_snapshots: 0,
+            granting_slots: false,
+            chunk_cache: ChunkCache::default(),
             stopping: false,
-            grace: Moment(0),
+            resumed_at: Moment(0),
             rng: fastrand::Rng::with_seed(seed),
-            pieces: 0,
+            chunks_sent: 0,
             refused: BTreeMap::new(),
         }
     }
@@ -120,25 +121,25 @@
     }
 
     pub fn stats(&self) -> WatchServerStats {
-        let watches = self.sessions.values().filter(|session| session.watches()).count();
+        let watches = self.sessions.values().filter(|session| session.is_watching()).count();
         WatchServerStats {
             head: self.cache.head(),
             watches,
             unidentified: self.sessions.len() - watches,
-            snapshots_active: self.snapshots,
-            snapshots_queued: self.queue.len(),
-            chunks_sent: self.pieces,
-            chunks_built: self.shared.made,
-            chunks_reused: self.shared.shared,
+            snapshots_active: self.active_snapshots,
+            snapshots_queued: self.snapshot_queue.len(),
+            chunks_sent: self.chunks_sent,
+            chunks_built: self.chunk_cache.built,
+            chunks_reused: self.chunk_cache.reused,
             refused: self.refused.clone(),
             bytes_sent: 0,
             bytes_received: 0,
         }
     }
 
-    /// The most pieces on their way to any one watcher.
+    /// The largest number of chunks in flight to any watcher.
     pub fn max_in_flight(&self) -> usize {
-        self.sessions.values().map(|session| session.flight.len()).max().unwrap_or(0)
+        self.sessions.values().map(|session| session.in_flight.len()).max().unwrap_or(0)
     }
 
     pub fn owns_link(&self, link: Link) -> bool {
@@ -147,17 +148,17 @@
 
     /// When `tick` is to be called next.
     pub fn due(&self) -> Option<Moment> {
-        self.due.first().map(|due| due.0)
+        self.schedule.first().map(|due| due.0)
     }
 
     // ---- the record
 
-    /// The record's identity. Whoever watched another one begins elsewhere.
-    pub fn set_record_id(&mut self, now: Moment, record_id: u64, acts: &mut Vec<Act>) {
-        if self.record_id.replace(record_id).is_some_and(|was| was != record_id) {
-            (self.cache, self.asked) = (Cache::remembering(self.config.max_tombstones), None);
-            self.shared.clear();
-            self.everybody(now, Reason::Record, acts);
+    /// Sets the record's id. Watchers of another record are closed.
+    pub fn set_record_id(&mut self, now: Moment, record_id: u64, actions: &mut Vec<Action>) {
+        if self.record_id.replace(record_id).is_some_and(|previous| previous != record_id) {
+            (self.cache, self.fresh_as_of) = (Cache::with_max_tombstones(self.config.max_tombstones), None);
+            self.chunk_cache.clear();
+            self.refuse_all(now, Reason::Record, actions);
         }
     }
 
@@ -166,147 +167,170 @@
         now: Moment,
         index: u64,
         changes: impl IntoIterator<Item = (String, Option<Vec<u8>>)>,
-        acts: &mut Vec<Act>,
+        actions: &mut Vec<Action>,
     ) {
         self.cache.apply(index, changes);
-        self.moved(now, acts);
+        self.send_changes(now, actions);
     }
 
-    pub fn restore(&mut self, now: Moment, index: u64, all: BTreeMap<String, Vec<u8>>, acts: &mut Vec<Act>) {
+    pub fn restore(
+        &mut self,
+        now: Moment,
+        index: u64,
+        all: BTreeMap<String, Vec<u8>>,
+        actions: &mut Vec<Action>,
+    ) {
         self.cache.restore(index, all);
-        self.moved(now, acts);
+        self.send_changes(now, actions);
     }
 
-    fn moved(&mut self, now: Moment, acts: &mut Vec<Act>) {
-        self.shared.clear();
+    fn send_changes(&mut self, now: Moment, actions: &mut Vec<Action>) {
+        self.chunk_cache.clear();
         let links: Vec<Link> = self.sessions.keys().copied().collect();
-        links.into_iter().for_each(|link| self.pump(now, link, acts));
+        links.into_iter().for_each(|link| self.send_chunks(now, link, actions));
     }
 
-    /// All that had been kept at this moment is applied here.
+    /// Everything committed at this moment is applied here.
     pub fn confirm_fresh(&mut self, asked: Moment) {
-        self.asked = Some(self.asked.map_or(asked, |was| was.max(asked)));
+        self.fresh_as_of = Some(self.fresh_as_of.map_or(asked, |previous| previous.max(asked)));
     }
 
-    /// All that was kept so long ago is applied here.
+    /// Everything committed up to this long ago is applied here.
     pub fn age(&self, now: Moment) -> Option<Span> {
-        self.asked.map(|asked| self.config.at_most(now.since(asked)))
+        self.fresh_as_of.map(|asked| self.config.max_elapsed(now.since(asked)))
     }
 
     // ---- links
 
-    pub fn accepted(&mut self, now: Moment, link: Link, acts: &mut Vec<Act>) {
+    pub fn accepted(&mut self, now: Moment, link: Link, actions: &mut Vec<Action>) {
         let watches = self.planners.len();
-        if self.sessions.len() - watches >= MOST_STRANGERS {
-            return acts.push(Act::Cut(link));
+        if self.sessions.len() - watches >= MAX_UNIDENTIFIED {
+            return actions.push(Action::Abort(link));
         }
         self.sessions.insert(link, Session::new(now));
-        self.look_again(link);
+        self.reschedule(link);
         if self.stopping {
-            self.event(now, link, Event::Refused(Reason::Stopping), "the machine ends", acts);
+            self.apply_event(
+                now,
+                link,
+                Event::Refused(Reason::Stopping),
+                "the machine is shutting down",
+                actions,
+            );
         }
     }
 
-    pub fn closed(&mut self, now: Moment, link: Link, acts: &mut Vec<Act>) {
-        if let Some(session) = self.sessions.get_mut(&link).filter(|session| session.watches()) {
-            let was = std::mem::replace(&mut session.state, State::Ending);
-            self.unwatch(now, link, was, false, acts);
-            self.turns(now, acts);
+    pub fn closed(&mut self, now: Moment, link: Link, actions: &mut Vec<Action>) {
+        if let Some(session) = self.sessions.get_mut(&link).filter(|session| session.is_watching()) {
+            let previous = std::mem::replace(&mut session.state, State::Closing);
+            self.end_watch(now, link, previous, false, actions);
+            self.grant_slots(now, actions);
         }
         if let Some(session) = self.sessions.remove(&link) {
-            self.due.remove(&(session.due, link));
+            self.schedule.remove(&(session.scheduled_check, link));
         }
     }
 
-    /// What came can't be read.
-    pub fn wrong(&mut self, now: Moment, link: Link, why: &str, acts: &mut Vec<Act>) {
-        self.event(now, link, Event::Refused(Reason::Bad), why, acts);
+    /// A message is malformed or not allowed.
+    pub fn protocol_error(&mut self, now: Moment, link: Link, why: &str, actions: &mut Vec<Action>) {
+        self.apply_event(now, link, Event::Refused(Reason::Bad), why, actions);
     }
 
-    pub fn word(&mut self, now: Moment, link: Link, word: Kind, acts: &mut Vec<Act>) {
+    pub fn handle_message(&mut self, now: Moment, link: Link, message: Kind, actions: &mut Vec<Action>) {
         let Some(session) = self.sessions.get_mut(&link) else { return };
-        session.heard = now;
-        let watches = session.watches();
-        match (word, session.state) {
-            (_, State::Ending) => {}
-            (Kind::Hello(hello), State::Came) => self.hello(now, link, hello, acts),
-            (Kind::Ack(took), _) if watches => self.took(now, link, took, acts),
-            (Kind::Ping(ping), _) if watches => self.ping(now, link, ping, acts),
-            (Kind::Rescope(scope), _) if watches => self.rescope(now, link, scope, acts),
-            (Kind::Leave(_), _) if watches => self.event(now, link, Event::Leaves, "", acts),
-            _ => self.wrong(now, link, "a word that nobody may say here", acts),
+        session.last_contact = now;
+        let watching = session.is_watching();
+        match (message, session.state) {
+            (_, State::Closing) => {}
+            (Kind::Hello(hello), State::AwaitingHello) => self.handle_hello(now, link, hello, actions),
+            (Kind::Ack(ack), _) if watching => self.handle_ack(now, link, ack, actions),
+            (Kind::Ping(ping), _) if watching => self.handle_ping(now, link, ping, actions),
+            (Kind::Rescope(scope), _) if watching => self.handle_rescope(now, link, scope, actions),
+            (Kind::Leave(_), _) if watching => self.apply_event(now, link, Event::Left, "", actions),
+            _ => self.protocol_error(now, link, "unexpected message", actions),
         }
-        self.look_again(link);
+        self.reschedule(link);
     }
 
-    fn took(&mut self, now: Moment, link: Link, took: Ack, acts: &mut Vec<Act>) {
+    fn handle_ack(&mut self, now: Moment, link: Link, ack: Ack, actions: &mut Vec<Action>) {
         let Some(session) = self.sessions.get_mut(&link) else { return };
-        let Some((_, sent)) = session.flight.pop_front().filter(|(number, _)| *number == took.number) else {
-            return self.wrong(now, link, "a piece was taken that is not on its way", acts);
+        let Some((_, sent)) = session.in_flight.pop_front().filter(|(number, _)| *number == ack.number)
+        else {
+            return self.protocol_error(now, link, "ack for a chunk that is not in flight", actions);
         };
-        self.said(now, link, took.applied, sent, acts);
-        self.pump(now, link, acts);
+        self.record_report(now, link, ack.applied, sent, actions);
+        self.send_chunks(now, link, actions);
     }
 
-    fn ping(&mut self, now: Moment, link: Link, ping: Ping, acts: &mut Vec<Act>) {
+    fn handle_ping(&mut self, now: Moment, link: Link, ping: Ping, actions: &mut Vec<Action>) {
         let (age, head) = (self.age(now), self.cache.head());
         let Some(session) = self.sessions.get_mut(&link) else { return };
-        let echoed = session.answers.iter().find(|(token, _)| *token == ping.echo).map(|answer| answer.1);
-        let vouched = echoed.unwrap_or(session.vouched);
-        session.answers.push_back((ping.token, now));
-        if session.answers.len() > MOST_ANSWERS {
-            session.answers.pop_front();
+        let echoed = session.pongs.iter().find(|(token, _)| *token == ping.echo).map(|answer| answer.1);
+        let as_of = echoed.unwrap_or(session.as_of);
+        session.pongs.push_back((ping.token, now));
+        if session.pongs.len() > MAX_ECHOED_PONGS {
+            session.pongs.pop_front();
         }
-        acts.push(Act::Say(link, Kind::Pong(Pong { token: ping.token, head, age_ms: age.map(up_ms) })));
-        self.said(now, link, ping.applied, vouched, acts);
+        actions.push(Action::Send(
+            link,
+            Kind::Pong(Pong { token: ping.token, head, age_ms: age.map(to_ms_rounded_up) }),
+        ));
+        self.record_report(now, link, ping.applied, as_of, actions);
     }
 
-    /// What is in force at a planner, and at which moment or later it said so.
-    fn said(&mut self, now: Moment, link: Link, applied: u64, vouched: Moment, acts: &mut Vec<Act>) {
+    /// Records the index applied at a planner, which was so at `as_of` or later.
+    fn record_report(
+        &mut self,
+        now: Moment,
+        link: Link,
+        applied: u64,
+        as_of: Moment,
+        actions: &mut Vec<Action>,
+    ) {
         let head = self.cache.head();
         let Some(session) = self.sessions.get_mut(&link) else { return };
         if applied > head {
-            return self.wrong(now, link, "more is in force than was told", acts);
+            return self.protocol_error(now, link, "applied index above the head", actions);
         }
         session.applied = session.applied.max(applied);
-        session.vouched = session.vouched.max(vouched);
-        self.heard(link, acts);
+        session.as_of = session.as_of.max(as_of);
+        self.notify_heard(link, actions);
     }
 
-    fn heard(&self, link: Link, acts: &mut Vec<Act>) {
+    fn notify_heard(&self, link: Link, actions: &mut Vec<Action>) {
         let Some(session) = self.sessions.get(&link) else { return };
-        acts.push(Act::Heard {
+        actions.push(Action::PlannerHeard {
             planner: session.planner.clone(),
             start: session.start,
             watch_number: session.watch_number,
             applied: session.applied,
-            vouched: session.vouched,
+            as_of: session.as_of,
         });
     }
 
-    fn rescope(&mut self, now: Moment, link: Link, told: ScopeMessage, acts: &mut Vec<Act>) {
-        let number = told.number;
-        let (known, scope) = self.learn(Arc::new(told.into()));
+    fn handle_rescope(&mut self, now: Moment, link: Link, scope: ScopeMessage, actions: &mut Vec<Action>) {
+        let number = scope.number;
+        let (scope_id, scope) = self.acquire_scope(Arc::new(scope.into()));
         let Some(session) = self.sessions.get_mut(&link) else { return };
         let old = std::mem::replace(&mut session.scope, scope);
-        (session.known, session.scope_number) = (known, number);
-        (session.reset, session.within) = (true, false);
-        self.unlearn(&old);
-        self.event(now, link, Event::Rescoped, "", acts);
+        (session.scope_id, session.scope_number) = (scope_id, number);
+        (session.reset, session.mid_batch) = (true, false);
+        self.release_scope(&old);
+        self.apply_event(now, link, Event::Rescoped, "", actions);
     }
 
-    fn learn(&mut self, scope: Arc<Scope>) -> (u64, Arc<Scope>) {
-        if let Some((scope, (known, used))) = self.scopes.get_key_value(&scope) {
-            let (known, used, scope) = (*known, *used, scope.clone());
-            self.scopes.insert(scope.clone(), (known, used + 1));
-            return (known, scope);
+    fn acquire_scope(&mut self, scope: Arc<Scope>) -> (u64, Arc<Scope>) {
+        if let Some((scope, (scope_id, used))) = self.scopes.get_key_value(&scope) {
+            let (scope_id, used, scope) = (*scope_id, *used, scope.clone());
+            self.scopes.insert(scope.clone(), (scope_id, used + 1));
+            return (scope_id, scope);
         }
-        self.scopes_made += 1;
-        self.scopes.insert(scope.clone(), (self.scopes_made, 1));
-        (self.scopes_made, scope)
+        self.last_scope_id += 1;
+        self.scopes.insert(scope.clone(), (self.last_scope_id, 1));
+        (self.last_scope_id, scope)
     }
 
-    fn unlearn(&mut self, scope: &Arc<Scope>) {
+    fn release_scope(&mut self, scope: &Arc<Scope>) {
         if let Some((_, used)) = self.scopes.get_mut(scope) {
             *used -= 1;
             if *used == 0 {
@@ -315,165 +339,185 @@
         }
     }
 
-    // ---- the table, and what it says
+    // ---- state transitions
 
-    fn event(&mut self, now: Moment, link: Link, event: Event, why: &str, acts: &mut Vec<Act>) {
+    fn apply_event(&mut self, now: Moment, link: Link, event: Event, why: &str, actions: &mut Vec<Action>) {
         let Some(session) = self.sessions.get_mut(&link) else { return };
-        let Some((next, effect)) = row(session.state, event) else {
+        let Some((next, effect)) = transition(session.state, event) else {
             debug_assert!(false, "{event:?} in {:?}", session.state);
             return;
         };
-        let was = std::mem::replace(&mut session.state, next);
-        let watched = matches!(was, State::Waiting | State::Snapshot | State::Following);
+        let previous = std::mem::replace(&mut session.state, next);
+        let watched = matches!(previous, State::SnapshotQueued | State::SendingSnapshot | State::Following);
         match effect {
             Effect::Leave | Effect::Refuse(_) if watched => {
-                self.unwatch(now, link, was, effect == Effect::Leave, acts)
+                self.end_watch(now, link, previous, effect == Effect::Leave, actions)
             }
-            Effect::Refuse(_) if was == State::Came => session.since = now,
+            Effect::Refuse(_) if previous == State::AwaitingHello => session.since = now,
             Effect::Nothing | Effect::Leave | Effect::Refuse(_) => {}
-            Effect::Queue => self.enqueue(link, acts),
-            Effect::Release => self.snapshots -= 1,
-            Effect::ReleaseAndQueue => {
-                self.snapshots -= 1;
-                self.enqueue(link, acts);
+            Effect::Enqueue => self.enqueue_snapshot(link, actions),
+            Effect::ReleaseSlot => self.active_snapshots -= 1,
+            Effect::ReleaseAndEnqueue => {
+                self.active_snapshots -= 1;
+                self.enqueue_snapshot(link, actions);
             }
-            Effect::Anew => session.reset = true,
+            Effect::Restart => session.reset = true,
         }
         match effect {
-            Effect::Leave => acts.push(Act::Finish(link)),
-            Effect::Refuse(reason) => self.refuse(link, reason, why, acts),
+            Effect::Leave => actions.push(Action::Close(link)),
+            Effect::Refuse(reason) => self.send_refusal(link, reason, why, actions),
             _ => {}
         }
-        self.turns(now, acts);
-        self.pump(now, link, acts);
+        self.grant_slots(now, actions);
+        self.send_chunks(now, link, actions);
     }
 
-    /// No watch any more; the link is still to be closed.
-    fn unwatch(&mut self, now: Moment, link: Link, was: State, left: bool, acts: &mut Vec<Act>) {
+    /// Ends the watch; the link remains to be closed.
+    fn end_watch(&mut self, now: Moment, link: Link, previous: State, left: bool, actions: &mut Vec<Action>) {
         let Some(session) = self.sessions.get_mut(&link) else { return };
         session.since = now;
-        session.flight.clear();
+        session.in_flight.clear();
         let (planner, scope) = (std::mem::take(&mut session.planner), session.scope.clone());
         let (start, watch_number) = (session.start, session.watch_number);
-        match was {
-            State::Snapshot => self.snapshots -= 1,
-            State::Waiting => self.queue.retain(|waits| *waits != link),
+        match previous {
+            State::SendingSnapshot => self.active_snapshots -= 1,
+            State::SnapshotQueued => self.snapshot_queue.retain(|waits| *waits != link),
             _ => {}
         }
-        self.unlearn(&scope);
+        self.release_scope(&scope);
         self.planners.remove(&planner);
-        acts.push(Act::Gone { planner, start, watch_number, left });
+        actions.push(Action::WatchEnded { planner, start, watch_number, left });
     }
 
-    /// All that may be sent to a watcher now.
-    fn pump(&mut self, now: Moment, link: Link, acts: &mut Vec<Act>) {
+    /// Sends a watcher all chunks that it may receive now.
+    fn send_chunks(&mut self, now: Moment, link: Link, actions: &mut Vec<Action>) {
         while let Some(session) = self.sessions.get_mut(&link) {
-            if session.flight.len() >= MAX_CHUNKS_IN_FLIGHT {
+            if session.in_flight.len() >= MAX_CHUNKS_IN_FLIGHT {
                 break;
             }
-            let lost = session.position.lost(&self.cache);
+            let lost = session.position.is_compacted(&self.cache);
             match session.state {
-                State::Snapshot
-                    if !self.queue.is_empty() && now.since(session.turned) >= self.config.snapshot_slot =>
+                State::SendingSnapshot
+                    if !self.snapshot_queue.is_empty()
+                        && now.since(session.slot_since) >= self.config.snapshot_slot =>
                 {
-                    self.event(now, link, Event::TimeUp, "", acts);
+                    self.apply_event(now, link, Event::SlotExpired, "", actions);
                     break;
                 }
-                State::Snapshot if session.reset || lost => {
-                    session.position = Position::Keys { base: self.cache.head(), after: None };
+                State::SendingSnapshot if session.reset || lost => {
+                    session.position = Position::SnapshotKey { base: self.cache.head(), after: None };
                     session.reset = true;
                 }
-                State::Snapshot => {}
+                State::SendingSnapshot => {}
                 State::Following if lost => {
-                    (session.reset, session.within) = (true, false);
-                    self.event(now, link, Event::Lost, "", acts);
+                    (session.reset, session.mid_batch) = (true, false);
+                    self.apply_event(now, link, Event::HistoryLost, "", actions);
                     break;
                 }
-                State::Following if session.within => {}
+                State::Following if session.mid_batch => {}
                 State::Following
-                    if now >= session.next && session.position != Position::at(self.cache.head()) => {}
+                    if now >= session.next_batch
+                        && session.position != Position::at_index(self.cache.head()) => {}
                 _ => break,
             }
             let Some(session) = self.sessions.get_mut(&link) else { break };
-            let scope = (session.known, &*session.scope);
-            let piece = self.shared.piece(&self.cache, scope, &session.position, session.reset);
-            if !session.within {
-                session.next = now + self.config.batch_interval;
+            let scope = (session.scope_id, &*session.scope);
+            let chunk = self.chunk_cache.chunk(&self.cache, scope, &session.position, session.reset);
+            if !session.mid_batch {
+                session.next_batch = now + self.config.batch_interval;
             }
-            session.number += 1;
-            session.flight.push_back((session.number, now));
-            (session.position, session.reset, session.within) = (piece.next.clone(), false, !piece.done);
-            acts.push(Act::Piece(link, piece.frame(session.number, session.scope_number)));
-            self.pieces += 1;
-            if piece.done && session.state == State::Snapshot {
-                self.event(now, link, Event::SnapshotSent, "", acts);
+            session.last_chunk += 1;
+            session.in_flight.push_back((session.last_chunk, now));
+            (session.position, session.reset, session.mid_batch) = (chunk.next.clone(), false, !chunk.done);
+            actions.push(Action::SendFrame(link, chunk.frame(session.last_chunk, session.scope_number)));
+            self.chunks_sent += 1;
+            if chunk.done && session.state == State::SendingSnapshot {
+                self.apply_event(now, link, Event::SnapshotSent, "", actions);
                 break;
             }
         }
-        self.look_again(link);
+        self.reschedule(link);
     }
 
-    fn look_again(&mut self, link: Link) {
+    fn reschedule(&mut self, link: Link) {
         let Some(session) = self.sessions.get_mut(&link) else { return };
-        let due = session.wants(&self.config, self.cache.head(), self.grace);
-        if session.due != due || !self.due.contains(&(due, link)) {
-            self.due.remove(&(session.due, link));
-            session.due = due;
-            self.due.insert((due, link));
+        let due = session.next_check(&self.config, self.cache.head(), self.resumed_at);
+        if session.scheduled_check != due || !self.schedule.contains(&(due, link)) {
+            self.schedule.remove(&(session.scheduled_check, link));
+            session.scheduled_check = due;
+            self.schedule.insert((due, link));
         }
     }
 
-    // ---- time
+    // ---- timers
 
-    /// Whoever is due; to be called at [`Server::due`] or later.
-    pub fn tick(&mut self, now: Moment, acts: &mut Vec<Act>) {
-        // Stopped for long, this machine heard nobody: what waits at its door is heard first.
-        if self.due().is_some_and(|due| now.since(due) > LATE) {
-            self.grace = now;
+    /// Checks all sessions that are due; to be called at [`Server::due`] or later.
+    pub fn tick(&mut self, now: Moment, actions: &mut Vec<Action>) {
+        // After a long stall this process has not read anything: messages that are waiting in the sockets
+        // come first.
+        if self.due().is_some_and(|due| now.since(due) > STALL_THRESHOLD) {
+            self.resumed_at = now;
         }
-        while let Some((due, link)) = self.due.first().copied().filter(|due| due.0 <= now) {
-            self.due.remove(&(due, link));
-            self.look(now, link, acts);
-            self.look_again(link);
+        while let Some((due, link)) = self.schedule.first().copied().filter(|due| due.0 <= now) {
+            self.schedule.remove(&(due, link));
+            self.check(now, link, actions);
+            self.reschedule(link);
         }
     }
 
-    fn look(&mut self, now: Moment, link: Link, acts: &mut Vec<Act>) {
-        let (config, grace) = (self.config, self.grace);
+    fn check(&mut self, now: Moment, link: Link, actions: &mut Vec<Action>) {
+        let (config, resumed_at) = (self.config, self.resumed_at);
         let Some(session) = self.sessions.get_mut(&link) else { return };
-        let deaf =
-            session.flight.front().is_some_and(|(_, sent)| now >= (*sent).max(grace) + config.ack_timeout);
-        let silent = now >= session.heard.max(grace) + config.planner_timeout;
+        let unresponsive = session
+            .in_flight
+            .front()
+            .is_some_and(|(_, sent)| now >= (*sent).max(resumed_at) + config.ack_timeout);
+        let silent = now >= session.last_contact.max(resumed_at) + config.planner_timeout;
         match session.state {
-            State::Ending if now >= session.since.max(grace) + config.connect_timeout => {
-                // Until it is closed it is looked at no more.
+            State::Closing if now >= session.since.max(resumed_at) + config.connect_timeout => {
+                // No further checks until the link is closed.
                 session.since = now + Span(u64::MAX / 2);
-                acts.push(Act::Cut(link));
+                actions.push(Action::Abort(link));
             }
-            State::Came if now >= session.since.max(grace) + config.connect_timeout => {
-                self.event(now, link, Event::Refused(Reason::Deaf), "it does not say who it is", acts);
+            State::AwaitingHello if now >= session.since.max(resumed_at) + config.connect_timeout => {
+                self.apply_event(
+                    now,
+                    link,
+                    Event::Refused(Reason::Deaf),
+                    "no hello within the time limit",
+                    actions,
+                );
             }
-            State::Came | State::Ending => {}
-            _ if deaf => {
-                self.event(now, link, Event::Refused(Reason::Deaf), "it takes nothing of what is sent", acts)
+            State::AwaitingHello | State::Closing => {}
+            _ if unresponsive => self.apply_event(
+                now,
+                link,
+                Event::Refused(Reason::Deaf),
+                "no ack within the time limit",
+                actions,
+            ),
+            _ if silent => {
+                self.apply_event(now, link, Event::Refused(Reason::Deaf), "the planner is silent", actions)
             }
-            _ if silent => self.event(now, link, Event::Refused(Reason::Deaf), "it was not heard", acts),
-            _ => self.pump(now, link, acts),
+            _ => self.send_chunks(now, link, actions),
         }
     }
 
-    /// All are told to go elsewhere.
-    pub fn stop(&mut self, now: Moment, acts: &mut Vec<Act>) {
+    /// Sends all planners to other machines.
+    pub fn stop(&mut self, now: Moment, actions: &mut Vec<Action>) {
         self.stopping = true;
-        self.everybody(now, Reason::Stopping, acts);
+        self.refuse_all(now, Reason::Stopping, actions);
     }
 
-    fn everybody(&mut self, now: Moment, reason: Reason, acts: &mut Vec<Act>) {
+    fn refuse_all(&mut self, now: Moment, reason: Reason, actions: &mut Vec<Action>) {
         let links: Vec<Link> = self.sessions.keys().copied().collect();
         for link in links {
-            let why =
-                if reason == Reason::Record { "another record stands here" } else { "the machine ends" };
-            self.event(now, link, Event::Refused(reason), why, acts);
+            let why = if reason == Reason::Record {
+                "the machine serves another record"
+            } else {
+                "the machine is shutting down"
+            };
+            self.apply_event(now, link, Event::Refused(reason), why, actions);
         }
     }
 }
--- a/crates/watch/src/session.rs
+++ b/crates/watch/src/session.rs
@@ -1,22 +1,22 @@
-//! One watch as its machine sees it, and the table of what may follow what.
+//! The state of one watch at its machine, and its transition table.
 //!
-//! | state | input | next | effect |
+//! | state | event | next | effect |
 //! | --- | --- | --- | --- |
-//! | came | hello, its place can be gone on from | following | welcome |
-//! | came | hello, a snapshot is needed | waiting | welcome, and in the queue for a snapshot |
-//! | waiting | its turn | snapshot | pieces |
-//! | snapshot | what went can't be told from its base | snapshot | begins anew |
-//! | snapshot | told to its end | following | the next one's turn |
-//! | snapshot | its time is up and others wait | waiting | the next one's turn; goes on where it was |
-//! | following | what went can't be told from its place | waiting | in the queue |
-//! | any that watches | another scope | waiting | in the queue, all anew |
-//! | any that watches | leaves | ending | expected no more |
-//! | any | refused, for a reason | ending | told so, closed; unheard from when it was last heard |
-//! | ending | anything | ending | nothing |
+//! | awaiting hello | hello, its index can be continued from | following | welcome |
+//! | awaiting hello | hello, a snapshot is needed | snapshot queued | welcome, join the queue for snapshots |
+//! | snapshot queued | a slot is free | sending snapshot | send chunks |
+//! | sending snapshot | deletions after its base were compacted | sending snapshot | start over |
+//! | sending snapshot | sent completely | following | the next in the queue gets the slot |
+//! | sending snapshot | its slot expired and others wait | snapshot queued | the next gets the slot; this one resumes where it stopped |
+//! | following | deletions after its index were compacted | snapshot queued | join the queue |
+//! | any watch | scope changed | snapshot queued | join the queue for a full snapshot |
+//! | any watch | the planner leaves | closing | no longer expected |
+//! | any | refused, with a reason | closing | send the reason, close; unheard from when it was last heard |
+//! | closing | anything | closing | nothing |
 
+use crate::chunks::Position;
 use crate::config::WatchConfig;
 use crate::messages::{Reason, MAX_CHUNKS_IN_FLIGHT};
-use crate::pieces::Position;
 use crate::scope::Scope;
 use pewtergap_time::Moment;
 use std::collections::VecDeque;
@@ -24,61 +24,61 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    Came,
-    Waiting,
-    Snapshot,
+    AwaitingHello,
+    SnapshotQueued,
+    SendingSnapshot,
     Following,
-    Ending,
+    Closing,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    GoesOn,
+    Continued,
     NeedsSnapshot,
-    Turn,
-    Lost,
+    SlotGranted,
+    HistoryLost,
     SnapshotSent,
-    TimeUp,
+    SlotExpired,
     Rescoped,
-    Leaves,
+    Left,
     Refused(Reason),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     Nothing,
-    /// Into the queue for a snapshot, and told so if it has to wait.
-    Queue,
-    /// No snapshot is under way here any more.
-    Release,
-    ReleaseAndQueue,
-    Anew,
+    /// Join the queue for a snapshot, and tell the planner if it has to wait.
+    Enqueue,
+    /// Free the snapshot slot.
+    ReleaseSlot,
+    ReleaseAndEnqueue,
+    Restart,
     Leave,
     Refuse(Reason),
 }
 
-/// None: that cannot follow.
-pub fn row(state: State, event: Event) -> Option<(State, Effect)> {
+/// Returns `None` if the event is not allowed in this state.
+pub fn transition(state: State, event: Event) -> Option<(State, Effect)> {
     use State::*;
     Some(match (state, event) {
-        (Ending, _) => (Ending, Effect::Nothing),
-        (_, Event::Refused(reason)) => (Ending, Effect::Refuse(reason)),
-        (Came, Event::GoesOn) => (Following, Effect::Nothing),
-        (Came, Event::NeedsSnapshot) => (Waiting, Effect::Queue),
-        (Waiting, Event::Turn) => (Snapshot, Effect::Nothing),
-        (Snapshot, Event::Lost) => (Snapshot, Effect::Anew),
-        (Snapshot, Event::SnapshotSent) => (Following, Effect::Release),
-        (Snapshot, Event::TimeUp) => (Waiting, Effect::ReleaseAndQueue),
-        (Following, Event::Lost) => (Waiting, Effect::Queue),
-        (Snapshot, Event::Rescoped) => (Waiting, Effect::ReleaseAndQueue),
-        (Waiting | Following, Event::Rescoped) => (Waiting, Effect::Queue),
-        (Waiting | Snapshot | Following, Event::Leaves) => (Ending, Effect::Leave),
+        (Closing, _) => (Closing, Effect::Nothing),
+        (_, Event::Refused(reason)) => (Closing, Effect::Refuse(reason)),
+        (AwaitingHello, Event::Continued) => (Following, Effect::Nothing),
+        (AwaitingHello, Event::NeedsSnapshot) => (SnapshotQueued, Effect::Enqueue),
+        (SnapshotQueued, Event::SlotGranted) => (SendingSnapshot, Effect::Nothing),
+        (SendingSnapshot, Event::HistoryLost) => (SendingSnapshot, Effect::Restart),
+        (SendingSnapshot, Event::SnapshotSent) => (Following, Effect::ReleaseSlot),
+        (SendingSnapshot, Event::SlotExpired) => (SnapshotQueued, Effect::ReleaseAndEnqueue),
+        (Following, Event::HistoryLost) => (SnapshotQueued, Effect::Enqueue),
+        (SendingSnapshot, Event::Rescoped) => (SnapshotQueued, Effect::ReleaseAndEnqueue),
+        (SnapshotQueued | Following, Event::Rescoped) => (SnapshotQueued, Effect::Enqueue),
+        (SnapshotQueued | SendingSnapshot | Following, Event::Left) => (Closing, Effect::Leave),
         _ => return None,
     })
 }
 
-/// Answers that a planner may still echo.
-pub const MOST_ANSWERS: usize = 4;
+/// Pongs that a planner may still echo.
+pub const MAX_ECHOED_PONGS: usize = 4;
 
 pub struct Session {
     pub state: State,
@@ -86,75 +86,75 @@
     pub start: u64,
     pub watch_number: u64,
     pub scope: Arc<Scope>,
-    /// What stands for the scope where pieces are shared, and the planner's own number of it.
-    pub known: u64,
+    /// Id of the scope for sharing chunks, and the planner's own number of it.
+    pub scope_id: u64,
     pub scope_number: u64,
     pub position: Position,
-    /// The next piece begins a snapshot.
+    /// The next chunk begins a snapshot.
     pub reset: bool,
-    /// A batch is told in part.
-    pub within: bool,
-    pub number: u64,
-    /// Pieces on their way, and when they were sent: [`MAX_CHUNKS_IN_FLIGHT`] at most.
-    pub flight: VecDeque<(u64, Moment)>,
-    /// No batch begins before.
-    pub next: Moment,
-    /// Since when it has its turn.
-    pub turned: Moment,
-    /// When anything came.
-    pub heard: Moment,
-    /// What it said last is no older than this.
-    pub vouched: Moment,
-    pub answers: VecDeque<(u64, Moment)>,
+    /// A batch is sent in part.
+    pub mid_batch: bool,
+    pub last_chunk: u64,
+    /// Chunks in flight with the time of sending, at most [`MAX_CHUNKS_IN_FLIGHT`].
+    pub in_flight: VecDeque<(u64, Moment)>,
+    /// Earliest start of the next batch.
+    pub next_batch: Moment,
+    /// When it got its snapshot slot.
+    pub slot_since: Moment,
+    /// When the last message arrived.
+    pub last_contact: Moment,
+    /// Its last report was made at this moment or later.
+    pub as_of: Moment,
+    pub pongs: VecDeque<(u64, Moment)>,
     pub applied: u64,
-    /// When it came, or began to end.
+    /// When the link was accepted, or began to be closed.
     pub since: Moment,
-    /// Under which moment it is looked at next.
-    pub due: Moment,
+    /// Time of its next check, as in the server's schedule.
+    pub scheduled_check: Moment,
 }
 
 impl Session {
     pub fn new(now: Moment) -> Session {
         Session {
-            state: State::Came,
+            state: State::AwaitingHello,
             planner: String::new(),
             start: 0,
             watch_number: 0,
             scope: Arc::new(Scope::ALL),
-            known: 0,
+            scope_id: 0,
             scope_number: 0,
-            position: Position::at(0),
+            position: Position::at_index(0),
             reset: false,
-            within: false,
-            number: 0,
-            flight: VecDeque::new(),
-            next: now,
-            turned: now,
-            heard: now,
-            vouched: now,
-            answers: VecDeque::new(),
+            mid_batch: false,
+            last_chunk: 0,
+            in_flight: VecDeque::new(),
+            next_batch: now,
+            slot_since: now,
+            last_contact: now,
+            as_of: now,
+            pongs: VecDeque::new(),
             applied: 0,
             since: now,
-            due: now,
+            scheduled_check: now,
         }
     }
 
-    pub fn watches(&self) -> bool {
-        matches!(self.state, State::Waiting | State::Snapshot | State::Following)
+    pub fn is_watching(&self) -> bool {
+        matches!(self.state, State::SnapshotQueued | State::SendingSnapshot | State::Following)
     }
 
-    /// When it is to be looked at though nothing came: silent, deaf, its pace. `grace`: nobody was heard before, by our own
-    /// fault.
-    pub fn wants(&self, config: &WatchConfig, head: u64, grace: Moment) -> Moment {
-        if !self.watches() {
-            return self.since.max(grace) + config.connect_timeout;
+    /// When it has to be checked even if nothing arrives: silence, a missing ack, the start of the next
+    /// batch. Time before `resumed_at`, while this process was stalled, doesn't count.
+    pub fn next_check(&self, config: &WatchConfig, head: u64, resumed_at: Moment) -> Moment {
+        if !self.is_watching() {
+            return self.since.max(resumed_at) + config.connect_timeout;
         }
-        let silent = self.heard.max(grace) + config.planner_timeout;
-        let deaf = self.flight.front().map(|(_, sent)| (*sent).max(grace) + config.ack_timeout);
-        let paced = (self.state == State::Following
-            && self.flight.len() < MAX_CHUNKS_IN_FLIGHT
-            && self.position != Position::at(head))
-        .then_some(self.next);
-        [deaf, paced].into_iter().flatten().fold(silent, Moment::min)
+        let silent = self.last_contact.max(resumed_at) + config.planner_timeout;
+        let ack_due = self.in_flight.front().map(|(_, sent)| (*sent).max(resumed_at) + config.ack_timeout);
+        let next_batch = (self.state == State::Following
+            && self.in_flight.len() < MAX_CHUNKS_IN_FLIGHT
+            && self.position != Position::at_index(head))
+        .then_some(self.next_batch);
+        [ack_due, next_batch].into_iter().flatten().fold(silent, Moment::min)
     }
 }
--- a/crates/watch/src/state.rs
+++ b/crates/watch/src/state.rs
@@ -1,4 +1,5 @@
-//! What a planner holds: its state at a place, what is told of the next and not done yet, and what it keeps on its disk.
+//! The state that a planner holds as of an index, the pending changes that lead to the next one, and the
+//! encoding for its disk.
 
 use crate::messages::{Changes, EntryMessage, PartialSnapshot, ScopeMessage};
 use crate::scope::Scope;
@@ -6,16 +7,17 @@
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Keys that a planner holds, and their bytes; a machine that tells more is left.
-pub const MOST_KEYS: usize = 100_000;
-pub const MOST_BYTES: usize = 32 << 20;
+/// Limits on the keys that a planner holds and on their bytes; it disconnects from a machine that sends
+/// more.
+pub const MAX_KEYS: usize = 100_000;
+pub const MAX_BYTES: usize = 32 << 20;
 
-/// All within a scope at a place of a record.
+/// Everything within a scope as of an index of a record.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SavedState {
     pub record_id: u64,
     pub index: u64,
-    /// None: nothing was told yet.
+    /// `None`: nothing was received yet.
     pub scope: Option<Scope>,
     pub entries: BTreeMap<String, Vec<u8>>,
 }
@@ -33,60 +35,62 @@
 }
 
 impl SavedState {
-    /// As it is kept on a disk, with its sum before it.
+    /// Encodes the state for the disk, after its checksum.
     pub fn encode(&self) -> Vec<u8> {
         let entry = |(key, value): (&String, &Vec<u8>)| EntryMessage {
             key: key.clone(),
             index: 0,
             value: Some(value.clone()),
         };
-        let told = SavedStateMessage {
+        let message = SavedStateMessage {
             record_id: self.record_id,
             index: self.index,
             scope: self.scope.as_ref().map(|scope| scope.to_message(0)),
             entries: self.entries.iter().map(entry).collect(),
         };
-        let body = told.encode_to_vec();
+        let body = message.encode_to_vec();
         let mut bytes = xxh3_64(&body).to_be_bytes().to_vec();
         bytes.extend_from_slice(&body);
         bytes
     }
 
     /// # Errors
-    /// What is wrong with the bytes; nothing of them is to be used then.
+    /// Says what is wrong with the bytes, none of which may be used then.
     pub fn decode(bytes: &[u8]) -> Result<SavedState, String> {
-        let (sum, body) = bytes.split_first_chunk::<8>().ok_or("it is shorter than its sum")?;
-        if xxh3_64(body).to_be_bytes() != *sum {
-            return Err("its sum does not fit".into());
+        let (checksum, body) = bytes.split_first_chunk::<8>().ok_or("shorter than its checksum")?;
+        if xxh3_64(body).to_be_bytes() != *checksum {
+            return Err("checksum mismatch".into());
         }
-        let told = SavedStateMessage::decode(body).map_err(|e| format!("not a planner's state: {e}"))?;
-        let entries = told.entries.into_iter().filter_map(|entry| Some((entry.key, entry.value?))).collect();
+        let message = SavedStateMessage::decode(body).map_err(|e| format!("invalid saved state: {e}"))?;
+        let entries =
+            message.entries.into_iter().filter_map(|entry| Some((entry.key, entry.value?))).collect();
         Ok(SavedState {
-            record_id: told.record_id,
-            index: told.index,
-            scope: told.scope.map(Scope::from),
+            record_id: message.record_id,
+            index: message.index,
+            scope: message.scope.map(Scope::from),
             entries,
         })
     }
 }
 
-/// Pieces that were told and not done.
+/// Chunks received since the last complete one.
 #[derive(Clone, Debug, Default)]
-pub struct Held {
+pub struct PendingChanges {
     pub entries: BTreeMap<String, Option<Vec<u8>>>,
     bytes: usize,
-    /// Of a snapshot: how far it has come.
+    /// Progress of a snapshot.
     pub snapshot: Option<PartialSnapshot>,
 }
 
-impl Held {
-    /// A piece more.
+impl PendingChanges {
+    /// Adds a chunk.
     ///
     /// # Errors
-    /// It is more than a planner holds.
-    pub fn take(&mut self, changes: Changes) -> Result<(), String> {
+    /// The limits are exceeded.
+    pub fn add(&mut self, changes: Changes) -> Result<(), String> {
         if changes.reset {
-            *self = Held { snapshot: Some(PartialSnapshot::default()), ..Held::default() };
+            *self =
+                PendingChanges { snapshot: Some(PartialSnapshot::default()), ..PendingChanges::default() };
         }
         if let Some(snapshot) = &mut self.snapshot {
             snapshot.seen = snapshot.seen.max(changes.head);
@@ -96,13 +100,13 @@
         }
         for EntryMessage { key, value, .. } in changes.entries {
             let bytes = key.len() + value.as_ref().map_or(0, Vec::len);
-            if let Some(was) = self.entries.insert(key, value) {
-                self.bytes = self.bytes.saturating_sub(was.map_or(0, |was| was.len()));
+            if let Some(previous) = self.entries.insert(key, value) {
+                self.bytes = self.bytes.saturating_sub(previous.map_or(0, |previous| previous.len()));
             }
             self.bytes += bytes;
         }
-        match self.entries.len() > MOST_KEYS || self.bytes > MOST_BYTES {
-            true => Err(format!("more than {MOST_KEYS} keys or {MOST_BYTES} bytes were told")),
+        match self.entries.len() > MAX_KEYS || self.bytes > MAX_BYTES {
+            true => Err(format!("received more than {MAX_KEYS} keys or {MAX_BYTES} bytes")),
             false => Ok(()),
         }
     }
--- a/crates/watch/src/watch_client.rs
+++ b/crates/watch/src/watch_client.rs
@@ -1,6 +1,6 @@
-//! A planner's watch behind a real link: frames in, frames out, one timer.
+//! Runs a planner's watch on a real link: decodes and encodes frames, sets the timer.
 
-use crate::client::{Act, Client, ClientConfig, WatchEvent};
+use crate::client::{Action, Client, ClientConfig, WatchEvent};
 use crate::messages::WatchMessage;
 use crate::scope::Scope;
 use crate::state::SavedState;
@@ -15,146 +15,150 @@
     timer: u64,
     source_ip: Option<IpAddr>,
     link: Option<Link>,
-    /// Closed, and not yet said to be.
+    /// Links closed by this end whose `Closed` has not arrived yet.
     closing: BTreeSet<Link>,
     frames: Frames<WatchMessage>,
-    wake: Option<Moment>,
+    next_wake: Option<Moment>,
 }
 
 impl WatchClient {
-    /// `kept`: what its own disk had.
-    pub fn new(client_config: ClientConfig, kept: Option<SavedState>) -> WatchClient {
+    /// `saved`: the state read from the planner's disk.
+    pub fn new(client_config: ClientConfig, saved: Option<SavedState>) -> WatchClient {
         WatchClient {
             timer: client_config.watch_config.timer,
             source_ip: client_config.source_ip,
-            client: Client::new(client_config, kept),
+            client: Client::new(client_config, saved),
             link: None,
             closing: BTreeSet::new(),
             frames: Frames::default(),
-            wake: None,
+            next_wake: None,
         }
     }
 
-    /// This link is one of its own.
     pub fn owns_link(&self, link: Link) -> bool {
         self.link == Some(link) || self.closing.contains(&link)
     }
 
-    /// `Start`; `Opened`, `Bytes` and `Closed` of its link, `Due` of its timer; all else is none of its business.
+    /// Handles `Start`, `Opened`, `Bytes` and `Closed` of its link and `Due` of its timer; everything else
+    /// is ignored.
     pub fn handle(&mut self, now: Moment, input: Input<'_>, out: &mut Outbox) -> Vec<WatchEvent> {
-        let mut acts = Vec::new();
+        let mut actions = Vec::new();
         match input {
             Input::Start => self.client.started(now),
-            Input::Opened { link } if self.link == Some(link) => self.client.opened(now, &mut acts),
-            Input::Bytes { link, bytes } if self.link == Some(link) => return self.bytes(now, bytes, out),
+            Input::Opened { link } if self.link == Some(link) => self.client.opened(now, &mut actions),
+            Input::Bytes { link, bytes } if self.link == Some(link) => {
+                return self.handle_bytes(now, bytes, out)
+            }
             Input::Closed { link, why } => {
                 if self.link == Some(link) {
                     self.link = None;
                     let why = match why {
-                        Ended::Refused => "nobody listens there",
-                        Ended::Done => "closed in order",
-                        Ended::Overflow => "too much waited to be written",
-                        Ended::Reset | Ended::Ours | Ended::Handed => "the link broke",
+                        Ended::Refused => "connection refused",
+                        Ended::Done => "closed by the machine",
+                        Ended::Overflow => "write buffer overflow",
+                        Ended::Reset | Ended::Ours | Ended::Handed => "connection lost",
                     };
-                    self.client.closed(now, why, &mut acts);
+                    self.client.closed(now, why, &mut actions);
                 }
                 self.closing.remove(&link);
             }
             Input::Due { timer } if timer == self.timer => {
-                if let Some(wake) = self.wake.take_if(|wake| *wake <= now) {
-                    self.client.tick(now, wake, &mut acts);
+                if let Some(wake) = self.next_wake.take_if(|wake| *wake <= now) {
+                    self.client.tick(now, wake, &mut actions);
                 }
             }
             _ => {}
         }
-        self.carry_out(now, acts, out)
+        self.execute(now, actions, out)
     }
 
-    fn bytes(&mut self, now: Moment, bytes: &[u8], out: &mut Outbox) -> Vec<WatchEvent> {
-        let (mut told, link) = (Vec::new(), self.link);
+    fn handle_bytes(&mut self, now: Moment, bytes: &[u8], out: &mut Outbox) -> Vec<WatchEvent> {
+        let (mut events, link) = (Vec::new(), self.link);
         self.frames.push(bytes);
-        // Until all is taken, or the link was given up by what came.
+        // Until all messages are handled, or one of them made it give up the link.
         while self.link == link {
-            let mut acts = Vec::new();
+            let mut actions = Vec::new();
             match self.frames.take() {
-                Ok(Some(WatchMessage { kind: Some(kind) })) => self.client.word(now, kind, &mut acts),
+                Ok(Some(WatchMessage { kind: Some(kind) })) => {
+                    self.client.handle_message(now, kind, &mut actions)
+                }
                 Ok(_) => break,
-                Err(wrong) => self.client.wrong(now, &wrong.to_string(), &mut acts),
+                Err(wrong) => self.client.protocol_error(now, &wrong.to_string(), &mut actions),
             }
-            told.extend(self.carry_out(now, acts, out));
+            events.extend(self.execute(now, actions, out));
         }
-        told
+        events
     }
 
-    fn carry_out(&mut self, now: Moment, acts: Vec<Act>, out: &mut Outbox) -> Vec<WatchEvent> {
-        let mut told = Vec::new();
-        for act in acts {
-            match act {
-                Act::Dial(to) => {
+    fn execute(&mut self, now: Moment, actions: Vec<Action>, out: &mut Outbox) -> Vec<WatchEvent> {
+        let mut events = Vec::new();
+        for action in actions {
+            match action {
+                Action::Dial(to) => {
                     self.link = Some(out.connect(to, self.source_ip));
                     self.frames = Frames::default();
                 }
-                Act::Say(kind) => {
+                Action::Send(kind) => {
                     if let Some(link) = self.link {
                         out.send(link, encode(&WatchMessage::new(kind)));
                     }
                 }
-                Act::Finish | Act::Cut => {
+                Action::Close | Action::Abort => {
                     if let Some(link) = self.link.take() {
                         self.closing.insert(link);
-                        match act {
-                            Act::Finish => out.finish(link),
+                        match action {
+                            Action::Close => out.finish(link),
                             _ => out.cut(link),
                         }
                     }
                 }
-                Act::Tell(what) => told.push(what),
+                Action::Notify(event) => events.push(event),
             }
         }
-        if let Some(due) = self.client.due(now).filter(|due| self.wake.is_none_or(|wake| *due < wake)) {
-            self.wake = Some(due);
+        if let Some(due) = self.client.due(now).filter(|due| self.next_wake.is_none_or(|wake| *due < wake)) {
+            self.next_wake = Some(due);
             out.wake(self.timer, due);
         }
-        told
+        events
     }
 
-    /// The state of this place is in force here, and on the disk: it is said upward.
+    /// The state as of this index is applied and saved to disk; the machine is told.
     pub fn applied(&mut self, now: Moment, index: u64, out: &mut Outbox) {
-        let mut acts = Vec::new();
-        self.client.applied(now, index, &mut acts);
-        self.carry_out(now, acts, out);
+        let mut actions = Vec::new();
+        self.client.applied(now, index, &mut actions);
+        self.execute(now, actions, out);
     }
 
-    /// Another scope from here on; what is held stays in force until all within the new one was told.
+    /// Switches to another scope. The state stays in force until the snapshot of the new scope is complete.
     pub fn rescope(&mut self, now: Moment, scope: Scope, out: &mut Outbox) {
-        let mut acts = Vec::new();
-        self.client.rescope(now, scope, &mut acts);
-        self.carry_out(now, acts, out);
+        let mut actions = Vec::new();
+        self.client.rescope(now, scope, &mut actions);
+        self.execute(now, actions, out);
     }
 
-    /// It ends in order: it is expected no more.
+    /// Shuts down in order: the planner is no longer expected.
     pub fn leave(&mut self, now: Moment, out: &mut Outbox) {
-        let mut acts = Vec::new();
-        self.client.leave(now, &mut acts);
-        self.carry_out(now, acts, out);
+        let mut actions = Vec::new();
+        self.client.leave(now, &mut actions);
+        self.execute(now, actions, out);
     }
 
-    /// Up to which all within the scope was told.
+    /// Index up to which all changes within the scope were received.
     pub fn index(&self) -> u64 {
         self.client.index()
     }
 
-    /// All that had been kept so long ago is in force here; None: not known since this start.
+    /// Everything committed up to this long ago is applied here; `None`: unknown since this start.
     pub fn age(&self, now: Moment) -> Option<Span> {
         self.client.age(now)
     }
 
-    /// The machine whose watch stands.
+    /// The machine that is being watched.
     pub fn watching(&self) -> Option<&str> {
         self.client.watching()
     }
 
-    /// What a planner keeps on its disk, to start from.
+    /// The state for the planner's disk, from which its next start continues.
     pub fn encode_state(&self) -> Vec<u8> {
         self.client.saved_state().encode()
     }
--- a/crates/watch/src/watch_server.rs
+++ b/crates/watch/src/watch_server.rs
@@ -1,9 +1,9 @@
-//! A control machine's watches behind real links: frames in, frames out, one timer.
+//! Runs a control machine's watches on real links: decodes and encodes frames, sets the timer.
 
 use crate::config::WatchConfig;
 use crate::messages::WatchMessage;
 use crate::roster::Roster;
-use crate::server::{Act, Server, WatchServerStats};
+use crate::server::{Action, Server, WatchServerStats};
 use pewtergap_node::{Input, Level, Link, Outbox};
 use pewtergap_protocol::{encode, Frames};
 use pewtergap_time::{Moment, Span};
@@ -14,41 +14,46 @@
     pub roster: Roster,
     timer: u64,
     frames: BTreeMap<Link, Frames<WatchMessage>>,
-    wake: Option<Moment>,
-    out: u64,
-    heard: u64,
+    next_wake: Option<Moment>,
+    bytes_sent: u64,
+    bytes_received: u64,
 }
 
 impl WatchServer {
     pub fn new(config: WatchConfig, machine: String, seed: u64) -> WatchServer {
         WatchServer {
-            roster: Roster::new(machine.clone(), seed ^ 1).with(config),
+            roster: Roster::new(machine.clone(), seed ^ 1).with_config(config),
             server: Server::new(config, machine, seed),
             timer: config.timer,
             frames: BTreeMap::new(),
-            wake: None,
-            out: 0,
-            heard: 0,
+            next_wake: None,
+            bytes_sent: 0,
+            bytes_received: 0,
         }
     }
 
     pub fn stats(&self) -> WatchServerStats {
-        WatchServerStats { bytes_sent: self.out, bytes_received: self.heard, ..self.server.stats() }
+        WatchServerStats {
+            bytes_sent: self.bytes_sent,
+            bytes_received: self.bytes_received,
+            ..self.server.stats()
+        }
     }
 
     pub fn server(&self) -> &Server {
         &self.server
     }
 
-    /// The record's identity; until it is known all are refused `Behind`.
+    /// Sets the record's id; until then all planners are refused with `Behind`.
     pub fn set_record_id(&mut self, now: Moment, record_id: u64, out: &mut Outbox) {
-        let mut acts = Vec::new();
-        self.server.set_record_id(now, record_id, &mut acts);
-        self.carry_out(acts, out);
+        let mut actions = Vec::new();
+        self.server.set_record_id(now, record_id, &mut actions);
+        self.execute(actions, out);
     }
 
-    /// What the commands up to this place changed; None: gone. Several places may come as one. A key that changed in
-    /// between is named also where its value is what it was, and one that came and went as gone.
+    /// Applies the changes of all commands up to `index`; `None` is a deletion. Several indexes may be
+    /// applied at once. Every key touched in between must be included, even if its value is the same as
+    /// before, and one that was created and deleted as deleted.
     pub fn apply(
         &mut self,
         now: Moment,
@@ -56,56 +61,55 @@
         changes: Vec<(String, Option<Vec<u8>>)>,
         out: &mut Outbox,
     ) {
-        let mut acts = Vec::new();
-        self.server.apply(now, index, changes, &mut acts);
-        self.carry_out(acts, out);
+        let mut actions = Vec::new();
+        self.server.apply(now, index, changes, &mut actions);
+        self.execute(actions, out);
     }
 
-    /// All that stands at a place, where the way to it is not known.
+    /// Replaces the state by a full one whose intermediate changes are unknown.
     pub fn restore(&mut self, now: Moment, index: u64, all: BTreeMap<String, Vec<u8>>, out: &mut Outbox) {
-        let mut acts = Vec::new();
-        self.server.restore(now, index, all, &mut acts);
-        self.carry_out(acts, out);
+        let mut actions = Vec::new();
+        self.server.restore(now, index, all, &mut actions);
+        self.execute(actions, out);
     }
 
-    /// All that had been kept at `asked` is applied here: said after it was.
+    /// Everything committed at `asked` is applied here; to be called after it was.
     pub fn confirm_fresh(&mut self, asked: Moment) {
         self.server.confirm_fresh(asked);
     }
 
-    /// All that was kept so long ago is applied here; None: never known.
+    /// Everything committed up to this long ago is applied here; `None` if it was never known.
     pub fn age(&self, now: Moment) -> Option<Span> {
         self.server.age(now)
     }
 
-    /// This link is one of its own.
     pub fn owns_link(&self, link: Link) -> bool {
         self.frames.contains_key(&link)
     }
 
     pub fn accepted(&mut self, now: Moment, link: Link, out: &mut Outbox) {
-        let mut acts = Vec::new();
+        let mut actions = Vec::new();
         self.frames.insert(link, Frames::default());
-        self.server.accepted(now, link, &mut acts);
-        self.carry_out(acts, out);
+        self.server.accepted(now, link, &mut actions);
+        self.execute(actions, out);
     }
 
-    /// `Bytes` and `Closed` of its links, `Due` of its timer; all else is none of its business.
+    /// Handles `Bytes` and `Closed` of its links and `Due` of its timer; everything else is ignored.
     pub fn handle(&mut self, now: Moment, input: Input<'_>, out: &mut Outbox) {
-        let mut acts = Vec::new();
+        let mut actions = Vec::new();
         match input {
             Input::Bytes { link, bytes } => {
                 let Some(frames) = self.frames.get_mut(&link) else { return };
-                self.heard += bytes.len() as u64;
+                self.bytes_received += bytes.len() as u64;
                 frames.push(bytes);
                 loop {
                     match frames.take() {
                         Ok(Some(WatchMessage { kind: Some(kind) })) => {
-                            self.server.word(now, link, kind, &mut acts)
+                            self.server.handle_message(now, link, kind, &mut actions)
                         }
                         Ok(_) => break,
-                        Err(wrong) => {
-                            self.server.wrong(now, link, &wrong.to_string(), &mut acts);
+                        Err(error) => {
+                            self.server.protocol_error(now, link, &error.to_string(), &mut actions);
                             *frames = Frames::default();
                             break;
                         }
@@ -113,40 +117,40 @@
                 }
             }
             Input::Closed { link, .. } if self.frames.remove(&link).is_some() => {
-                self.server.closed(now, link, &mut acts);
+                self.server.closed(now, link, &mut actions);
             }
-            Input::Due { timer } if timer == self.timer && self.wake.is_some_and(|wake| wake <= now) => {
-                self.wake = None;
-                self.server.tick(now, &mut acts);
+            Input::Due { timer } if timer == self.timer && self.next_wake.is_some_and(|wake| wake <= now) => {
+                self.next_wake = None;
+                self.server.tick(now, &mut actions);
             }
             _ => {}
         }
-        self.carry_out(acts, out);
+        self.execute(actions, out);
     }
 
-    /// All are told to go elsewhere, and whoever comes.
+    /// Sends all planners, also new ones, to other machines.
     pub fn stop(&mut self, now: Moment, out: &mut Outbox) {
-        let mut acts = Vec::new();
-        self.server.stop(now, &mut acts);
-        self.carry_out(acts, out);
+        let mut actions = Vec::new();
+        self.server.stop(now, &mut actions);
+        self.execute(actions, out);
     }
 
     fn send(&mut self, link: Link, bytes: Vec<u8>, out: &mut Outbox) {
-        self.out += bytes.len() as u64;
+        self.bytes_sent += bytes.len() as u64;
         out.send(link, bytes);
     }
 
-    fn carry_out(&mut self, acts: Vec<Act>, out: &mut Outbox) {
-        for act in acts {
-            match act {
-                Act::Say(link, kind) => self.send(link, encode(&WatchMessage::new(kind)), out),
-                Act::Piece(link, frame) => self.send(link, frame, out),
-                Act::Finish(link) => out.finish(link),
-                Act::Cut(link) => out.cut(link),
-                Act::Heard { planner, start, watch_number, applied, vouched } => {
-                    self.roster.planner_heard(&planner, (start, watch_number), applied, vouched);
+    fn execute(&mut self, actions: Vec<Action>, out: &mut Outbox) {
+        for action in actions {
+            match action {
+                Action::Send(link, kind) => self.send(link, encode(&WatchMessage::new(kind)), out),
+                Action::SendFrame(link, frame) => self.send(link, frame, out),
+                Action::Close(link) => out.finish(link),
+                Action::Abort(link) => out.cut(link),
+                Action::PlannerHeard { planner, start, watch_number, applied, as_of } => {
+                    self.roster.planner_heard(&planner, (start, watch_number), applied, as_of);
                 }
-                Act::Gone { planner, start, watch_number, left } => {
+                Action::WatchEnded { planner, start, watch_number, left } => {
                     self.roster.watch_ended(&planner, (start, watch_number), left)
                 }
             }
@@ -154,8 +158,8 @@
         for planner in std::mem::take(&mut self.roster.forgotten) {
             out.log(Level::Warn, "planner_forgotten", vec![("planner", planner)]);
         }
-        if let Some(due) = self.server.due().filter(|due| self.wake.is_none_or(|wake| *due < wake)) {
-            self.wake = Some(due);
+        if let Some(due) = self.server.due().filter(|due| self.next_wake.is_none_or(|wake| *due < wake)) {
+            self.next_wake = Some(due);
             out.wake(self.timer, due);
         }
     }
--- a/crates/watch/tests/cache.rs
+++ b/crates/watch/tests/cache.rs
@@ -1,10 +1,10 @@
-//! The cache and the walks through it against a plain log: whatever is told in pieces, broken off, gone on with elsewhere,
-//! comes to the prefix of the log at the stated place.
+//! The cache and its iterations against a plain log: chunks, interrupted and resumed at another machine,
+//! must give the state of the log as of the stated index.
 
 use pewtergap_watch::cache::Cache;
+use pewtergap_watch::chunks::{ChunkCache, Position};
 use pewtergap_watch::messages::{Changes, Kind, WatchMessage};
-use pewtergap_watch::pieces::{Position, Shared};
-use pewtergap_watch::state::Held;
+use pewtergap_watch::state::PendingChanges;
 use pewtergap_watch::Scope;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -18,7 +18,7 @@
     format!("{about}/n{}", key / 4)
 }
 
-/// Values of some size, so that a few fill a piece.
+/// Values so large that a few fill a chunk.
 fn value(value: u8) -> Vec<u8> {
     vec![value; 4_000]
 }
@@ -35,7 +35,7 @@
     all
 }
 
-/// What a caller tells of several places at once: each key they touched, as it stands after them.
+/// Applies several indexes at once: each key touched, with its value after them.
 fn apply(cache: &mut Cache, log: &[Change], to: u64) {
     let from = cache.head();
     if to <= from {
@@ -48,13 +48,13 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// A machine applies so many places more, as one or one by one.
+    /// A machine applies this many more indexes, at once or one by one.
     Apply { machine: usize, indexes: u64, as_one: bool },
-    /// A machine reads the record from a snapshot so many places on.
+    /// A machine reads the record from a snapshot this many indexes later.
     Restore { machine: usize, indexes: u64 },
-    /// A watcher is told a piece.
-    Piece,
-    /// It changes machines; what was told of a snapshot stays.
+    /// The watcher receives a chunk.
+    Chunk,
+    /// The watcher moves to the other machine and keeps a partial snapshot.
     Move,
 }
 
@@ -63,7 +63,7 @@
         8 => (0..2_usize, 1..4_u64, any::<bool>())
             .prop_map(|(machine, indexes, as_one)| Step::Apply { machine, indexes, as_one }),
         1 => (0..2_usize, 0..9_u64).prop_map(|(machine, indexes)| Step::Restore { machine, indexes }),
-        8 => Just(Step::Piece),
+        8 => Just(Step::Chunk),
         4 => Just(Step::Move),
     ]
 }
@@ -71,7 +71,7 @@
 fn decode(frame: &[u8]) -> Changes {
     let mut frames = pewtergap_protocol::Frames::<WatchMessage>::default();
     frames.push(frame);
-    match frames.take().expect("it can be read").expect("it is whole").kind {
+    match frames.take().expect("a valid frame").expect("a complete frame").kind {
         Some(Kind::Changes(changes)) => changes,
         other => panic!("{other:?}"),
     }
@@ -80,7 +80,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 1_500, failure_persistence: None, rng_seed: RngSeed::Fixed(7), ..ProptestConfig::default() })]
     #[test]
-    fn a_watcher_holds_the_prefix_at_its_place(
+    fn a_watcher_holds_the_prefix_at_its_index(
         log in prop::collection::vec((0..16_u8, prop::option::weighted(0.5, 0..2_u8)), 60..120),
         steps in prop::collection::vec(step(), 20..60),
         some in any::<bool>(),
@@ -91,13 +91,13 @@
             true => Scope { servers: names(&["n0", "n2", "n4"]), routes: names(&["n1"]) },
             false => Scope::ALL,
         };
-        let mut caches = [Cache::remembering(most), Cache::remembering(9)];
-        // Many keys stand before anybody watches: a snapshot takes some pieces.
+        let mut caches = [Cache::with_max_tombstones(most), Cache::with_max_tombstones(9)];
+        // With many keys set before the watch begins, a snapshot takes several chunks.
         let log: Vec<Change> = (0..16).map(|key| (key, Some(9))).chain(log).collect();
         caches.iter_mut().for_each(|cache| apply(cache, &log, 16));
-        let mut shared = [Shared::default(), Shared::default()];
-        let (mut at, mut index, mut state, mut held) = (0, 0_u64, All::new(), Held::default());
-        let mut position = Position::at(0);
+        let mut shared = [ChunkCache::default(), ChunkCache::default()];
+        let (mut at, mut index, mut state, mut pending) = (0, 0_u64, All::new(), PendingChanges::default());
+        let mut position = Position::at_index(0);
         let mut reset = true;
         for step in steps {
             match step {
@@ -114,43 +114,43 @@
                     caches[machine].restore(to, prefix(&log, to, &Scope::ALL));
                     shared[machine].clear();
                 }
-                // Never back; a snapshot goes on where the other machine can.
+                // The state never goes back; a snapshot is resumed if the other machine can.
                 Step::Move if caches[1 - at].head() >= index => {
                     at = 1 - at;
                     let cache = &caches[at];
-                    let broken = held.snapshot.take().filter(|broken| {
-                        broken.base >= cache.forgotten() && broken.base.max(broken.seen) <= cache.head()
+                    let partial = pending.snapshot.take().filter(|partial| {
+                        partial.base >= cache.compacted_index() && partial.base.max(partial.seen) <= cache.head()
                     });
-                    let resumes_snapshot = index > 0 && index >= cache.forgotten();
-                    reset = !resumes_snapshot && broken.is_none();
-                    position = match &broken {
-                        _ if resumes_snapshot => Position::at(index),
-                        Some(broken) if broken.all_keys => Position::at(broken.base),
-                        Some(broken) => {
-                            Position::Keys { base: broken.base, after: Some(broken.after.as_str().into()) }
+                    let resumes_snapshot = index > 0 && index >= cache.compacted_index();
+                    reset = !resumes_snapshot && partial.is_none();
+                    position = match &partial {
+                        _ if resumes_snapshot => Position::at_index(index),
+                        Some(partial) if partial.all_keys => Position::at_index(partial.base),
+                        Some(partial) => {
+                            Position::SnapshotKey { base: partial.base, after: Some(partial.after.as_str().into()) }
                         }
-                        None => Position::at(0),
+                        None => Position::at_index(0),
                     };
-                    match broken {
-                        Some(broken) if !resumes_snapshot => held.snapshot = Some(broken),
-                        _ => held = Held::default(),
+                    match partial {
+                        Some(partial) if !resumes_snapshot => pending.snapshot = Some(partial),
+                        _ => pending = PendingChanges::default(),
                     }
                 }
                 Step::Move => {}
-                Step::Piece => {
+                Step::Chunk => {
                     let cache = &caches[at];
-                    if reset || position.lost(cache) {
-                        (position, reset) = (Position::Keys { base: cache.head(), after: None }, true);
+                    if reset || position.is_compacted(cache) {
+                        (position, reset) = (Position::SnapshotKey { base: cache.head(), after: None }, true);
                     }
-                    let piece = shared[at].piece(cache, (1, &scope), &position, reset);
-                    (position, reset) = (piece.next.clone(), false);
-                    let changes = decode(&piece.frame(7, 3));
-                    prop_assert_eq!((changes.number, changes.scope, changes.done), (7, 3, piece.done));
+                    let chunk = shared[at].chunk(cache, (1, &scope), &position, reset);
+                    (position, reset) = (chunk.next.clone(), false);
+                    let changes = decode(&chunk.frame(7, 3));
+                    prop_assert_eq!((changes.number, changes.scope, changes.done), (7, 3, chunk.done));
                     prop_assert!(changes.entries.len() == 1 || changes.encoded_len_of_entries() <= 16 * 1024);
                     let through = changes.through;
-                    held.take(changes).expect("little is held");
-                    if piece.done {
-                        let done = std::mem::take(&mut held);
+                    pending.add(changes).expect("within the limits");
+                    if chunk.done {
+                        let done = std::mem::take(&mut pending);
                         if done.snapshot.is_some() {
                             state.clear();
                         }
@@ -181,24 +181,24 @@
 }
 
 #[test]
-fn tombstones_are_bounded_and_a_key_that_comes_back_is_none() {
-    let mut cache = Cache::remembering(2);
+fn tombstones_are_bounded_and_a_recreated_key_has_none() {
+    let mut cache = Cache::with_max_tombstones(2);
     for index in 1..=4 {
         cache.apply(index, [(format!("zone/{index}"), Some(vec![1]))]);
     }
     cache.apply(5, [("zone/1".to_string(), None)]);
     cache.apply(6, [("zone/2".to_string(), None)]);
-    assert_eq!((cache.forgotten(), cache.size().0), (0, 2));
+    assert_eq!((cache.compacted_index(), cache.live_size().0), (0, 2));
     cache.apply(7, [("zone/1".to_string(), Some(vec![2]))]);
     cache.apply(8, [("zone/3".to_string(), None)]);
-    assert_eq!(cache.forgotten(), 0);
+    assert_eq!(cache.compacted_index(), 0);
     cache.apply(9, [("zone/4".to_string(), None)]);
-    assert_eq!((cache.forgotten(), cache.size().0), (6, 1));
+    assert_eq!((cache.compacted_index(), cache.live_size().0), (6, 1));
     let told: Vec<(u64, bool)> =
-        cache.beyond(6, u32::MAX).map(|found| (found.1.index, found.1.value.is_some())).collect();
+        cache.changes_after(6, u32::MAX).map(|found| (found.1.index, found.1.value.is_some())).collect();
     assert_eq!(told, [(7, true), (8, false), (9, false)]);
-    // Nothing goes back.
+    // Lower indexes are ignored.
     cache.apply(9, [("zone/9".to_string(), Some(vec![1]))]);
     cache.restore(8, BTreeMap::new());
-    assert_eq!((cache.head(), cache.size().0), (9, 1));
+    assert_eq!((cache.head(), cache.live_size().0), (9, 1));
 }
