--- a/crates/watch/tests/common/mod.rs
+++ b/crates/watch/tests/common/mod.rs
@@ -1,12 +1,13 @@
-//! Machines and planners of a tier in one thread, over words, with a delay on each way and no sockets.
+//! Machines and planners in one thread that exchange messages with a delay in each direction, without
+//! sockets.
 #![allow(dead_code)]
 
 use pewtergap_node::Link;
 use pewtergap_protocol::Frames;
 use pewtergap_time::{Moment, Span};
-use pewtergap_watch::client::{Act as Up, Client};
+use pewtergap_watch::client::{Action as ClientAction, Client};
 use pewtergap_watch::messages::{Changes, Hello, Kind, Ping, ScopeMessage, WatchMessage};
-use pewtergap_watch::server::{Act as Down, Server};
+use pewtergap_watch::server::{Action as ServerAction, Server};
 use pewtergap_watch::{ClientConfig, SavedState, Scope, WatchConfig, WatchEvent};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -21,7 +22,7 @@
 pub fn decode(frame: &[u8]) -> Kind {
     let mut frames = Frames::<WatchMessage>::default();
     frames.push(frame);
-    frames.take().expect("it can be read").expect("it is whole").kind.expect("it says something")
+    frames.take().expect("a valid frame").expect("a complete frame").kind.expect("a message with a kind")
 }
 
 pub fn set(key: &str, value: &str) -> (String, Option<Vec<u8>>) {
@@ -68,22 +69,22 @@
     }
 }
 
-/// A machine alone, and what it said.
+/// A machine alone, with what it sent.
 pub struct Machine {
     pub server: Server,
     pub now: Moment,
-    pub acts: Vec<Down>,
+    pub actions: Vec<ServerAction>,
 }
 
 impl Machine {
     pub fn new(config: WatchConfig) -> Machine {
         let mut server = Server::new(config, "m0".into(), 5);
         server.set_record_id(BEGIN, RECORD, &mut Vec::new());
-        Machine { server, now: BEGIN, acts: Vec::new() }
+        Machine { server, now: BEGIN, actions: Vec::new() }
     }
 
-    /// Several keys a place, so many bytes each.
-    pub fn filled(config: WatchConfig, indexes: u64, bytes: usize) -> Machine {
+    /// One key per index, each with a value of this many bytes.
+    pub fn with_keys(config: WatchConfig, indexes: u64, bytes: usize) -> Machine {
         let mut machine = Machine::new(config);
         for index in 1..=indexes {
             machine.apply(index, vec![(format!("zone/{index:05}"), Some(vec![index as u8; bytes]))]);
@@ -92,129 +93,129 @@
     }
 
     pub fn apply(&mut self, index: u64, changes: Vec<(String, Option<Vec<u8>>)>) {
-        self.server.apply(self.now, index, changes, &mut self.acts);
+        self.server.apply(self.now, index, changes, &mut self.actions);
     }
 
     pub fn accepted(&mut self, link: u64) {
-        self.server.accepted(self.now, Link(link), &mut self.acts);
+        self.server.accepted(self.now, Link(link), &mut self.actions);
     }
 
-    pub fn say(&mut self, link: u64, kind: Kind) {
-        self.server.word(self.now, Link(link), kind, &mut self.acts);
+    pub fn send(&mut self, link: u64, kind: Kind) {
+        self.server.handle_message(self.now, Link(link), kind, &mut self.actions);
     }
 
-    /// A planner comes and says hello.
-    pub fn comes(&mut self, link: u64, hello: Hello) {
+    /// A planner connects and sends `Hello`.
+    pub fn connect(&mut self, link: u64, hello: Hello) {
         self.accepted(link);
-        self.say(link, Kind::Hello(hello));
+        self.send(link, Kind::Hello(hello));
     }
 
     pub fn ping(&mut self, link: u64, token: u64, applied: u64) {
-        self.say(link, Kind::Ping(Ping { token, applied, echo: token.saturating_sub(1) }));
+        self.send(link, Kind::Ping(Ping { token, applied, echo: token.saturating_sub(1) }));
     }
 
-    /// Time passes, and whoever is due is looked at.
-    pub fn pass(&mut self, ms: u64) {
+    /// Lets time pass, and calls `tick` when it is due.
+    pub fn advance(&mut self, ms: u64) {
         let until = self.now + Span::millis(ms);
         while let Some(due) = self.server.due().filter(|due| *due <= until) {
             self.now = self.now.max(due);
-            self.server.tick(self.now, &mut self.acts);
+            self.server.tick(self.now, &mut self.actions);
         }
         self.now = until;
     }
 
-    /// What was said on a link since this was asked last.
-    pub fn said(&mut self, link: u64) -> Vec<Kind> {
-        let (own, others) = std::mem::take(&mut self.acts).into_iter().partition(|act| match act {
-            Down::Say(to, _) | Down::Piece(to, _) => to.0 == link,
+    /// What was sent on a link since the last call.
+    pub fn sent(&mut self, link: u64) -> Vec<Kind> {
+        let (own, others) = std::mem::take(&mut self.actions).into_iter().partition(|action| match action {
+            ServerAction::Send(to, _) | ServerAction::SendFrame(to, _) => to.0 == link,
             _ => false,
         });
-        self.acts = others;
-        let kind = |act| match act {
-            Down::Say(_, kind) => kind,
-            Down::Piece(_, frame) => decode(&frame),
+        self.actions = others;
+        let kind = |action| match action {
+            ServerAction::Send(_, kind) => kind,
+            ServerAction::SendFrame(_, frame) => decode(&frame),
             other => panic!("{other:?}"),
         };
         Vec::into_iter(own).map(kind).collect()
     }
 
-    pub fn pieces(&mut self, link: u64) -> Vec<Changes> {
-        let piece = |kind| match kind {
+    pub fn chunks(&mut self, link: u64) -> Vec<Changes> {
+        let chunk = |kind| match kind {
             Kind::Changes(changes) => Some(changes),
             _ => None,
         };
-        self.said(link).into_iter().filter_map(piece).collect()
+        self.sent(link).into_iter().filter_map(chunk).collect()
     }
 }
 
 pub struct Planner {
     pub client: Client,
-    /// What the caller has in force.
+    /// What the caller has applied.
     pub state: BTreeMap<String, Vec<u8>>,
     pub index: u64,
-    pub told: Vec<(Moment, WatchEvent)>,
-    /// It takes nothing of what it is sent while this is false.
+    pub events: Vec<(Moment, WatchEvent)>,
+    /// While this is false, it reads nothing that it is sent.
     pub reads: bool,
     link: Option<Link>,
-    wake: Option<Moment>,
-    /// When it watched first.
-    pub watched: Option<Moment>,
+    next_wake: Option<Moment>,
+    /// Start of its current watch.
+    pub watching_since: Option<Moment>,
     pub dials: Vec<(Moment, SocketAddr)>,
 }
 
 enum Item {
-    Up(Link, Kind),
-    Down(Link, Kind),
+    ToMachine(Link, Kind),
+    ToPlanner(Link, Kind),
     Opened(Link),
-    /// At the planner's end, and at the machine's.
-    Lost(Link),
-    Left(Link),
+    /// The link was lost at the planner's end, or closed at the machine's.
+    LostAtPlanner(Link),
+    ClosedAtMachine(Link),
 }
 
-/// Machines by their addresses.
-pub struct Tier {
+/// Machines by their addresses, and planners.
+pub struct Network {
     pub now: Moment,
     pub servers: BTreeMap<SocketAddr, Server>,
     pub planners: Vec<Planner>,
     links: BTreeMap<Link, (usize, SocketAddr)>,
-    made: u64,
-    wire: VecDeque<(Moment, Item)>,
-    way: Span,
-    /// The most snapshots that any machine had under way.
+    links_made: u64,
+    in_transit: VecDeque<(Moment, Item)>,
+    delay: Span,
+    /// The largest number of concurrent snapshots at any machine.
     pub max_snapshots: usize,
-    pub pieces: u64,
+    pub chunks: u64,
 }
 
-impl Tier {
-    pub fn new(servers: Vec<(SocketAddr, Server)>) -> Tier {
-        Tier {
+impl Network {
+    pub fn new(servers: Vec<(SocketAddr, Server)>) -> Network {
+        Network {
             now: BEGIN,
             servers: servers.into_iter().collect(),
             planners: Vec::new(),
             links: BTreeMap::new(),
-            made: 0,
-            wire: VecDeque::new(),
-            way: Span::millis(2),
+            links_made: 0,
+            in_transit: VecDeque::new(),
+            delay: Span::millis(2),
             max_snapshots: 0,
-            pieces: 0,
+            chunks: 0,
         }
     }
 
-    pub fn planner(&mut self, client_config: ClientConfig, kept: Option<SavedState>) -> usize {
-        let state = kept.as_ref().map(|kept| kept.entries.clone()).unwrap_or_default();
-        let index = kept.as_ref().map_or(0, |kept| kept.index);
-        let mut client = Client::new(client_config, kept);
+    pub fn planner(&mut self, client_config: ClientConfig, saved: Option<SavedState>) -> usize {
+        let state = saved.as_ref().map(|saved| saved.entries.clone()).unwrap_or_default();
+        let index = saved.as_ref().map_or(0, |saved| saved.index);
+        let mut client = Client::new(client_config, saved);
         client.started(self.now);
-        let wake = client.due(self.now);
+        let next_wake = client.due(self.now);
         self.planners.push(Planner {
             client,
             state,
             index,
-            told: Vec::new(),
+            events: Vec::new(),
             reads: true,
             link: None,
-            wake,
-            watched: None,
+            next_wake,
+            watching_since: None,
             dials: Vec::new(),
         });
         self.planners.len() - 1
@@ -226,63 +227,63 @@
     }
 
     pub fn apply_at(&mut self, at: SocketAddr, index: u64, changes: &[(String, Option<Vec<u8>>)]) {
-        let mut acts = Vec::new();
+        let mut actions = Vec::new();
         if let Some(server) = self.servers.get_mut(&at) {
-            server.apply(self.now, index, changes.to_vec(), &mut acts);
+            server.apply(self.now, index, changes.to_vec(), &mut actions);
         }
-        self.down(acts);
+        self.run_server_actions(actions);
     }
 
     /// A machine ends at once.
     pub fn kill(&mut self, at: SocketAddr) -> Option<Server> {
         let links: Vec<Link> = self.links.iter().filter(|link| link.1 .1 == at).map(|link| *link.0).collect();
         for link in links {
-            self.wire.push_back((self.now + self.way, Item::Lost(link)));
+            self.in_transit.push_back((self.now + self.delay, Item::LostAtPlanner(link)));
         }
         self.servers.remove(&at)
     }
 
-    /// A planner changes its machine by itself: its link breaks.
-    pub fn breaks(&mut self, planner: usize) {
+    /// A planner's link breaks, so that it changes its machine.
+    pub fn break_link(&mut self, planner: usize) {
         if let Some(link) = self.planners[planner].link {
-            self.wire.push_back((self.now + self.way, Item::Lost(link)));
-            self.wire.push_back((self.now + self.way, Item::Left(link)));
+            self.in_transit.push_back((self.now + self.delay, Item::LostAtPlanner(link)));
+            self.in_transit.push_back((self.now + self.delay, Item::ClosedAtMachine(link)));
         }
     }
 
-    fn up(&mut self, planner: usize, acts: Vec<Up>) {
-        for act in acts {
-            match act {
-                Up::Dial(to) => {
-                    self.made += 1;
-                    let link = Link(self.made);
+    fn run_client_actions(&mut self, planner: usize, actions: Vec<ClientAction>) {
+        for action in actions {
+            match action {
+                ClientAction::Dial(to) => {
+                    self.links_made += 1;
+                    let link = Link(self.links_made);
                     self.planners[planner].link = Some(link);
                     self.planners[planner].dials.push((self.now, to));
                     self.links.insert(link, (planner, to));
                     let there = self.servers.contains_key(&to);
-                    let item = if there { Item::Opened(link) } else { Item::Lost(link) };
-                    self.wire.push_back((self.now + self.way, item));
+                    let item = if there { Item::Opened(link) } else { Item::LostAtPlanner(link) };
+                    self.in_transit.push_back((self.now + self.delay, item));
                 }
-                Up::Say(kind) => {
-                    let link = self.planners[planner].link.expect("it has one");
-                    self.wire.push_back((self.now + self.way, Item::Up(link, kind)));
+                ClientAction::Send(kind) => {
+                    let link = self.planners[planner].link.expect("a link");
+                    self.in_transit.push_back((self.now + self.delay, Item::ToMachine(link, kind)));
                 }
-                Up::Finish | Up::Cut => {
+                ClientAction::Close | ClientAction::Abort => {
                     if let Some(link) = self.planners[planner].link.take() {
-                        self.wire.push_back((self.now + self.way, Item::Left(link)));
+                        self.in_transit.push_back((self.now + self.delay, Item::ClosedAtMachine(link)));
                     }
                 }
-                Up::Tell(told) => self.tell(planner, told),
+                ClientAction::Notify(event) => self.handle_event(planner, event),
             }
         }
         let due = self.planners[planner].client.due(self.now);
-        self.planners[planner].wake = due;
+        self.planners[planner].next_wake = due;
     }
 
-    fn tell(&mut self, at: usize, told: WatchEvent) {
+    fn handle_event(&mut self, at: usize, event: WatchEvent) {
         let planner = &mut self.planners[at];
-        planner.told.push((self.now, told.clone()));
-        match told {
+        planner.events.push((self.now, event.clone()));
+        match event {
             WatchEvent::Changed { index, reset, entries } => {
                 if reset {
                     planner.state.clear();
@@ -294,110 +295,113 @@
                     }
                 }
                 planner.index = index;
-                let mut acts = Vec::new();
-                planner.client.applied(self.now, index, &mut acts);
-                self.up(at, acts);
+                let mut actions = Vec::new();
+                planner.client.applied(self.now, index, &mut actions);
+                self.run_client_actions(at, actions);
             }
-            WatchEvent::Watching(_) => drop(planner.watched.get_or_insert(self.now)),
-            WatchEvent::Lost(_) => planner.watched = None,
+            WatchEvent::Watching(_) => drop(planner.watching_since.get_or_insert(self.now)),
+            WatchEvent::Lost(_) => planner.watching_since = None,
         }
     }
 
-    fn down(&mut self, acts: Vec<Down>) {
-        for act in acts {
-            match act {
-                Down::Say(link, kind) => self.wire.push_back((self.now + self.way, Item::Down(link, kind))),
-                Down::Piece(link, frame) => {
-                    self.pieces += 1;
-                    self.wire.push_back((self.now + self.way, Item::Down(link, decode(&frame))));
+    fn run_server_actions(&mut self, actions: Vec<ServerAction>) {
+        for action in actions {
+            match action {
+                ServerAction::Send(link, kind) => {
+                    self.in_transit.push_back((self.now + self.delay, Item::ToPlanner(link, kind)))
                 }
-                Down::Finish(link) | Down::Cut(link) => {
-                    self.wire.push_back((self.now + self.way, Item::Lost(link)));
-                    self.wire.push_back((self.now + self.way, Item::Left(link)));
+                ServerAction::SendFrame(link, frame) => {
+                    self.chunks += 1;
+                    self.in_transit.push_back((self.now + self.delay, Item::ToPlanner(link, decode(&frame))));
                 }
-                Down::Heard { .. } | Down::Gone { .. } => {}
+                ServerAction::Close(link) | ServerAction::Abort(link) => {
+                    self.in_transit.push_back((self.now + self.delay, Item::LostAtPlanner(link)));
+                    self.in_transit.push_back((self.now + self.delay, Item::ClosedAtMachine(link)));
+                }
+                ServerAction::PlannerHeard { .. } | ServerAction::WatchEnded { .. } => {}
             }
         }
     }
 
-    fn arrives(&mut self, item: Item) {
-        let mut acts = Vec::new();
+    fn deliver(&mut self, item: Item) {
+        let mut actions = Vec::new();
         match item {
             Item::Opened(link) => {
                 let Some((planner, to)) = self.links.get(&link).copied() else { return };
                 if let Some(server) = self.servers.get_mut(&to) {
-                    server.accepted(self.now, link, &mut acts);
+                    server.accepted(self.now, link, &mut actions);
                 }
-                self.down(acts);
+                self.run_server_actions(actions);
                 if self.planners[planner].link == Some(link) {
-                    let mut acts = Vec::new();
-                    self.planners[planner].client.opened(self.now, &mut acts);
-                    self.up(planner, acts);
+                    let mut actions = Vec::new();
+                    self.planners[planner].client.opened(self.now, &mut actions);
+                    self.run_client_actions(planner, actions);
                 }
             }
-            Item::Up(link, kind) => {
+            Item::ToMachine(link, kind) => {
                 let Some((_, to)) = self.links.get(&link).copied() else { return };
                 if let Some(server) = self.servers.get_mut(&to) {
-                    server.word(self.now, link, kind, &mut acts);
+                    server.handle_message(self.now, link, kind, &mut actions);
                 }
-                self.down(acts);
+                self.run_server_actions(actions);
             }
-            Item::Down(link, kind) => {
+            Item::ToPlanner(link, kind) => {
                 let Some((planner, _)) = self.links.get(&link).copied() else { return };
-                let one = &mut self.planners[planner];
-                if one.link == Some(link) && one.reads {
-                    let mut acts = Vec::new();
-                    one.client.word(self.now, kind, &mut acts);
-                    self.up(planner, acts);
+                let recipient = &mut self.planners[planner];
+                if recipient.link == Some(link) && recipient.reads {
+                    let mut actions = Vec::new();
+                    recipient.client.handle_message(self.now, kind, &mut actions);
+                    self.run_client_actions(planner, actions);
                 }
             }
-            Item::Lost(link) => {
+            Item::LostAtPlanner(link) => {
                 let Some((planner, _)) = self.links.get(&link).copied() else { return };
-                let one = &mut self.planners[planner];
-                if one.link == Some(link) {
-                    one.link = None;
-                    let mut acts = Vec::new();
-                    one.client.closed(self.now, "lost", &mut acts);
-                    self.up(planner, acts);
+                let recipient = &mut self.planners[planner];
+                if recipient.link == Some(link) {
+                    recipient.link = None;
+                    let mut actions = Vec::new();
+                    recipient.client.closed(self.now, "lost", &mut actions);
+                    self.run_client_actions(planner, actions);
                 }
             }
-            Item::Left(link) => {
+            Item::ClosedAtMachine(link) => {
                 let Some((_, to)) = self.links.remove(&link) else { return };
                 if let Some(server) = self.servers.get_mut(&to) {
-                    server.closed(self.now, link, &mut acts);
+                    server.closed(self.now, link, &mut actions);
                 }
-                self.down(acts);
+                self.run_server_actions(actions);
             }
         }
     }
 
-    /// Whatever is next, until then.
+    /// Handles all events up to this moment.
     pub fn until(&mut self, moment: Moment) {
         loop {
-            let wire = self.wire.front().map(|item| item.0);
+            let arrival = self.in_transit.front().map(|item| item.0);
             let servers = self.servers.values().filter_map(Server::due).min();
-            let planners = self.planners.iter().filter_map(|planner| planner.wake).min();
-            let Some(next) = [wire, servers, planners].into_iter().flatten().min().filter(|at| *at <= moment)
+            let planners = self.planners.iter().filter_map(|planner| planner.next_wake).min();
+            let Some(next) =
+                [arrival, servers, planners].into_iter().flatten().min().filter(|at| *at <= moment)
             else {
                 break;
             };
             self.now = self.now.max(next);
-            if wire == Some(next) {
-                if let Some((_, item)) = self.wire.pop_front() {
-                    self.arrives(item);
+            if arrival == Some(next) {
+                if let Some((_, item)) = self.in_transit.pop_front() {
+                    self.deliver(item);
                 }
             } else if servers == Some(next) {
-                let mut acts = Vec::new();
+                let mut actions = Vec::new();
                 for server in self.servers.values_mut() {
-                    server.tick(self.now, &mut acts);
+                    server.tick(self.now, &mut actions);
                 }
-                self.down(acts);
+                self.run_server_actions(actions);
             } else {
                 for at in 0..self.planners.len() {
-                    if let Some(wake) = self.planners[at].wake.filter(|wake| *wake <= self.now) {
-                        let mut acts = Vec::new();
-                        self.planners[at].client.tick(self.now, wake, &mut acts);
-                        self.up(at, acts);
+                    if let Some(wake) = self.planners[at].next_wake.filter(|wake| *wake <= self.now) {
+                        let mut actions = Vec::new();
+                        self.planners[at].client.tick(self.now, wake, &mut actions);
+                        self.run_client_actions(at, actions);
                     }
                 }
             }
@@ -407,7 +411,7 @@
         self.now = moment;
     }
 
-    pub fn pass(&mut self, ms: u64) {
+    pub fn advance(&mut self, ms: u64) {
         self.until(self.now + Span::millis(ms));
     }
 }
