--- a/crates/tier/src/keys.rs
+++ b/crates/tier/src/keys.rs
@@ -1,15 +1,15 @@
-//! The record as keys and values, and back.
+//! Maps the record to keys and values, and back.
 //!
 //! | key | value |
 //! | --- | --- |
-//! | `server/NAME`, `weight/NAME`, `route/NAME`, `zone/NAME`, `releases`, `duties` | the order that is in force there, a `record::Standing` |
-//! | `drain/NAME` | of which start of a server a grace runs, a `record::Drain` |
+//! | `server/NAME`, `weight/NAME`, `route/NAME`, `zone/NAME`, `releases`, `duties` | the order in force for it, a `record::ActiveOrder` |
+//! | `drain/NAME` | the start of a server whose drain grace is running, a `record::Drain` |
 
 use pewtergap_record::{ActiveOrder, Drain, Record, Subject};
 use prost::Message;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What stands under a key; none: nothing.
+/// A key with its value, or `None` if it was deleted.
 pub type Entry = (String, Option<Vec<u8>>);
 
 fn order_key(subject: &Subject) -> String {
@@ -23,8 +23,8 @@
     }
 }
 
-/// What the record says of these subjects now; both what is ordered of a server and whether a grace runs there.
-pub fn of(record: &Record, subjects: &BTreeSet<Subject>) -> Vec<Entry> {
+/// Current entries of these subjects; for a server both its order and its drain.
+pub fn entries_for(record: &Record, subjects: &BTreeSet<Subject>) -> Vec<Entry> {
     let mut entries = Vec::new();
     for subject in subjects {
         entries.push((order_key(subject), record.active_order(subject).map(Message::encode_to_vec)));
@@ -35,22 +35,23 @@
     entries
 }
 
-/// All that stands.
-pub fn whole(record: &Record) -> BTreeMap<String, Vec<u8>> {
-    let orders = record.orders().map(|(subject, standing)| (order_key(subject), standing.encode_to_vec()));
+/// All entries of the record.
+pub fn all_entries(record: &Record) -> BTreeMap<String, Vec<u8>> {
+    let orders =
+        record.orders().map(|(subject, active_order)| (order_key(subject), active_order.encode_to_vec()));
     let drains = record.drains().map(|drain| (format!("drain/{}", drain.server), drain.encode_to_vec()));
     orders.chain(drains).collect()
 }
 
-/// Puts an entry into a record that only follows; what it is about. A value that is none of its key's is an error: the
-/// record stays as it is.
-pub fn put(record: &mut Record, key: &str, value: Option<&[u8]>) -> Result<Subject, String> {
-    let strange = || format!("no key of this build: '{key}'");
+/// Applies an entry to a record that is only read, and returns its subject. A value that doesn't belong to
+/// its key is an error and leaves the record unchanged.
+pub fn apply_entry(record: &mut Record, key: &str, value: Option<&[u8]>) -> Result<Subject, String> {
+    let unknown = || format!("unknown key '{key}'");
     let subject = match key.split_once('/') {
         Some(("drain", name)) => {
             let drain = value.map(Drain::decode).transpose().map_err(|e| format!("{key}: {e}"))?;
             if drain.as_ref().is_some_and(|drain| drain.server != name) {
-                return Err(format!("{key}: a drain of another server"));
+                return Err(format!("{key}: the drain belongs to another server"));
             }
             record.set_drain(name, drain);
             return Ok(Subject::Server(name.into()));
@@ -61,15 +62,15 @@
         Some(("zone", name)) => Subject::Zone(name.into()),
         None if key == "releases" => Subject::Releases,
         None if key == "duties" => Subject::Duties,
-        _ => return Err(strange()),
+        _ => return Err(unknown()),
     };
-    let standing = value.map(ActiveOrder::decode).transpose().map_err(|e| format!("{key}: {e}"))?;
-    if let Some(standing) = &standing {
-        let wish = standing.order.as_ref().and_then(|order| order.action.as_ref());
-        if wish.map(|wish| wish.subject().0).as_ref() != Some(&subject) {
-            return Err(format!("{key}: an order on something else"));
+    let active_order = value.map(ActiveOrder::decode).transpose().map_err(|e| format!("{key}: {e}"))?;
+    if let Some(active_order) = &active_order {
+        let action = active_order.order.as_ref().and_then(|order| order.action.as_ref());
+        if action.map(|action| action.subject().0).as_ref() != Some(&subject) {
+            return Err(format!("{key}: the order has another subject"));
         }
     }
-    record.set_order(subject.clone(), standing);
+    record.set_order(subject.clone(), active_order);
     Ok(subject)
 }
--- a/crates/tier/src/lib.rs
+++ b/crates/tier/src/lib.rs
@@ -1,7 +1,7 @@
-//! The tier as processes: a control machine (a member of the record that serves watches) and a planner that watches one
-//! instead of being a member itself. Both are nodes: no socket, clock or thread.
+//! Nodes of the distribution tier: a control machine, which is a member of the record and serves watches,
+//! and a planner that watches one instead of being a member itself. Neither uses sockets, clocks or threads.
 //!
-//! Not in here: agreement, words and machines of a watch, what an order means at a planner, decisions.
+//! Consensus, the watch protocol, the effect of orders on a planner and its decisions are in other crates.
 #![forbid(unsafe_code)]
 
 mod control_machine;
--- a/crates/tier/src/watching_planner.rs
+++ b/crates/tier/src/watching_planner.rs
@@ -1,14 +1,14 @@
-//! A planner that watches: the service, and what it is told by a control machine, one node of one process.
+//! A planner that watches: the service and its watch of a control machine, as one node.
 //!
 //! | state | input | next | effect |
 //! | --- | --- | --- | --- |
-//! | opening | its file, or that there is none | numbering | the number of this start goes to the disk with what was kept |
-//! | numbering | that is on disk, or is not | up | the service begins, by what was kept; a machine is dialled |
-//! | up | something is told | up | the service goes by it at once; it goes to the disk; then it is said to be in force |
-//! | up | the list names servers out of scope | up | another scope is asked for |
-//! | up | stop | up, until the service has ended | the watch is left: nobody expects this planner any more |
+//! | opening | its file, or that there is none | saving start | write the number of this start to disk, with the saved state |
+//! | saving start | the write ended, successfully or not | up | start the service with the saved state, dial a machine |
+//! | up | changes received | up | apply them to the service at once, write them to disk, then report them as applied |
+//! | up | the list names servers out of scope | up | request another scope |
+//! | up | stop | up, until the service has ended | leave the watch: this planner is no longer expected |
 //!
-//! Tables never wait: without the tier, or before it answers, the service goes by what was kept.
+//! Tables never wait: without a control machine, or before one answers, the service uses the saved state.
 
 use crate::keys;
 use crate::planner_file::{self, PlannerFile};
@@ -24,16 +24,16 @@
 use std::collections::BTreeSet;
 use std::net::{IpAddr, SocketAddr};
 
-/// Those of the service lie below these.
-const TICK: u64 = 40;
-const WATCHING: u64 = 41;
-/// Between two looks at the list and at orders whose time is over.
-const LOOK: Span = Span::millis(250);
-/// A file that could not be written is written anew after this.
-const AGAIN: Span = Span::millis(1_000);
-const ELSEWHERE: &[&str] = &["/orders", "/record"];
+/// The service's timers have lower numbers.
+const TICK_TIMER: u64 = 40;
+const WATCH_TIMER: u64 = 41;
+/// Interval for checking the list and expired orders.
+const CHECK_INTERVAL: Span = Span::millis(250);
+/// Delay before a failed write is retried.
+const RETRY_DELAY: Span = Span::millis(1_000);
+const EXTERNAL_PATHS: &[&str] = &["/orders", "/record"];
 
-/// Whom it watches.
+/// The control machines to watch, and how.
 #[derive(Clone, Debug)]
 pub struct WatchTargetConfig {
     pub planner: String,
@@ -45,72 +45,72 @@
 
 enum Stage {
     Opening,
-    /// The number of this start goes to the disk.
-    Numbering(PlannerFile),
-    Up(Box<WatchClient>),
+    /// The number of this start is being written to disk.
+    SavingStart(PlannerFile),
+    Running(Box<WatchClient>),
 }
 
-/// A write under way, and up to which place it holds.
-struct Writing {
+/// A write in progress, and the index that it covers.
+struct PendingWrite {
     ticket: u64,
-    place: u64,
+    index: u64,
 }
 
 pub struct WatchingPlanner {
     service: Service,
-    watches: WatchTargetConfig,
+    target: WatchTargetConfig,
     stage: Stage,
     start: u64,
     scope: Scope,
-    /// What is told, in the form in which orders are read.
+    /// The received state, as a record from which orders are read.
     record: Record,
-    among: orders::PlannerSet,
-    tickets: u64,
-    writing: Option<Writing>,
-    /// Something changed that no write holds.
-    unwritten: bool,
-    again_at: Moment,
+    planner_set: orders::PlannerSet,
+    last_ticket: u64,
+    pending_write: Option<PendingWrite>,
+    /// Changes that no write covers yet.
+    dirty: bool,
+    retry_at: Moment,
 }
 
 impl WatchingPlanner {
-    pub fn new(mut service: Service, watches: WatchTargetConfig) -> WatchingPlanner {
-        service.external_paths = ELSEWHERE;
+    pub fn new(mut service: Service, target: WatchTargetConfig) -> WatchingPlanner {
+        service.external_paths = EXTERNAL_PATHS;
         let routes = service.routes().iter().cloned().collect();
         WatchingPlanner {
             scope: Scope { servers: None, routes: Some(routes) },
-            among: orders::PlannerSet { name: watches.planner.clone(), planners: Vec::new() },
+            planner_set: orders::PlannerSet { name: target.planner.clone(), planners: Vec::new() },
             service,
-            watches,
+            target,
             stage: Stage::Opening,
             start: 0,
             record: Record::default(),
-            tickets: 0,
-            writing: None,
-            unwritten: false,
-            again_at: Moment(0),
+            last_ticket: 0,
+            pending_write: None,
+            dirty: false,
+            retry_at: Moment(0),
         }
     }
 
-    fn file(&self) -> String {
-        format!("{}.watched", self.watches.planner)
+    fn file_name(&self) -> String {
+        format!("{}.watched", self.target.planner)
     }
 
     fn watching(&self) -> Option<&WatchClient> {
         match &self.stage {
-            Stage::Up(watching) => Some(watching),
+            Stage::Running(watching) => Some(watching),
             _ => None,
         }
     }
 
-    // ---- the disk
+    // ---- disk
 
-    fn opened(&mut self, now: Moment, bytes: Result<&[u8], String>, out: &mut Outbox) {
-        let kept = match bytes {
+    fn handle_file(&mut self, now: Moment, bytes: Result<&[u8], String>, out: &mut Outbox) {
+        let file = match bytes {
             Ok(bytes) => PlannerFile::decode(bytes).unwrap_or_else(|why| {
-                let aside = format!("{}.damaged-{:08x}", self.file(), now.0 as u32);
-                let fields = vec![("why", why), ("kept_as", aside.clone())];
+                let backup_name = format!("{}.damaged-{:08x}", self.file_name(), now.0 as u32);
+                let fields = vec![("why", why), ("kept_as", backup_name.clone())];
                 out.log(Level::Error, "watched_damaged", fields);
-                out.push(Effect::Keep { name: aside, bytes: bytes.to_vec() });
+                out.push(Effect::Keep { name: backup_name, bytes: bytes.to_vec() });
                 PlannerFile::default()
             }),
             Err(why) => {
@@ -120,90 +120,92 @@
                 PlannerFile::default()
             }
         };
-        // Above all its own starts, and above those of a disk that was lost.
-        self.start = now.0.max(kept.start + 1);
-        // Servers of the last start, until the list says otherwise: nothing has to be told anew where it is the same.
-        let scope = kept.watched.as_ref().and_then(|watched| watched.scope.clone());
+        // Higher than all its earlier starts, also those on a lost disk.
+        self.start = now.0.max(file.start + 1);
+        // Keeps the servers of the last start until the list is known, so that an unchanged scope needs no
+        // snapshot.
+        let scope = file.state.as_ref().and_then(|state| state.scope.clone());
         if let Some(scope) = scope.filter(|scope| scope.routes == self.scope.routes) {
             self.scope = scope;
         }
-        let watched = kept.watched.as_ref().map(pewtergap_watch::SavedState::encode).unwrap_or_default();
-        self.replace(planner_file::encode(self.start, &watched), 0, out);
-        self.stage = Stage::Numbering(kept);
+        let state = file.state.as_ref().map(pewtergap_watch::SavedState::encode).unwrap_or_default();
+        self.write_file(planner_file::encode(self.start, &state), 0, out);
+        self.stage = Stage::SavingStart(file);
     }
 
-    fn replace(&mut self, bytes: Vec<u8>, place: u64, out: &mut Outbox) {
-        self.tickets += 1;
-        let ticket = self.tickets;
-        self.writing = Some(Writing { ticket, place });
-        out.push(Effect::Replace { name: self.file(), bytes, ticket });
+    fn write_file(&mut self, bytes: Vec<u8>, index: u64, out: &mut Outbox) {
+        self.last_ticket += 1;
+        let ticket = self.last_ticket;
+        self.pending_write = Some(PendingWrite { ticket, index });
+        out.push(Effect::Replace { name: self.file_name(), bytes, ticket });
     }
 
-    /// Keeps what is in force, one write after the other.
-    fn keep(&mut self, now: Moment, out: &mut Outbox) {
-        let Stage::Up(watching) = &self.stage else { return };
-        if self.writing.is_some() || !self.unwritten || now < self.again_at {
+    /// Writes the state to disk, one write at a time.
+    fn save(&mut self, now: Moment, out: &mut Outbox) {
+        let Stage::Running(watching) = &self.stage else { return };
+        if self.pending_write.is_some() || !self.dirty || now < self.retry_at {
             return;
         }
-        let (bytes, place) = (planner_file::encode(self.start, &watching.encode_state()), watching.index());
-        self.unwritten = false;
-        self.replace(bytes, place, out);
+        let (bytes, index) = (planner_file::encode(self.start, &watching.encode_state()), watching.index());
+        self.dirty = false;
+        self.write_file(bytes, index, out);
     }
 
-    fn synced(&mut self, now: Moment, ticket: u64, result: Result<(), String>, out: &mut Outbox) {
-        let Some(writing) = self.writing.take_if(|writing| writing.ticket == ticket) else { return };
+    fn handle_synced(&mut self, now: Moment, ticket: u64, result: Result<(), String>, out: &mut Outbox) {
+        let Some(pending_write) = self.pending_write.take_if(|write| write.ticket == ticket) else { return };
         if let Err(why) = &result {
             out.log(Level::Error, "watched_not_kept", vec![("why", why.clone())]);
         }
         match (&mut self.stage, result) {
-            (Stage::Numbering(kept), _) => {
-                let kept = std::mem::take(kept);
-                self.begin(now, kept.watched, out);
+            (Stage::SavingStart(file), _) => {
+                let file = std::mem::take(file);
+                self.start_service(now, file.state, out);
             }
-            (Stage::Up(watching), Ok(())) => {
-                // Places that changed nothing here hold what was written.
-                let place = if self.unwritten { writing.place } else { watching.index() };
-                watching.applied(now, place, out);
+            (Stage::Running(watching), Ok(())) => {
+                // Indexes without changes in scope are covered by the last write.
+                let index = if self.dirty { pending_write.index } else { watching.index() };
+                watching.applied(now, index, out);
             }
-            // In force, and not said to be: the whole is written again.
-            (Stage::Up(_), Err(_)) => (self.unwritten, self.again_at) = (true, now + AGAIN),
+            // Applied but not reported as such; the whole state is written again.
+            (Stage::Running(_), Err(_)) => (self.dirty, self.retry_at) = (true, now + RETRY_DELAY),
             (Stage::Opening, _) => {}
         }
-        self.keep(now, out);
+        self.save(now, out);
     }
 
-    // ---- what is told
+    // ---- watch
 
-    fn begin(&mut self, now: Moment, watched: Option<pewtergap_watch::SavedState>, out: &mut Outbox) {
+    fn start_service(&mut self, now: Moment, state: Option<pewtergap_watch::SavedState>, out: &mut Outbox) {
         let fields = vec![
             ("start", self.start.to_string()),
-            ("place", watched.as_ref().map_or(0, |kept| kept.index).to_string()),
+            ("place", state.as_ref().map_or(0, |state| state.index).to_string()),
         ];
         out.log(Level::Info, "watch_begins", fields);
-        let entries = watched.iter().flat_map(|kept| &kept.entries);
-        self.put(entries.map(|(key, value)| (key.clone(), Some(value.clone()))).collect(), out);
-        let home = pewtergap_watch::ClientConfig {
-            planner: self.watches.planner.clone(),
+        let entries = state.iter().flat_map(|state| &state.entries);
+        self.apply_entries(entries.map(|(key, value)| (key.clone(), Some(value.clone()))).collect(), out);
+        let client_config = pewtergap_watch::ClientConfig {
+            planner: self.target.planner.clone(),
             start: self.start,
-            machines: self.watches.machines.clone(),
+            machines: self.target.machines.clone(),
             scope: self.scope.clone(),
-            source_ip: self.watches.source_ip,
-            seed: self.watches.seed,
-            watch_config: WatchConfig { timer: WATCHING, ..self.watches.watch_config },
+            source_ip: self.target.source_ip,
+            seed: self.target.seed,
+            watch_config: WatchConfig { timer: WATCH_TIMER, ..self.target.watch_config },
         };
-        self.stage = Stage::Up(Box::new(WatchClient::new(home, watched)));
+        self.stage = Stage::Running(Box::new(WatchClient::new(client_config, state)));
         self.service.set_epoch(self.start);
         self.service.handle(now, Input::Start, out);
-        self.stand_by(now, None, out);
-        self.watch(now, Input::Start, out);
-        out.wake(TICK, now + LOOK);
+        self.apply_orders(now, None, out);
+        self.handle_watch(now, Input::Start, out);
+        out.wake(TICK_TIMER, now + CHECK_INTERVAL);
     }
 
-    /// Puts entries into the record; what they are about. One that this build cannot read is left out and said.
-    fn put(&mut self, entries: Vec<keys::Entry>, out: &mut Outbox) -> BTreeSet<Subject> {
+    /// Applies entries to the record and returns their subjects. Entries that this build cannot read are
+    /// skipped and logged.
+    fn apply_entries(&mut self, entries: Vec<keys::Entry>, out: &mut Outbox) -> BTreeSet<Subject> {
         let mut subjects = BTreeSet::new();
         for (key, value) in entries {
-            match keys::put(&mut self.record, &key, value.as_deref()) {
+            match keys::apply_entry(&mut self.record, &key, value.as_deref()) {
                 Ok(subject) => drop(subjects.insert(subject)),
                 Err(why) => out.log(Level::Error, "entry_left_out", vec![("why", why)]),
             }
@@ -211,21 +213,23 @@
         subjects
     }
 
-    /// What the record says, told to the service: of these subjects, or all of it.
-    fn stand_by(&mut self, now: Moment, subjects: Option<&BTreeSet<Subject>>, out: &mut Outbox) {
-        let (record, service, among) = (&self.record, &self.service, &self.among);
-        let these = subjects.and_then(|subjects| orders::changes_for(record, service, now, subjects, among));
-        let whole = || service.overrides().diff(&orders::full_standing(record, service, now, among));
-        let stands = these.unwrap_or_else(whole);
-        self.service.apply_overrides(now, &stands, out);
+    /// Passes the record's orders to the service: those of the given subjects, or all.
+    fn apply_orders(&mut self, now: Moment, subjects: Option<&BTreeSet<Subject>>, out: &mut Outbox) {
+        let (record, service, planner_set) = (&self.record, &self.service, &self.planner_set);
+        let changed =
+            subjects.and_then(|subjects| orders::changes_for(record, service, now, subjects, planner_set));
+        let full_overrides =
+            || service.overrides().diff(&orders::full_standing(record, service, now, planner_set));
+        let overrides = changed.unwrap_or_else(full_overrides);
+        self.service.apply_overrides(now, &overrides, out);
     }
 
-    fn watch(&mut self, now: Moment, input: Input<'_>, out: &mut Outbox) {
-        let Stage::Up(watching) = &mut self.stage else { return };
-        for told in watching.handle(now, input, out) {
-            match told {
+    fn handle_watch(&mut self, now: Moment, input: Input<'_>, out: &mut Outbox) {
+        let Stage::Running(watching) = &mut self.stage else { return };
+        for event in watching.handle(now, input, out) {
+            match event {
                 WatchEvent::Changed { index, reset, entries } => {
-                    self.changed(now, index, reset, entries, out)
+                    self.handle_changes(now, index, reset, entries, out)
                 }
                 WatchEvent::Watching(machine) => out.log(Level::Info, "watches", vec![("machine", machine)]),
                 WatchEvent::Lost(why) => out.log(Level::Warn, "watch_lost", vec![("why", why)]),
@@ -233,30 +237,37 @@
         }
     }
 
-    fn changed(&mut self, now: Moment, place: u64, anew: bool, entries: Vec<keys::Entry>, out: &mut Outbox) {
+    fn handle_changes(
+        &mut self,
+        now: Moment,
+        index: u64,
+        reset: bool,
+        entries: Vec<keys::Entry>,
+        out: &mut Outbox,
+    ) {
         let fields = vec![
-            ("place", place.to_string()),
+            ("place", index.to_string()),
             ("entries", entries.len().to_string()),
-            ("anew", anew.to_string()),
+            ("anew", reset.to_string()),
         ];
         out.log(Level::Debug, "told", fields);
-        self.unwritten |= anew || !entries.is_empty();
-        if anew {
+        self.dirty |= reset || !entries.is_empty();
+        if reset {
             self.record = Record::default();
         }
-        let subjects = self.put(entries, out);
-        self.stand_by(now, Some(&subjects).filter(|_| !anew), out);
-        if self.unwritten || self.writing.is_some() {
-            return self.keep(now, out);
+        let subjects = self.apply_entries(entries, out);
+        self.apply_orders(now, Some(&subjects).filter(|_| !reset), out);
+        if self.dirty || self.pending_write.is_some() {
+            return self.save(now, out);
         }
-        // Nothing changed within its scope: there is nothing to write.
-        if let Stage::Up(watching) = &mut self.stage {
-            watching.applied(now, place, out);
+        // Nothing changed within the scope, so there is nothing to write.
+        if let Stage::Running(watching) = &mut self.stage {
+            watching.applied(now, index, out);
         }
     }
 
-    /// Servers that are listed have to be in scope; some that are not any more do no harm.
-    fn rescope(&mut self, now: Moment, out: &mut Outbox) {
+    /// Listed servers must be in scope; a few that are no longer listed do no harm.
+    fn update_scope(&mut self, now: Moment, out: &mut Outbox) {
         let Some(listed) = self.service.server_names().map(|names| names.collect::<BTreeSet<_>>()) else {
             return;
         };
@@ -272,45 +283,46 @@
         }
         let names = (listed.len() <= MAX_SCOPE_NAMES).then(|| listed.into_iter().cloned().collect());
         self.scope.servers = names;
-        if let Stage::Up(watching) = &mut self.stage {
+        if let Stage::Running(watching) = &mut self.stage {
             watching.rescope(now, self.scope.clone(), out);
         }
     }
 
     fn tick(&mut self, now: Moment, out: &mut Outbox) {
-        out.wake(TICK, now + LOOK);
-        self.rescope(now, out);
-        // The time of an order may be over.
-        self.stand_by(now, None, out);
-        self.keep(now, out);
+        out.wake(TICK_TIMER, now + CHECK_INTERVAL);
+        self.update_scope(now, out);
+        // An order may have expired.
+        self.apply_orders(now, None, out);
+        self.save(now, out);
     }
 
-    // ---- operators
+    // ---- admin requests
 
-    fn asked(&mut self, now: Moment, asked: AdminRequest, out: &mut Outbox) {
-        let AdminRequest { link, method, target, .. } = asked;
+    fn handle_admin(&mut self, now: Moment, request: AdminRequest, out: &mut Outbox) {
+        let AdminRequest { link, method, target, .. } = request;
         let (status, view) = match (method.as_str(), target.as_str()) {
-            ("GET", "/record" | "/record?stale") => (200, self.view(now)),
+            ("GET", "/record" | "/record?stale") => (200, self.render_record(now)),
             _ => {
-                let machines: Vec<&String> = self.watches.machines.iter().map(|machine| &machine.0).collect();
-                let why = "there is GET /record; orders are given at a control machine";
+                let machines: Vec<&String> = self.target.machines.iter().map(|machine| &machine.0).collect();
+                let why = "only GET /record is supported here; send orders to a control machine";
                 (404, json!({ "refused": why, "machines": machines }))
             }
         };
         self.service.answer_admin(link, status, &view.to_string(), out);
     }
 
-    fn view(&self, now: Moment) -> serde_json::Value {
+    fn render_record(&self, now: Moment) -> serde_json::Value {
         let watching = self.watching();
         let age = watching.and_then(|watching| watching.age(now));
-        let here = |kept: &pewtergap_record::ActiveOrder| orders::applied_share(kept, now, &self.among);
+        let here =
+            |order: &pewtergap_record::ActiveOrder| orders::applied_share(order, now, &self.planner_set);
         json!({ "fresh": false, "age_ms": age.map(|age| age.0.div_ceil(1_000_000)),
             "index": watching.map_or(0, WatchClient::index), "watching": watching.and_then(WatchClient::watching),
             "orders": admin::orders_view(&self.record, here), "drains": admin::drains_view(&self.record),
             "start": self.start })
     }
 
-    fn has(&self, link: Link) -> bool {
+    fn owns_link(&self, link: Link) -> bool {
         self.watching().is_some_and(|watching| watching.owns_link(link))
     }
 }
@@ -318,22 +330,22 @@
 impl Node for WatchingPlanner {
     fn handle(&mut self, now: Moment, input: Input<'_>, out: &mut Outbox) {
         match input {
-            Input::Start => out.push(Effect::Fetch { name: self.file() }),
-            Input::File { name, bytes } if name == self.file() => self.opened(now, bytes, out),
-            Input::Synced { ticket, result } => self.synced(now, ticket, result, out),
-            Input::Due { timer: TICK } => self.tick(now, out),
-            Input::Due { timer: WATCHING } => self.watch(now, input, out),
+            Input::Start => out.push(Effect::Fetch { name: self.file_name() }),
+            Input::File { name, bytes } if name == self.file_name() => self.handle_file(now, bytes, out),
+            Input::Synced { ticket, result } => self.handle_synced(now, ticket, result, out),
+            Input::Due { timer: TICK_TIMER } => self.tick(now, out),
+            Input::Due { timer: WATCH_TIMER } => self.handle_watch(now, input, out),
             Input::Opened { link } | Input::Bytes { link, .. } | Input::Closed { link, .. }
-                if self.has(link) =>
+                if self.owns_link(link) =>
             {
-                self.watch(now, input, out)
+                self.handle_watch(now, input, out)
             }
             Input::Stop => {
-                if let Stage::Up(watching) = &mut self.stage {
+                if let Stage::Running(watching) = &mut self.stage {
                     watching.leave(now, out);
                 }
-                // Before its start it has nothing to end in order.
-                if matches!(self.stage, Stage::Up(_)) {
+                // There is nothing to shut down before the service has started.
+                if matches!(self.stage, Stage::Running(_)) {
                     self.service.handle(now, Input::Stop, out);
                 } else {
                     out.push(Effect::Exit { code: 0 });
@@ -341,10 +353,10 @@
             }
             input => self.service.handle(now, input, out),
         }
-        // Drains that the list tells are kept by nobody here.
+        // Drains found in the list are not stored by a watching planner.
         self.service.drain_notices.clear();
-        for asked in std::mem::take(&mut self.service.external_requests) {
-            self.asked(now, asked, out);
+        for request in std::mem::take(&mut self.service.external_requests) {
+            self.handle_admin(now, request, out);
         }
     }
 
--- a/crates/tier/tests/keys.rs
+++ b/crates/tier/tests/keys.rs
@@ -1,4 +1,4 @@
-//! The record as keys and back, and what a planner keeps of it on its disk.
+//! The record as keys and back, and the file of a watching planner.
 
 use pewtergap_record::{
     Cap, Cleanup, Command, CommandKind, Drain, Order, OrderAction, Record, RolloutStep, Subject, Weight,
@@ -7,13 +7,13 @@
 use pewtergap_watch::{SavedState, Scope};
 use std::collections::{BTreeMap, BTreeSet};
 
-fn order(id: u64, until: u64, wish: OrderAction) -> Command {
-    let (who, why) = ("a".into(), "test".into());
+fn order(id: u64, expires_at_ms: u64, action: OrderAction) -> Command {
+    let (issued_by, reason) = ("a".into(), "test".into());
     let order = Order {
-        issued_by: who,
-        reason: why,
-        expires_at_ms: until,
-        action: Some(wish),
+        issued_by,
+        reason,
+        expires_at_ms,
+        action: Some(action),
         steps: 0,
         step_pause_ms: 0,
         by_proxies: false,
@@ -23,7 +23,7 @@
 
 fn commands() -> Vec<Command> {
     let drain = Drain { server: "s1".into(), started: 3, notified_at_ms: 10, grace_ms: 5_000 };
-    let wishes = [
+    let actions = [
         OrderAction::Drain("s1".into()),
         OrderAction::SetWeight(Weight { server: "s1".into(), weight: 2.5 }),
         OrderAction::SetCap(Cap { route: "r".into(), level: 0.25 }),
@@ -31,15 +31,15 @@
         OrderAction::HoldReleases(Cleanup::default()),
         OrderAction::HoldDuties(Cleanup::default()),
     ];
-    let orders = (1..).zip(wishes).map(|(id, wish)| order(id, 100, wish));
+    let orders = (1..).zip(actions).map(|(id, action)| order(id, 100, action));
     orders.chain([Command { id: 7, issued_at_ms: 10, kind: Some(CommandKind::Drain(drain)) }]).collect()
 }
 
-/// All that `keys::of` told after each command, put together.
+/// Collects all that `keys::entries_for` returns after a command.
 fn follow(record: &mut Record, told: &mut BTreeMap<String, Vec<u8>>, index: u64, command: &Command) {
     let touched: BTreeSet<Subject> = record.affected_subjects(command).into_iter().collect();
     record.apply(index, command);
-    for (key, value) in keys::of(record, &touched) {
+    for (key, value) in keys::entries_for(record, &touched) {
         match value {
             Some(value) => drop(told.insert(key, value)),
             None => drop(told.remove(&key)),
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn what_each_command_touches_leads_from_whole_to_whole_and_back_to_the_same_orders() {
+fn the_entries_touched_by_each_command_reproduce_the_record() {
     let (mut record, mut told) = (Record::default(), BTreeMap::new());
     let mut all = commands();
     all.push(order(8, 0, OrderAction::Undrain("s1".into())));
@@ -63,7 +63,7 @@
             revert_reason: String::new(),
         })),
     });
-    // Past all orders with an end, and long past the drain's grace.
+    // After the expiry of all orders that have one, and long after the drain's grace.
     all.push(Command {
         id: 11,
         issued_at_ms: 11,
@@ -71,18 +71,18 @@
     });
     for (index, command) in (1..).zip(&all) {
         follow(&mut record, &mut told, index, command);
-        assert_eq!(told, keys::whole(&record), "after {command:?}");
+        assert_eq!(told, keys::all_entries(&record), "after {command:?}");
         let mut follows = Record::default();
         for (key, value) in &told {
-            keys::put(&mut follows, key, Some(value)).expect("an entry of this build");
+            keys::apply_entry(&mut follows, key, Some(value)).expect("a known entry");
         }
         assert!(follows.orders().eq(record.orders()) && follows.drains().eq(record.drains()));
     }
-    assert_eq!(told.keys().collect::<Vec<_>>(), ["server/s2"], "all others ran out");
+    assert_eq!(told.keys().collect::<Vec<_>>(), ["server/s2"], "all others have expired");
 }
 
 #[test]
-fn an_entry_that_is_none_of_its_key_changes_nothing() {
+fn an_entry_that_does_not_match_its_key_changes_nothing() {
     let (mut record, mut told) = (Record::default(), BTreeMap::new());
     for (index, command) in (1..).zip(&commands()) {
         follow(&mut record, &mut told, index, command);
@@ -100,26 +100,26 @@
         ("drain", None),
     ];
     for (key, value) in wrong {
-        assert!(keys::put(&mut record, key, value.as_deref()).is_err(), "{key}");
+        assert!(keys::apply_entry(&mut record, key, value.as_deref()).is_err(), "{key}");
         assert_eq!(record, before, "{key}");
     }
 }
 
 #[test]
-fn what_a_planner_kept_is_read_back_and_damage_to_any_byte_is_named() {
+fn the_planner_file_is_read_back_and_damage_to_any_byte_is_detected() {
     let scope = Some(Scope { servers: Some(["s1".to_string()].into()), routes: None });
     let entries = BTreeMap::from([("server/s1".to_string(), vec![1, 2, 3])]);
-    let watched = SavedState { record_id: 5, index: 77, scope, entries };
-    let bytes = encode_planner_file(12, &watched.encode());
-    assert_eq!(PlannerFile::decode(&bytes), Ok(PlannerFile { start: 12, watched: Some(watched) }));
+    let state = SavedState { record_id: 5, index: 77, scope, entries };
+    let bytes = encode_planner_file(12, &state.encode());
+    assert_eq!(PlannerFile::decode(&bytes), Ok(PlannerFile { start: 12, state: Some(state) }));
     assert_eq!(
         PlannerFile::decode(&encode_planner_file(12, b"")),
-        Ok(PlannerFile { start: 12, watched: None })
+        Ok(PlannerFile { start: 12, state: None })
     );
     for at in 0..bytes.len() {
         let mut damaged = bytes.clone();
         damaged[at] ^= 0x40;
         assert!(PlannerFile::decode(&damaged).is_err(), "byte {at}");
-        assert!(PlannerFile::decode(&bytes[..at]).is_err(), "cut off at {at}");
+        assert!(PlannerFile::decode(&bytes[..at]).is_err(), "truncated at {at}");
     }
 }
