--- a/crates/lab/src/explore_watch.rs
+++ b/crates/lab/src/explore_watch.rs
@@ -69,7 +69,7 @@
     /// What a machine did until it ended.
     fn tally(&mut self, view: &WatchServerStats) {
         self.pieces += view.chunks_sent;
-        for (reason, count) in &view.refused {
+        for (reason, count) in &view.rejections {
             *self.refused.entry(format!("{reason:?}")).or_default() += count;
         }
     }
--- a/crates/pewtergap/tests/tier.rs
+++ b/crates/pewtergap/tests/tier.rs
@@ -228,9 +228,9 @@
         let mut planner = TcpStream::connect(machine.watches.at).expect("a link");
         say(&mut planner, hello("older", versions));
         match hear::<WatchMessage>(&mut planner).kind {
-            Some(Kind::Refuse(refuse)) => {
-                assert_eq!(refuse.reason, Reason::Version as i32, "{refuse:?}");
-                assert!(refuse.detail.contains("versions 1 to 1"), "{refuse:?}");
+            Some(Kind::Rejection(rejection)) => {
+                assert_eq!(rejection.reason, Reason::Version as i32, "{rejection:?}");
+                assert!(rejection.detail.contains("versions 1 to 1"), "{rejection:?}");
             }
             other => panic!("{other:?} to {versions:?}"),
         }
--- a/crates/tier/src/control_machine.rs
+++ b/crates/tier/src/control_machine.rs
@@ -267,7 +267,7 @@
         let counts = self.watch_server.roster.in_force(now, index);
         let stats = self.watch_server.stats();
         let refused: BTreeMap<String, u64> = stats
-            .refused
+            .rejections
             .iter()
             .map(|(reason, count)| (format!("{reason:?}").to_lowercase(), *count))
             .collect();
--- a/crates/watch/src/client.rs
+++ b/crates/watch/src/client.rs
@@ -6,10 +6,10 @@
 //! | connecting | link established | handshaking | send `Hello` with record id, index and partial snapshot |
 //! | handshaking | `Welcome` for the same record with the same or a later index | watching | send a ping, report the watch |
 //! | handshaking | `Welcome` for another record, with an unknown version or a lower index | idle | disconnect: state never goes back |
-//! | connecting, handshaking | refused, closed or timed out | idle | back off from this machine, and pause |
+//! | connecting, handshaking | rejected, closed or timed out | idle | back off from this machine, and pause |
 //! | watching | a chunk | watching | send an ack; if it is the last, apply all pending chunks at once |
 //! | watching | a chunk out of order, an index below the own, more than the limits | idle | disconnect |
-//! | watching | refused, closed, machine silent | idle | report the loss; keep a partial snapshot to resume elsewhere |
+//! | watching | rejected, closed, machine silent | idle | report the loss; keep a partial snapshot to resume elsewhere |
 //! | any but left | `leave` | left | tell the machine; nothing more happens |
 //!
 //! Memory is bounded: one link, one state and one set of pending changes ([`crate::state::MAX_KEYS`],
@@ -19,7 +19,7 @@
 use crate::config::WatchConfig;
 use crate::machine_selector::MachineSelector;
 use crate::messages::{
-    Ack, Changes, Hello, Kind, Leave, Ping, Pong, Reason, Refuse, Welcome, SUPPORTED_VERSIONS,
+    Ack, Changes, Hello, Kind, Leave, Ping, Pong, Reason, Rejection, Welcome, SUPPORTED_VERSIONS,
 };
 use crate::scope::Scope;
 use crate::state::{PendingChanges, SavedState};
@@ -239,8 +239,8 @@
         self.last_contact = now;
         match (self.state, message) {
             (State::Handshaking, Kind::Welcome(welcome)) => self.handle_welcome(now, welcome, actions),
-            (State::Handshaking | State::Watching, Kind::Refuse(refuse)) => {
-                self.handle_refuse(now, refuse, actions)
+            (State::Handshaking | State::Watching, Kind::Rejection(rejection)) => {
+                self.handle_rejection(now, rejection, actions)
             }
             (State::Watching, Kind::Changes(changes)) => self.handle_changes(now, changes, actions),
             (State::Watching, Kind::Pong(pong)) => self.handle_pong(pong),
@@ -286,11 +286,11 @@
         }
     }
 
-    fn handle_refuse(&mut self, now: Moment, refuse: Refuse, actions: &mut Vec<Action>) {
+    fn handle_rejection(&mut self, now: Moment, rejection: Rejection, actions: &mut Vec<Action>) {
         actions.push(Action::Close);
-        let reason = Reason::try_from(refuse.reason).unwrap_or(Reason::Bad);
-        let retry_after = Span::millis(refuse.retry_after_ms.min(3_600_000));
-        self.disconnect(now, Some(retry_after), &format!("{reason:?}: {}", refuse.detail), actions);
+        let reason = Reason::try_from(rejection.reason).unwrap_or(Reason::Bad);
+        let retry_after = Span::millis(rejection.retry_after_ms.min(3_600_000));
+        self.disconnect(now, Some(retry_after), &format!("{reason:?}: {}", rejection.detail), actions);
     }
 
     fn handle_changes(&mut self, now: Moment, changes: Changes, actions: &mut Vec<Action>) {
--- a/crates/watch/src/config.rs
+++ b/crates/watch/src/config.rs
@@ -7,7 +7,7 @@
 pub struct WatchConfig {
     /// Timer id used by this end, which must be unique within its node.
     pub timer: u64,
-    /// Watches that a machine serves; further ones are refused with `Full`.
+    /// Watches that a machine serves; further ones are rejected with `Full`.
     pub max_watches: usize,
     /// Concurrent snapshots; further ones wait.
     pub max_snapshots: usize,
--- a/crates/watch/src/machine_selector.rs
+++ b/crates/watch/src/machine_selector.rs
@@ -2,9 +2,9 @@
 //! planners of a lost machine over all others; backoff with full jitter keeps them from reconnecting at the
 //! same moment.
 //!
-//! Each machine has its own backoff, and one that refuses is not retried before the time it named. In
+//! Each machine has its own backoff, and one that rejects it is not retried before the time it named. In
 //! addition, any two dials are separated by a jittered pause that grows while none succeeds, so that a
-//! planner that is refused everywhere doesn't cycle through the machines.
+//! planner that is rejected everywhere doesn't cycle through the machines.
 
 use pewtergap_time::{Moment, Span};
 use std::net::SocketAddr;
--- a/crates/watch/src/messages.rs
+++ b/crates/watch/src/messages.rs
@@ -1,7 +1,7 @@
 //! Protobuf messages between planners and control machines on a watch, and between control machines about
 //! their watchers, in the framing of the members' links.
 //!
-//! A planner dials and sends `Hello`, which is answered by `Welcome` or `Refuse`. From then on the machine
+//! A planner dials and sends `Hello`, which is answered by `Welcome` or `Rejection`. From then on the machine
 //! sends `Changes` in chunks, of which at most [`MAX_CHUNKS_IN_FLIGHT`] may lack their `Ack`, so that a pong
 //! never waits behind more than these.
 
@@ -43,7 +43,7 @@
     Welcome(Welcome),
     /// The machine's last message on a link.
     #[prost(message, tag = "3")]
-    Refuse(Refuse),
+    Rejection(Rejection),
     #[prost(message, tag = "4")]
     Changes(Changes),
     /// Acknowledges a chunk.
@@ -147,7 +147,7 @@
     pub resumes_snapshot: bool,
 }
 
-/// Why a watch is refused or ended. The planner's reaction is in the table of [`crate::client`].
+/// Why a watch is rejected or ended. The planner's reaction is in the table of [`crate::client`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum Reason {
@@ -170,7 +170,7 @@
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct Refuse {
+pub struct Rejection {
     #[prost(enumeration = "Reason", tag = "1")]
     pub reason: i32,
     #[prost(string, tag = "2")]
@@ -367,7 +367,7 @@
                 Ok(())
             }
             Kind::Rescope(scope) => scope.check(),
-            Kind::Refuse(_) | Kind::Ack(_) | Kind::Ping(_) | Kind::Pong(_) => Ok(()),
+            Kind::Rejection(_) | Kind::Ack(_) | Kind::Ping(_) | Kind::Pong(_) => Ok(()),
             Kind::SnapshotDelayed(_) | Kind::Leave(_) => Ok(()),
         }
     }
--- a/crates/watch/src/server.rs
+++ b/crates/watch/src/server.rs
@@ -61,7 +61,7 @@
     /// Chunks built, and chunks reused.
     pub chunks_built: u64,
     pub chunks_reused: u64,
-    pub refused: BTreeMap<Reason, u64>,
+    pub rejections: BTreeMap<Reason, u64>,
     /// Set by the caller, which knows the links.
     pub bytes_sent: u64,
     pub bytes_received: u64,
@@ -88,7 +88,7 @@
     resumed_at: Moment,
     rng: fastrand::Rng,
     chunks_sent: u64,
-    refused: BTreeMap<Reason, u64>,
+    rejections: BTreeMap<Reason, u64>,
 }
 
 impl Server {
@@ -112,7 +112,7 @@
             resumed_at: Moment(0),
             rng: fastrand::Rng::with_seed(seed),
             chunks_sent: 0,
-            refused: BTreeMap::new(),
+            rejections: BTreeMap::new(),
         }
     }
 
@@ -131,7 +131,7 @@
             chunks_sent: self.chunks_sent,
             chunks_built: self.chunk_cache.built,
             chunks_reused: self.chunk_cache.reused,
-            refused: self.refused.clone(),
+            rejections: self.rejections.clone(),
             bytes_sent: 0,
             bytes_received: 0,
         }
@@ -158,7 +158,7 @@
         if self.record_id.replace(record_id).is_some_and(|previous| previous != record_id) {
             (self.cache, self.fresh_as_of) = (Cache::with_max_tombstones(self.config.max_tombstones), None);
             self.chunk_cache.clear();
-            self.refuse_all(now, Reason::Record, actions);
+            self.reject_all(now, Reason::Record, actions);
         }
     }
 
@@ -213,7 +213,7 @@
             self.apply_event(
                 now,
                 link,
-                Event::Refused(Reason::Stopping),
+                Event::Rejected(Reason::Stopping),
                 "the machine is shutting down",
                 actions,
             );
@@ -233,7 +233,7 @@
 
     /// A message is malformed or not allowed.
     pub fn protocol_error(&mut self, now: Moment, link: Link, why: &str, actions: &mut Vec<Action>) {
-        self.apply_event(now, link, Event::Refused(Reason::Bad), why, actions);
+        self.apply_event(now, link, Event::Rejected(Reason::Bad), why, actions);
     }
 
     pub fn handle_message(&mut self, now: Moment, link: Link, message: Kind, actions: &mut Vec<Action>) {
@@ -350,11 +350,11 @@
         let previous = std::mem::replace(&mut session.state, next);
         let watched = matches!(previous, State::SnapshotQueued | State::SendingSnapshot | State::Following);
         match effect {
-            Effect::Leave | Effect::Refuse(_) if watched => {
+            Effect::Leave | Effect::Reject(_) if watched => {
                 self.end_watch(now, link, previous, effect == Effect::Leave, actions)
             }
-            Effect::Refuse(_) if previous == State::AwaitingHello => session.since = now,
-            Effect::Nothing | Effect::Leave | Effect::Refuse(_) => {}
+            Effect::Reject(_) if previous == State::AwaitingHello => session.since = now,
+            Effect::Nothing | Effect::Leave | Effect::Reject(_) => {}
             Effect::Enqueue => self.enqueue_snapshot(link, actions),
             Effect::ReleaseSlot => self.active_snapshots -= 1,
             Effect::ReleaseAndEnqueue => {
@@ -365,7 +365,7 @@
         }
         match effect {
             Effect::Leave => actions.push(Action::Close(link)),
-            Effect::Refuse(reason) => self.send_refusal(link, reason, why, actions),
+            Effect::Reject(reason) => self.send_rejection(link, reason, why, actions),
             _ => {}
         }
         self.grant_slots(now, actions);
@@ -483,7 +483,7 @@
                 self.apply_event(
                     now,
                     link,
-                    Event::Refused(Reason::Deaf),
+                    Event::Rejected(Reason::Deaf),
                     "no hello within the time limit",
                     actions,
                 );
@@ -492,12 +492,12 @@
             _ if unresponsive => self.apply_event(
                 now,
                 link,
-                Event::Refused(Reason::Deaf),
+                Event::Rejected(Reason::Deaf),
                 "no ack within the time limit",
                 actions,
             ),
             _ if silent => {
-                self.apply_event(now, link, Event::Refused(Reason::Deaf), "the planner is silent", actions)
+                self.apply_event(now, link, Event::Rejected(Reason::Deaf), "the planner is silent", actions)
             }
             _ => self.send_chunks(now, link, actions),
         }
@@ -506,10 +506,10 @@
     /// Sends all planners to other machines.
     pub fn stop(&mut self, now: Moment, actions: &mut Vec<Action>) {
         self.stopping = true;
-        self.refuse_all(now, Reason::Stopping, actions);
+        self.reject_all(now, Reason::Stopping, actions);
     }
 
-    fn refuse_all(&mut self, now: Moment, reason: Reason, actions: &mut Vec<Action>) {
+    fn reject_all(&mut self, now: Moment, reason: Reason, actions: &mut Vec<Action>) {
         let links: Vec<Link> = self.sessions.keys().copied().collect();
         for link in links {
             let why = if reason == Reason::Record {
@@ -517,7 +517,7 @@
             } else {
                 "the machine is shutting down"
             };
-            self.apply_event(now, link, Event::Refused(reason), why, actions);
+            self.apply_event(now, link, Event::Rejected(reason), why, actions);
         }
     }
 }
--- a/crates/watch/src/server/admission.rs
+++ b/crates/watch/src/server/admission.rs
@@ -1,8 +1,8 @@
-//! Admission of watches, refusals with their retry delay, and the queue for snapshots.
+//! Admission of watches, rejections with their retry delay, and the queue for snapshots.
 
 use super::{Action, Server};
 use crate::chunks::Position;
-use crate::messages::{Hello, Kind, Reason, Refuse, SnapshotDelayed, Welcome, SUPPORTED_VERSIONS};
+use crate::messages::{Hello, Kind, Reason, Rejection, SnapshotDelayed, Welcome, SUPPORTED_VERSIONS};
 use crate::scope::Scope;
 use crate::session::{transition, Event};
 use pewtergap_node::Link;
@@ -12,13 +12,13 @@
 impl Server {
     pub(super) fn handle_hello(&mut self, now: Moment, link: Link, hello: Hello, actions: &mut Vec<Action>) {
         if let Err((reason, why)) = self.check_hello(&hello) {
-            return self.apply_event(now, link, Event::Refused(reason), &why, actions);
+            return self.apply_event(now, link, Event::Rejected(reason), &why, actions);
         }
         if let Some(old) = self.planners.get(&hello.planner).copied() {
             self.apply_event(
                 now,
                 old,
-                Event::Refused(Reason::Replaced),
+                Event::Rejected(Reason::Replaced),
                 "replaced by a newer watch of the planner",
                 actions,
             );
@@ -63,43 +63,49 @@
     }
 
     fn check_hello(&self, hello: &Hello) -> Result<(), (Reason, String)> {
-        let refused = |reason, why: String| Err((reason, why));
+        let rejected = |reason, why: String| Err((reason, why));
         if hello.min_version > SUPPORTED_VERSIONS.1 || hello.max_version < SUPPORTED_VERSIONS.0 {
             let (min_version, max_version) = SUPPORTED_VERSIONS;
-            return refused(
+            return rejected(
                 Reason::Version,
                 format!("versions {min_version} to {max_version} are supported"),
             );
         }
         if self.stopping {
-            return refused(Reason::Stopping, "the machine is shutting down".into());
+            return rejected(Reason::Stopping, "the machine is shutting down".into());
         }
         let Some(record_id) = self.record_id else {
-            return refused(Reason::Behind, "the machine has no record yet".into());
+            return rejected(Reason::Behind, "the machine has no record yet".into());
         };
         if hello.record_id != 0 && hello.record_id != record_id {
-            return refused(Reason::Record, format!("the machine serves record {record_id:016x}"));
+            return rejected(Reason::Record, format!("the machine serves record {record_id:016x}"));
         }
         let head = self.cache.head();
         if hello.index > head {
-            return refused(
+            return rejected(
                 Reason::Behind,
                 format!("the machine has applied index {head}, the planner {}", hello.index),
             );
         }
         match self.planners.get(&hello.planner).and_then(|link| self.sessions.get(link)) {
             Some(old) if (old.start, old.watch_number) >= (hello.start, hello.watch_number) => {
-                refused(Reason::Replaced, "the planner has a newer watch here".into())
+                rejected(Reason::Replaced, "the planner has a newer watch here".into())
             }
             None if self.planners.len() >= self.config.max_watches => {
-                refused(Reason::Full, format!("limit of {} watches reached", self.planners.len()))
+                rejected(Reason::Full, format!("limit of {} watches reached", self.planners.len()))
             }
             _ => Ok(()),
         }
     }
 
-    pub(super) fn send_refusal(&mut self, link: Link, reason: Reason, why: &str, actions: &mut Vec<Action>) {
-        *self.refused.entry(reason).or_default() += 1;
+    pub(super) fn send_rejection(
+        &mut self,
+        link: Link,
+        reason: Reason,
+        why: &str,
+        actions: &mut Vec<Action>,
+    ) {
+        *self.rejections.entry(reason).or_default() += 1;
         let (min_ms, max_ms) = match reason {
             Reason::Behind => (200, 1_500),
             Reason::Deaf => (0, 2_000),
@@ -108,8 +114,8 @@
             Reason::Version | Reason::Record => (15_000, 45_000),
         };
         let retry_after_ms = self.rng.u64(min_ms..=max_ms);
-        let refuse = Refuse { reason: reason as i32, detail: why.into(), retry_after_ms };
-        actions.push(Action::Send(link, Kind::Refuse(refuse)));
+        let rejection = Rejection { reason: reason as i32, detail: why.into(), retry_after_ms };
+        actions.push(Action::Send(link, Kind::Rejection(rejection)));
         actions.push(Action::Close(link));
     }
 
--- a/crates/watch/src/session.rs
+++ b/crates/watch/src/session.rs
@@ -11,7 +11,7 @@
 //! | following | deletions after its index were compacted | snapshot queued | join the queue |
 //! | any watch | scope changed | snapshot queued | join the queue for a full snapshot |
 //! | any watch | the planner leaves | closing | no longer expected |
-//! | any | refused, with a reason | closing | send the reason, close; unheard from when it was last heard |
+//! | any | rejected, with a reason | closing | send the reason, close; unheard from when it was last heard |
 //! | closing | anything | closing | nothing |
 
 use crate::chunks::Position;
@@ -41,7 +41,7 @@
     SlotExpired,
     Rescoped,
     Left,
-    Refused(Reason),
+    Rejected(Reason),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -54,7 +54,7 @@
     ReleaseAndEnqueue,
     Restart,
     Leave,
-    Refuse(Reason),
+    Reject(Reason),
 }
 
 /// Returns `None` if the event is not allowed in this state.
@@ -62,7 +62,7 @@
     use State::*;
     Some(match (state, event) {
         (Closing, _) => (Closing, Effect::Nothing),
-        (_, Event::Refused(reason)) => (Closing, Effect::Refuse(reason)),
+        (_, Event::Rejected(reason)) => (Closing, Effect::Reject(reason)),
         (AwaitingHello, Event::Continued) => (Following, Effect::Nothing),
         (AwaitingHello, Event::NeedsSnapshot) => (SnapshotQueued, Effect::Enqueue),
         (SnapshotQueued, Event::SlotGranted) => (SendingSnapshot, Effect::Nothing),
--- a/crates/watch/src/watch_server.rs
+++ b/crates/watch/src/watch_server.rs
@@ -44,7 +44,7 @@
         &self.server
     }
 
-    /// Sets the record's id; until then all planners are refused with `Behind`.
+    /// Sets the record's id; until then all planners are rejected with `Behind`.
     pub fn set_record_id(&mut self, now: Moment, record_id: u64, out: &mut Outbox) {
         let mut actions = Vec::new();
         self.server.set_record_id(now, record_id, &mut actions);
--- a/crates/watch/tests/client.rs
+++ b/crates/watch/tests/client.rs
@@ -8,7 +8,7 @@
 use pewtergap_watch::client::{Action, Client, MAX_PINGS};
 use pewtergap_watch::machine_selector::MachineSelector;
 use pewtergap_watch::messages::{
-    Changes, EntryMessage, Hello, Kind, Ping, Pong, Reason, Refuse, SnapshotDelayed, Welcome,
+    Changes, EntryMessage, Hello, Kind, Ping, Pong, Reason, Rejection, SnapshotDelayed, Welcome,
 };
 use pewtergap_watch::{ClientConfig, SavedState, Scope, WatchEvent};
 use std::collections::BTreeMap;
@@ -114,7 +114,7 @@
     assert_eq!((planner.client.index(), planner.client.watching()), (50, None));
     assert_ne!(planner.wait_for_dial(), first);
 
-    // A machine with another record is refused as well.
+    // A machine with another record is rejected as well.
     planner.run(|client, now, actions| client.opened(now, actions));
     let other = Kind::Welcome(Welcome {
         version: 1,
@@ -127,7 +127,7 @@
     planner.send_hello();
     let other = Kind::Welcome(Welcome { version: 2, record_id: RECORD, head: 60, ..Welcome::default() });
     assert!(lost(&planner.receive(other)).is_some_and(|why| why.contains("version 2")));
-    // A chunk with a lower index is refused as well, whatever the welcome said.
+    // A chunk with a lower index is rejected as well, whatever the welcome said.
     assert!(
         planner.establish(60).contains(&Action::Notify(WatchEvent::Watching("m0".into())))
             || planner.client.watching().is_some()
@@ -283,18 +283,18 @@
 }
 
 #[test]
-fn the_retry_delay_of_a_refusal_is_respected() {
+fn the_retry_delay_of_a_rejection_is_respected() {
     let mut planner = TestClient::new(client_config("p", &["m0"]), None);
     planner.send_hello();
-    let refuse = Refuse { reason: Reason::Full as i32, detail: "full".into(), retry_after_ms: 4_000 };
-    let actions = planner.receive(Kind::Refuse(refuse));
+    let rejection = Rejection { reason: Reason::Full as i32, detail: "full".into(), retry_after_ms: 4_000 };
+    let actions = planner.receive(Kind::Rejection(rejection));
     assert!(lost(&actions).is_some_and(|why| why.contains("Full")));
     let at = planner.now;
     planner.wait_for_dial();
     assert!(planner.now >= at + Span::millis(4_000) && planner.now <= at + Span::millis(4_300));
 }
 
-/// Guards against reconnects synchronised by a fixed backoff: 1,000 planners that all machines refuse.
+/// Guards against reconnects synchronised by a fixed backoff: 1,000 planners that all machines reject.
 #[test]
 fn reconnects_are_spread_by_full_jitter() {
     let mut selectors: Vec<MachineSelector> = (0..1_000)
--- a/crates/watch/tests/server.rs
+++ b/crates/watch/tests/server.rs
@@ -6,14 +6,14 @@
 use pewtergap_node::Link;
 use pewtergap_watch::chunks::{ChunkCache, Position};
 use pewtergap_watch::messages::{
-    Ack, Changes, Hello, Kind, Leave, PartialSnapshot, Reason, Refuse, MAX_CHUNKS_IN_FLIGHT,
+    Ack, Changes, Hello, Kind, Leave, PartialSnapshot, Reason, Rejection, MAX_CHUNKS_IN_FLIGHT,
 };
 use pewtergap_watch::server::{Action, MAX_UNIDENTIFIED};
 use pewtergap_watch::{Cache, Scope, WatchConfig};
 
-fn refused(sent: &[Kind]) -> Option<Reason> {
+fn rejected(sent: &[Kind]) -> Option<Reason> {
     match sent.last() {
-        Some(Kind::Refuse(Refuse { reason, .. })) => Reason::try_from(*reason).ok(),
+        Some(Kind::Rejection(Rejection { reason, .. })) => Reason::try_from(*reason).ok(),
         _ => None,
     }
 }
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn hello_is_accepted_or_refused() {
+fn hello_is_accepted_or_rejected() {
     let cases: &[(&str, Hello, Option<Reason>)] = &[
         ("no state yet", hello("a", 0), None),
         ("same index as the machine", hello("a", 9), None),
@@ -47,35 +47,35 @@
         let mut machine = Machine::with_keys(WatchConfig::default(), 9, 10);
         machine.connect(1, hello.clone());
         let sent = machine.sent(1);
-        assert_eq!(refused(&sent), *expected, "{what}");
+        assert_eq!(rejected(&sent), *expected, "{what}");
         assert_eq!(matches!(sent[0], Kind::Welcome(_)), expected.is_none(), "{what}");
         assert_eq!(machine.server.stats().watches, usize::from(expected.is_none()), "{what}");
     }
 }
 
 #[test]
-fn refusals_without_a_record_when_full_and_when_stopping() {
+fn rejections_without_a_record_when_full_and_when_stopping() {
     let mut machine = Machine::with_keys(WatchConfig { max_watches: 2, ..WatchConfig::default() }, 3, 10);
     machine.connect(1, hello("a", 3));
     machine.connect(2, hello("b", 3));
     machine.connect(3, hello("c", 3));
-    assert_eq!(refused(&machine.sent(3)), Some(Reason::Full));
-    // A newer watch of a connected planner needs no extra room; an older one is refused.
+    assert_eq!(rejected(&machine.sent(3)), Some(Reason::Full));
+    // A newer watch of a connected planner needs no extra room; an older one is rejected.
     machine.connect(4, Hello { watch_number: 2, ..hello("b", 3) });
-    assert_eq!(refused(&machine.sent(2)), Some(Reason::Replaced));
+    assert_eq!(rejected(&machine.sent(2)), Some(Reason::Replaced));
     machine.connect(5, hello("b", 3));
-    assert_eq!(refused(&machine.sent(5)), Some(Reason::Replaced));
+    assert_eq!(rejected(&machine.sent(5)), Some(Reason::Replaced));
     machine.connect(6, Hello { start: 0, watch_number: 9, ..hello("b", 3) });
-    assert_eq!(refused(&machine.sent(6)), Some(Reason::Replaced));
+    assert_eq!(rejected(&machine.sent(6)), Some(Reason::Replaced));
     assert!(matches!(machine.sent(4)[..], [Kind::Welcome(_)]));
     machine.server.stop(machine.now, &mut machine.actions);
     assert_eq!(
-        (refused(&machine.sent(1)), refused(&machine.sent(4))),
+        (rejected(&machine.sent(1)), rejected(&machine.sent(4))),
         (Some(Reason::Stopping), Some(Reason::Stopping))
     );
     machine.accepted(7);
-    assert_eq!(refused(&machine.sent(7)), Some(Reason::Stopping));
-    let counts = machine.server.stats().refused;
+    assert_eq!(rejected(&machine.sent(7)), Some(Reason::Stopping));
+    let counts = machine.server.stats().rejections;
     assert_eq!((counts[&Reason::Replaced], counts[&Reason::Full], counts[&Reason::Stopping]), (3, 1, 3));
 
     let mut server = pewtergap_watch::server::Server::new(WatchConfig::default(), "m".into(), 1);
@@ -83,7 +83,7 @@
     server.accepted(ms(0), Link(1), &mut actions);
     server.handle_message(ms(0), Link(1), Kind::Hello(hello("a", 0)), &mut actions);
     let [Action::Send(_, sent), Action::Close(_)] = &actions[..] else { panic!("{actions:?}") };
-    assert_eq!(refused(std::slice::from_ref(sent)), Some(Reason::Behind));
+    assert_eq!(rejected(std::slice::from_ref(sent)), Some(Reason::Behind));
 }
 
 #[test]
@@ -93,9 +93,9 @@
     assert_eq!(machine.server.stats().unidentified, MAX_UNIDENTIFIED);
     assert_eq!(machine.actions.iter().filter(|action| matches!(action, Action::Abort(_))).count(), 5);
     machine.advance(2_000);
-    assert_eq!(refused(&machine.sent(0)), Some(Reason::Deaf));
+    assert_eq!(rejected(&machine.sent(0)), Some(Reason::Deaf));
     machine.actions.clear();
-    // A refused link that isn't closed by the peer is reset.
+    // A rejected link that isn't closed by the peer is reset.
     machine.advance(2_000);
     assert_eq!(machine.actions.len(), MAX_UNIDENTIFIED);
     assert!(machine.actions.iter().all(|action| matches!(action, Action::Abort(_))));
@@ -125,7 +125,7 @@
             machine.send(1, Kind::Hello(hello("a", 1)));
         }
         machine.send(1, message.clone());
-        assert_eq!(refused(&machine.sent(1)), Some(Reason::Bad), "{what}");
+        assert_eq!(rejected(&machine.sent(1)), Some(Reason::Bad), "{what}");
         assert_eq!(machine.server.stats().watches, 0, "{what}");
     }
 }
@@ -228,7 +228,7 @@
         machine.ping(1, second, 0);
         machine.ping(3, second, 100);
         for link in 1..=3 {
-            ended.extend(refused(&machine.sent(link)).map(|reason| (second, link, reason)));
+            ended.extend(rejected(&machine.sent(link)).map(|reason| (second, link, reason)));
         }
     }
     assert_eq!(ended, [(4, 2, Reason::Deaf), (5, 1, Reason::Deaf)]);
@@ -242,12 +242,12 @@
     machine.connect(1, hello("a", 1));
     machine.now = ms(10_000);
     machine.server.tick(machine.now, &mut machine.actions);
-    assert!(refused(&machine.sent(1)).is_none());
+    assert!(rejected(&machine.sent(1)).is_none());
     machine.ping(1, 1, 1);
     machine.advance(3_900);
     assert_eq!(machine.server.stats().watches, 1);
     machine.advance(200);
-    assert_eq!(refused(&machine.sent(1)), Some(Reason::Deaf));
+    assert_eq!(rejected(&machine.sent(1)), Some(Reason::Deaf));
 }
 
 #[test]
@@ -345,7 +345,7 @@
     assert_eq!((chunk.entries.len(), chunk.through, chunk.done), (0, 2, true));
 
     machine.server.set_record_id(machine.now, RECORD + 1, &mut machine.actions);
-    assert_eq!(refused(&machine.sent(1)), Some(Reason::Record));
+    assert_eq!(rejected(&machine.sent(1)), Some(Reason::Record));
     assert_eq!((machine.server.cache().head(), machine.server.age(machine.now)), (0, None));
 }
 
--- a/crates/watch/tests/storms.rs
+++ b/crates/watch/tests/storms.rs
@@ -176,7 +176,7 @@
 /// All start at the same moment: those with a saved state watch at once, and a full machine refuses the
 /// rest, which find room elsewhere.
 #[test]
-fn planners_refused_by_a_full_machine_find_room_at_others() {
+fn planners_rejected_by_a_full_machine_find_room_at_others() {
     let mut network = network(WatchConfig { max_watches: 110, ..WatchConfig::default() }, 4, 10);
     for at in 0..400 {
         network.planner(client_config(&format!("p{at}"), NAMES), Some(saved(10)));
