--- a/crates/member/src/sharing.rs
+++ b/crates/member/src/sharing.rs
@@ -147,9 +147,7 @@
                     Wants::Tell(from, peer_message::Kind::CountsResponse(CountsResponse::from_part(part)))
                 }));
             }
-            peer_message::Kind::CountsResponse(counts) => {
-                drop(self.others.receive(now, from, &counts.into_part()))
-            }
+            peer_message::Kind::CountsResponse(msg) => drop(self.others.receive(now, from, &msg.into_part())),
             peer_message::Kind::Evidence(told) if self.others_names.contains_key(&from) => {
                 self.evidence.receive_report(now, from, &told.into_evidence());
             }
