--- a/crates/lab/src/cluster/drill.rs
+++ b/crates/lab/src/cluster/drill.rs
@@ -5,7 +5,7 @@
 use super::{name, record_file, ClusterDay, Director, CEILING};
 use crate::ask;
 use crate::cluster::links::Links;
-use pewtergap_member::messages::FORMATS;
+use pewtergap_member::messages::SUPPORTED_FORMATS;
 use rustix::process::Signal;
 use serde_json::{json, Value};
 use std::time::{Duration, Instant};
@@ -135,7 +135,7 @@
             }
         }
         self.until("the record to rise", |director| {
-            (0..count).all(|at| director.view(at, "/record")["format"] == json!(FORMATS.1))
+            (0..count).all(|at| director.view(at, "/record")["format"] == json!(SUPPORTED_FORMATS.1))
         })?;
         // No way back: by its own disk, and with an empty one by the others.
         self.formats[0] = Some(1);
@@ -147,7 +147,9 @@
         self.wait_up(0)?;
         self.until("the old one to be refused", |director| {
             let text = std::fs::read_to_string(director.day.dir.join(format!("{}.log", name(0))));
-            text.is_ok_and(|text| text.contains(&format!("speaks formats 1 to 1, we {0} to {0}", FORMATS.1)))
+            text.is_ok_and(|text| {
+                text.contains(&format!("speaks formats 1 to 1, we {0} to {0}", SUPPORTED_FORMATS.1))
+            })
         })?;
         self.formats[0] = None;
         self.restart(0, Signal::KILL)?;
--- a/crates/lab/src/explore.rs
+++ b/crates/lab/src/explore.rs
@@ -6,7 +6,7 @@
 
 use crate::cluster::judge::{judge, Breach, Done, Op};
 use pewtergap_duty::LeaseConfig;
-use pewtergap_member::messages::FORMATS;
+use pewtergap_member::messages::SUPPORTED_FORMATS;
 use pewtergap_member::{DutyConfig, Member, MemberConfig, MemberEvent, Reply, Request, SharingConfig};
 use pewtergap_node::{Effect, Input, Node, Outbox};
 use pewtergap_raft::RaftConfig;
@@ -229,7 +229,7 @@
     fn shares(&self) -> SharingConfig {
         let lingers = if self.planted == Some(Planted::FreedAtOnce) { Span(0) } else { LINGERS };
         let (holds, planners) = (Span::millis(700), self.places.len() as u64);
-        let terms = BudgetConfig {
+        let budget = BudgetConfig {
             share_validity: holds,
             effect_timeout: lingers,
             max_clock_drift: LEASE.max_clock_drift,
@@ -238,7 +238,7 @@
         SharingConfig {
             interval: Span::millis(100),
             max_age: Span::millis(1_000),
-            terms,
+            budget,
             proxies: 0.0,
             max_streams: 0.0,
         }
@@ -303,10 +303,10 @@
             listen: Some(address(at)),
             founders: all,
             source_ip: None,
-            times: RaftConfig { heartbeat_interval: Span::millis(50), election_timeout: Span::millis(300) },
+            raft: RaftConfig { heartbeat_interval: Span::millis(50), election_timeout: Span::millis(300) },
             request_timeout: Span::millis(2_000),
             seed: self.world.rng.u64(..),
-            max_format: FORMATS.1,
+            max_format: SUPPORTED_FORMATS.1,
             duties: Some(DutyConfig {
                 lease: LEASE,
                 rejoin_delay: Span::millis(1_000),
--- a/crates/lab/src/sharing.rs
+++ b/crates/lab/src/sharing.rs
@@ -60,12 +60,12 @@
                 evidence[at].record_tries(now, name, tries, dropped);
             }
             let told = evidence[at].make_report(now);
-            let length = encode(&EvidenceReport::from_evidence(told.clone())).len() + HEAD;
+            let length = encode(&EvidenceReport::from_peer_report(told.clone())).len() + HEAD;
             for to in (0..planners as usize).filter(|to| *to != at) {
                 let Some(ask) = others[at].request_report(now, to as u64) else { continue };
-                bytes += encode(&CountsRequest::from_ask(ask)).len() + HEAD;
+                bytes += encode(&CountsRequest::from_request(ask)).len() + HEAD;
                 if let Some(part) = own[to].make_report(at as u64, ask) {
-                    bytes += encode(&CountsResponse::from_part(part.clone())).len() + HEAD;
+                    bytes += encode(&CountsResponse::from_report(part.clone())).len() + HEAD;
                     others[at].receive(now, to as u64, &part);
                 }
                 bytes += length;
--- a/crates/member/src/accounting.rs
+++ b/crates/member/src/accounting.rs
@@ -26,7 +26,7 @@
 /// Where the books go, and how long a period is.
 #[derive(Clone, Copy, Debug)]
 pub struct AccountingConfig {
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     pub period: Span,
 }
 
@@ -73,7 +73,7 @@
             return None;
         }
         if kept.delivered_period < kept.closed_period {
-            let link = out.connect(self.receiver.at, self.from);
+            let link = out.connect(self.receiver.address, self.from);
             let reader = Reader::new(Side::Answers, BOUNDS);
             let until = now + ANSWER;
             self.sending =
@@ -105,7 +105,7 @@
         if may != Some(sending.number) || books.closed_period != sending.period {
             return self.give_up(now, out);
         }
-        let (host, number) = (self.receiver.at.to_string(), sending.number.to_string());
+        let (host, number) = (self.receiver.address.to_string(), sending.number.to_string());
         let headers = [
             ("host", host.as_str()),
             ("content-type", "application/json"),
--- a/crates/member/src/member.rs
+++ b/crates/member/src/member.rs
@@ -8,7 +8,7 @@
 use crate::disk::{self, Disk, Kept};
 use crate::messages::{
     self, peer_message, DiskRecordKind, Hello, LogPosition, MemberChange, MemberInfo, PeerMessage, ReadIndex,
-    Rejection, FORMATS,
+    Rejection, SUPPORTED_FORMATS,
 };
 use crate::peers::{Heard, Lane, Peers};
 use crate::sharing::SharingConfig;
@@ -66,7 +66,7 @@
     /// The founding members and where each is reached from here, this one among them.
     pub founders: Vec<(String, SocketAddr)>,
     pub source_ip: Option<IpAddr>,
-    pub times: RaftConfig,
+    pub raft: RaftConfig,
     /// Within this a request is answered, one way or another.
     pub request_timeout: Span,
     pub seed: u64,
@@ -199,7 +199,7 @@
     pub fn new(home: MemberConfig) -> Member {
         let rng = fastrand::Rng::with_seed(home.seed);
         let own = Hello {
-            min_format: FORMATS.0,
+            min_format: SUPPORTED_FORMATS.0,
             max_format: home.max_format,
             name: home.name.clone(),
             ..Hello::default()
@@ -231,7 +231,7 @@
             raised: Moment(0),
             asked_anew: Moment(0),
             office: home.duties.clone().map(|duties| {
-                let till = home.sharing.map(|shares| Till::new(shares.terms));
+                let till = home.sharing.map(|shares| Till::new(shares.budget));
                 Office::new(duties, till)
             }),
             hearsay: Vec::new(),
--- a/crates/member/src/member/leading.rs
+++ b/crates/member/src/member/leading.rs
@@ -60,7 +60,7 @@
         let knocking = self.peers.knocking();
         let Stage::Member(agree) = &mut self.stage else { return };
         let Some((since, _)) = agree.leading_since() else { return };
-        let lost = self.home.times.election_timeout.times(2.0);
+        let lost = self.home.raft.election_timeout.times(2.0);
         let mut members = agree.members().clone();
         let mut wants = None;
         for (name, id) in &knocking {
--- a/crates/member/src/member/opening.rs
+++ b/crates/member/src/member/opening.rs
@@ -127,7 +127,7 @@
                 Err(why) => return self.end(out, "record_refused", &why),
             }
         }
-        let agree = RaftNode::new(now, self.own.id, self.home.times, self.rng.u64(..), log, committed);
+        let agree = RaftNode::new(now, self.own.id, self.home.raft, self.rng.u64(..), log, committed);
         self.stage = Stage::Member(Box::new(agree));
         if self.record.format() > self.home.max_format {
             return self.too_new(out);
--- a/crates/member/src/messages.rs
+++ b/crates/member/src/messages.rs
@@ -9,7 +9,7 @@
 
 /// What this build speaks and understands. Words are the same in both; commands differ, and go by the record's format,
 /// which rises once all who belong speak it.
-pub const FORMATS: (u32, u32) = pewtergap_record::SUPPORTED_FORMATS;
+pub const SUPPORTED_FORMATS: (u32, u32) = pewtergap_record::SUPPORTED_FORMATS;
 pub(crate) const MOST_NAME: usize = 256;
 const MAX_MEMBERS: usize = 64;
 /// A message: entries or a piece, and their heads.
--- a/crates/member/src/orders.rs
+++ b/crates/member/src/orders.rs
@@ -69,7 +69,7 @@
 }
 
 /// All of it.
-pub fn full_standing(record: &Record, service: &Service, now: Moment, among: &PlannerSet) -> Overrides {
+pub fn all_overrides(record: &Record, service: &Service, now: Moment, among: &PlannerSet) -> Overrides {
     let mut standing = Overrides::default();
     for (subject, kept) in record.orders() {
         let Some((wish, part)) = in_force(kept, now, among) else { continue };
--- a/crates/member/src/planner_node.rs
+++ b/crates/member/src/planner_node.rs
@@ -136,7 +136,7 @@
         let among = self.among();
         let these =
             subjects.and_then(|subjects| orders::changes_for(record, &self.service, now, subjects, &among));
-        let whole = || orders::full_standing(record, &self.service, now, &among);
+        let whole = || orders::all_overrides(record, &self.service, now, &among);
         let stands = these.unwrap_or_else(|| self.service.overrides().diff(&whole()));
         self.service.apply_overrides(now, &stands, out);
     }
--- a/crates/member/src/sharing.rs
+++ b/crates/member/src/sharing.rs
@@ -19,7 +19,7 @@
 pub struct SharingConfig {
     pub interval: Span,
     pub max_age: Span,
-    pub terms: BudgetConfig,
+    pub budget: BudgetConfig,
     /// Proxies of the whole fleet, and streams that one planner takes at most.
     pub proxies: f64,
     pub max_streams: f64,
@@ -142,14 +142,14 @@
                 }
             }
             peer_message::Kind::CountsRequest(ask) if self.others_names.contains_key(&from) => {
-                let part = self.own.make_report(from, ask.to_ask());
+                let part = self.own.make_report(from, ask.to_request());
                 wants.extend(part.map(|part| {
-                    Wants::Tell(from, peer_message::Kind::CountsResponse(CountsResponse::from_part(part)))
+                    Wants::Tell(from, peer_message::Kind::CountsResponse(CountsResponse::from_report(part)))
                 }));
             }
-            peer_message::Kind::CountsResponse(msg) => drop(self.others.receive(now, from, &msg.into_part())),
+            peer_message::Kind::CountsResponse(c) => drop(self.others.receive(now, from, &c.into_report())),
             peer_message::Kind::Evidence(told) if self.others_names.contains_key(&from) => {
-                self.evidence.receive_report(now, from, &told.into_evidence());
+                self.evidence.receive_report(now, from, &told.into_peer_report());
             }
             _ => {}
         }
@@ -210,7 +210,7 @@
         for id in self.others_names.keys() {
             let ask = self.others.request_report(now, *id);
             wants.extend(ask.map(|ask| {
-                Wants::Tell(*id, peer_message::Kind::CountsRequest(CountsRequest::from_ask(ask)))
+                Wants::Tell(*id, peer_message::Kind::CountsRequest(CountsRequest::from_request(ask)))
             }));
         }
         let own = self.of.0;
@@ -220,7 +220,7 @@
             self.others.receive(now, own, &part);
         }
         if !self.others_names.is_empty() {
-            wants.push(Wants::TellAll(peer_message::Kind::Evidence(EvidenceReport::from_evidence(
+            wants.push(Wants::TellAll(peer_message::Kind::Evidence(EvidenceReport::from_peer_report(
                 self.evidence.make_report(now),
             ))));
         }
--- a/crates/member/src/sharing_messages.rs
+++ b/crates/member/src/sharing_messages.rs
@@ -133,17 +133,17 @@
 }
 
 impl CountsRequest {
-    pub fn from_ask(ask: ReportRequest) -> CountsRequest {
+    pub fn from_request(ask: ReportRequest) -> CountsRequest {
         CountsRequest { token: ask.token, start: ask.start, number: ask.last_sequence }
     }
 
-    pub fn to_ask(&self) -> ReportRequest {
+    pub fn to_request(&self) -> ReportRequest {
         ReportRequest { token: self.token, start: self.start, last_sequence: self.number }
     }
 }
 
 impl CountsResponse {
-    pub fn from_part(part: CountReport) -> CountsResponse {
+    pub fn from_report(part: CountReport) -> CountsResponse {
         let row = |r: CountEntry| CountRow { key: r.key, value: r.value, min: r.min, max: r.max };
         let rows = part.entries.into_iter().map(row).collect();
         CountsResponse {
@@ -155,7 +155,7 @@
         }
     }
 
-    pub fn into_part(self) -> CountReport {
+    pub fn into_report(self) -> CountReport {
         let row = |r: CountRow| CountEntry { key: r.key, value: r.value, min: r.min, max: r.max };
         let rows = self.rows.into_iter().map(row).collect();
         CountReport {
@@ -203,7 +203,7 @@
 }
 
 impl EvidenceReport {
-    pub fn from_evidence(told: PeerReport) -> EvidenceReport {
+    pub fn from_peer_report(told: PeerReport) -> EvidenceReport {
         let seen = |s: ServerObservation| ObservationEntry {
             server: s.server,
             tries: s.tries,
@@ -220,7 +220,7 @@
         }
     }
 
-    pub fn into_evidence(self) -> PeerReport {
+    pub fn into_peer_report(self) -> PeerReport {
         let seen = |s: ObservationEntry| ServerObservation {
             server: s.server,
             tries: s.tries,
--- a/crates/member/tests/accounting.rs
+++ b/crates/member/tests/accounting.rs
@@ -19,8 +19,9 @@
         ("another sent it and closed the next", Some(5), later),
     ];
     let sent = cases.map(|(what, may, kept)| {
-        let at = SocketAddr::from(([127, 0, 0, 1], 9));
-        let mut books = AccountingSender::new(AccountingConfig { at, period: Span::millis(1_000) }, None);
+        let address = SocketAddr::from(([127, 0, 0, 1], 9));
+        let mut books =
+            AccountingSender::new(AccountingConfig { address, period: Span::millis(1_000) }, None);
         let mut out = Outbox::default();
         assert_eq!(books.keep(NOW, 5, closed, Vec::new(), &mut out), None, "it dials");
         books.opened(NOW, may, (kept, "{}"), &mut out);
--- a/crates/member/tests/hand.rs
+++ b/crates/member/tests/hand.rs
@@ -32,7 +32,7 @@
             listen: (members.len() > 1).then_some(at),
             founders: members.iter().map(|name| (name.to_string(), at)).collect(),
             source_ip: None,
-            times: RaftConfig { heartbeat_interval: Span::millis(50), election_timeout: Span::millis(300) },
+            raft: RaftConfig { heartbeat_interval: Span::millis(50), election_timeout: Span::millis(300) },
             request_timeout: Span::millis(1_000),
             seed: if file.is_some() { 10 } else { 9 },
             max_format: 2,
--- a/crates/settings/src/files.rs
+++ b/crates/settings/src/files.rs
@@ -5,7 +5,7 @@
 use pewtergap_control::channel::Channel as Queue;
 use pewtergap_control::{ListSource, ListenConfig, ProbeConfig, ReportConfig, Service, ServiceConfig};
 use pewtergap_duty::LeaseConfig;
-use pewtergap_member::messages::FORMATS;
+use pewtergap_member::messages::SUPPORTED_FORMATS;
 use pewtergap_member::{
     probe_duty_names, AccountingConfig, DutyConfig, MemberConfig, PlannerNode, SharingConfig, MAX_MEMBERS,
     MAX_OBSERVERS,
@@ -200,21 +200,24 @@
     if founders.len() > MAX_MEMBERS || !founders.is_empty() && founders.len().is_multiple_of(2) {
         part.fault("members", format!("{} members: 1, 3, 5 or 7 were expected", founders.len()));
     }
-    let times = RaftConfig {
+    let raft = RaftConfig {
         heartbeat_interval: part.or("beat", Span::millis(50)),
         election_timeout: part.or("election", Span::millis(500)),
     };
-    if times.heartbeat_interval.times(4.0) > times.election_timeout {
+    if raft.heartbeat_interval.times(4.0) > raft.election_timeout {
         part.clash(
             "election",
-            format!("{} is less than four beats of {}", times.election_timeout, times.heartbeat_interval),
+            format!("{} is less than four beats of {}", raft.election_timeout, raft.heartbeat_interval),
         );
     }
     let request_timeout = part.or("patience", Span::millis(3_000));
     let listen = part.maybe("listen");
-    let max_format = part.or("format", FORMATS.1 as usize) as u32;
-    if !(FORMATS.0..=FORMATS.1).contains(&max_format) {
-        part.fault("format", format!("{max_format}: this build speaks {} to {}", FORMATS.0, FORMATS.1));
+    let max_format = part.or("format", SUPPORTED_FORMATS.1 as usize) as u32;
+    if !(SUPPORTED_FORMATS.0..=SUPPORTED_FORMATS.1).contains(&max_format) {
+        part.fault(
+            "format",
+            format!("{max_format}: this build speaks {} to {}", SUPPORTED_FORMATS.0, SUPPORTED_FORMATS.1),
+        );
     } else if max_format < OBSERVERS_FORMAT && !observers.is_empty() {
         part.fault("format", format!("{max_format}: observers need {OBSERVERS_FORMAT}"));
     }
@@ -223,7 +226,7 @@
         listen,
         founders,
         source_ip: None,
-        times,
+        raft,
         request_timeout,
         seed: 0,
         max_format,
@@ -273,7 +276,7 @@
             format!("{max_age} is less than twice what passes between two tellings, {interval}"),
         );
     }
-    let terms = BudgetConfig {
+    let budget = BudgetConfig {
         share_validity: part.or("holds", Span::millis(30_000)),
         // A server that was cold under a planner's last tables is warm by then, wherever these still are.
         effect_timeout: contract.warmup + contract.drain_grace,
@@ -281,12 +284,12 @@
         planner_count: fleet.planners as u64,
     };
     let (proxies, max_streams) = (fleet.proxies as f64, reports.max_streams as f64);
-    SharingConfig { interval, max_age, terms, proxies, max_streams }
+    SharingConfig { interval, max_age, budget, proxies, max_streams }
 }
 
 fn books(part: &Section) -> AccountingConfig {
     let accounting =
-        AccountingConfig { at: part.need("receiver"), period: part.or("period", Span::millis(60_000)) };
+        AccountingConfig { address: part.need("receiver"), period: part.or("period", Span::millis(60_000)) };
     if accounting.period < Span::millis(100) {
         part.fault("period", "at least 100ms were expected");
     }
--- a/crates/tier/src/watching_planner.rs
+++ b/crates/tier/src/watching_planner.rs
@@ -219,7 +219,7 @@
         let changed =
             subjects.and_then(|subjects| orders::changes_for(record, service, now, subjects, planner_set));
         let full_overrides =
-            || service.overrides().diff(&orders::full_standing(record, service, now, planner_set));
+            || service.overrides().diff(&orders::all_overrides(record, service, now, planner_set));
         let overrides = changed.unwrap_or_else(full_overrides);
         self.service.apply_overrides(now, &overrides, out);
     }
