--- a/crates/control/src/admin.rs
+++ b/crates/control/src/admin.rs
@@ -1,12 +1,12 @@
 //! The admin door: requests over HTTP as they come whole, and their answers. What is asked for is others' to know.
 
-use pewtergap_http::{answer, Bounds, First, Part, Reader, Side};
+use pewtergap_http::{response, Limits, Part, Reader, Side, StartLine};
 use pewtergap_node::{Link, Outbox};
 use std::collections::BTreeMap;
 
 /// Connections at once; more are turned away.
 const MOST: usize = 64;
-const BOUNDS: Bounds = Bounds { head: 4096, body: 16 * 1024 };
+const BOUNDS: Limits = Limits { head: 4096, body: 16 * 1024 };
 
 /// A request that came whole.
 pub struct AdminRequest {
@@ -43,9 +43,9 @@
         reader.push(bytes);
         let mut asked = Vec::new();
         loop {
-            match reader.take() {
+            match reader.next_part() {
                 Ok(Some(Part::Head(head))) => {
-                    if let First::Request { method, target } = &head.first {
+                    if let StartLine::Request { method, target } = &head.first {
                         let (method, target) = (method.clone(), target.clone());
                         *open = Some(AdminRequest { link, method, target, body: Vec::new() });
                     }
@@ -55,7 +55,7 @@
                 Ok(None) => return asked,
                 Err(wrong) => {
                     let why = wrong.to_string();
-                    out.send(link, answer(wrong.status, &[("connection", "close")], Some(why.as_bytes())));
+                    out.send(link, response(wrong.status, &[("connection", "close")], Some(why.as_bytes())));
                     out.finish(link);
                     return Vec::new();
                 }
@@ -66,7 +66,7 @@
     /// Who asked may have gone.
     pub fn answer(&self, link: Link, status: u16, kind: &str, body: &str, out: &mut Outbox) {
         if self.owns_link(link) {
-            out.send(link, answer(status, &[("content-type", kind)], Some(body.as_bytes())));
+            out.send(link, response(status, &[("content-type", kind)], Some(body.as_bytes())));
         }
     }
 }
--- a/crates/control/src/list_watch.rs
+++ b/crates/control/src/list_watch.rs
@@ -4,7 +4,7 @@
 //! set back once showed drained servers as ready again. It is asked anew, and believed when it stays.
 
 use crate::endpoints::{parse_version, Slice, SliceList, WatchEvent};
-use pewtergap_http::{request, Bounds, Head, Part, Reader, Side};
+use pewtergap_http::{request, Head, Limits, Part, Reader, Side};
 use pewtergap_time::{Moment, Span};
 use std::net::SocketAddr;
 
@@ -151,7 +151,7 @@
         let mut told = Vec::new();
         self.reader.push(bytes);
         while matches!(self.state, Listing | Watching) {
-            let (sign, why) = match self.reader.take() {
+            let (sign, why) = match self.reader.next_part() {
                 Ok(None) => return told,
                 Err(wrong) => (Some(Broken), wrong.to_string()),
                 Ok(Some(part)) => self.part(now, part, &mut told),
@@ -305,5 +305,5 @@
 
 fn reader() -> Reader {
     // A watch may run for months: what bounds it is a line's length, a list's is checked where it is kept.
-    Reader::new(Side::Answers, Bounds { head: 16 * 1024, body: u64::MAX })
+    Reader::new(Side::Responses, Limits { head: 16 * 1024, body: u64::MAX })
 }
--- a/crates/control/src/probes.rs
+++ b/crates/control/src/probes.rs
@@ -2,7 +2,7 @@
 //!
 //! A probe that finds all places taken waits; one server waits once, so the queue is bounded by the servers.
 
-use pewtergap_http::{request, Bounds, Part, Reader, Side};
+use pewtergap_http::{request, Limits, Part, Reader, Side};
 use pewtergap_node::{Ended, Link};
 use pewtergap_planner::{Load, ProbeOutcome};
 use pewtergap_protocol::load_report::{LoadReport, HEADER};
@@ -81,7 +81,7 @@
     /// Asked over this link; the call to write once it stands.
     pub fn start(&mut self, now: Moment, server: usize, link: Link) -> Moment {
         let until = now + self.asked.timeout;
-        let reader = Reader::new(Side::Answers, Bounds::default());
+        let reader = Reader::new(Side::Responses, Limits::default());
         self.open.insert(link, Open { server, until, reader, heard: None, body: Vec::new() });
         until
     }
@@ -103,15 +103,15 @@
         let open = self.open.get_mut(&link)?;
         open.reader.push(bytes);
         loop {
-            match open.reader.take() {
+            match open.reader.next_part() {
                 Ok(Some(Part::Head(head))) => {
-                    let report = head.header(HEADER).map(LoadReport::read).unwrap_or_default();
+                    let report = head.header(HEADER).map(LoadReport::parse).unwrap_or_default();
                     let end = match head.status() {
                         200..=299 => ProbeOutcome::Answered,
                         429 | 503 => ProbeOutcome::Rejected,
                         _ => ProbeOutcome::Error,
                     };
-                    open.heard = Some((end, Load { util: report.util, in_flight: report.in_hand }));
+                    open.heard = Some((end, Load { util: report.util, in_flight: report.in_flight }));
                 }
                 Ok(Some(Part::Data(data))) => {
                     if self.asked.body_fields.is_some() && open.body.len() + data.len() <= MOST_REPORT {
@@ -130,8 +130,8 @@
         let open = self.open.get_mut(&link)?;
         if let (Some((util, in_hand)), Some(heard)) = (&self.asked.body_fields, &mut open.heard) {
             let text = String::from_utf8_lossy(&open.body);
-            let report = LoadReport::read_as(&text, util, in_hand);
-            heard.1 = Load { util: report.util, in_flight: report.in_hand };
+            let report = LoadReport::parse_named(&text, util, in_hand);
+            heard.1 = Load { util: report.util, in_flight: report.in_flight };
         }
         self.end(link, ProbeOutcome::Error)
     }
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -14,7 +14,10 @@
 use pewtergap_node::{Effect, Ended, Input, Level, Link, Node, Outbox};
 use pewtergap_planner::interner::Interner;
 use pewtergap_planner::{Action, Event, ListEntry, ListKind, ListedState, Load, Planner, ProbeOutcome};
-use pewtergap_protocol::{down, encode, up, Beat, Bye, Down, Hello, Nack, Sums, Update, Welcome, VERSION};
+use pewtergap_protocol::{
+    encode, planner_message, proxy_message, Bye, Heartbeat, Hello, Nack, PlannerMessage, ServerStats, Update,
+    Welcome, VERSION,
+};
 use pewtergap_time::{Moment, Span};
 use std::any::Any;
 use std::collections::{BTreeMap, BTreeSet};
@@ -211,12 +214,12 @@
     }
 
     fn start(&mut self, now: Moment, out: &mut Outbox) {
-        out.push(Effect::Listen { door: PROXIES, at: self.doors.proxies });
+        out.push(Effect::Listen { listener: PROXIES, at: self.doors.proxies });
         if let Some(at) = self.doors.admin {
-            out.push(Effect::Listen { door: ADMIN, at });
+            out.push(Effect::Listen { listener: ADMIN, at });
         }
-        out.push(Effect::Fetch { name: self.kept_name() });
-        out.wake(timer::HOUSEKEEPING, now + HOUSEKEEPING);
+        out.push(Effect::ReadFile { name: self.kept_name() });
+        out.set_timer(timer::HOUSEKEEPING, now + HOUSEKEEPING);
     }
 
     // ---- the list
@@ -235,9 +238,9 @@
         match &self.source {
             ListSource::Watch { address, path } => {
                 self.watch = Some(ListWatch::new(*address, path.clone(), highest));
-                out.wake(timer::LIST, now);
+                out.set_timer(timer::LIST, now);
             }
-            ListSource::File { name } => out.push(Effect::Fetch { name: name.clone() }),
+            ListSource::File { name } => out.push(Effect::ReadFile { name: name.clone() }),
         }
     }
 
@@ -263,7 +266,7 @@
                     if let Some(link) = self.list_link.take() {
                         out.cut(link);
                     }
-                    out.wake(timer::LIST, until);
+                    out.set_timer(timer::LIST, until);
                 }
                 ListAction::All(slices) => {
                     let all = self.roll.replace(now, &slices, &mut refused);
@@ -333,7 +336,7 @@
         }
         if kind != ListKind::Kept && !self.keep_set {
             self.keep_set = true;
-            out.wake(timer::KEEP, now + KEEP);
+            out.set_timer(timer::KEEP, now + KEEP);
         }
         self.event(now, Event::List { kind, entries }, out);
     }
@@ -342,7 +345,7 @@
         self.keep_set = false;
         let highest = self.watch.as_ref().map_or(0, ListWatch::highest);
         let bytes = kept::write(highest, self.roll.known());
-        out.push(Effect::Keep { name: self.kept_name(), bytes });
+        out.push(Effect::SaveFile { name: self.kept_name(), bytes });
     }
 
     // ---- turns
@@ -351,7 +354,7 @@
         self.events.push(event);
         if !self.turn_set {
             self.turn_set = true;
-            out.wake(timer::TURN, now + ROUND);
+            out.set_timer(timer::TURN, now + ROUND);
         }
     }
 
@@ -371,7 +374,7 @@
                     self.probe_requests.push(self.servers.name(*server).clone());
                 }
                 Action::Probe { server } => self.probes.enqueue(*server),
-                Action::Wake { at } => out.wake(timer::WOKEN, *at),
+                Action::Wake { at } => out.set_timer(timer::WOKEN, *at),
                 Action::Log { text } => out.log(Level::Info, "planner", vec![("text", text.clone())]),
                 Action::ReleaseServer { server } => {
                     if let Some(link) = self.probes.remove(*server) {
@@ -426,7 +429,7 @@
         if let Some(due) = self.channel.next_send_at() {
             if self.channel_set.is_none_or(|set| set > due || set <= now) {
                 self.channel_set = Some(due);
-                out.wake(timer::CHANNEL, due);
+                out.set_timer(timer::CHANNEL, due);
             }
         }
     }
@@ -450,7 +453,7 @@
             ("waited", now.since(ordered).to_string()),
         ];
         out.log(Level::Debug, "sent", fields);
-        out.send(link, encode(&Down::of(down::Kind::Update(update))));
+        out.send(link, encode(&PlannerMessage::new(planner_message::Kind::Update(update))));
         if crowded {
             self.send_away(now, proxy, "too many messages without an answer", out);
         }
@@ -464,7 +467,7 @@
         stream.frames.push(bytes);
         loop {
             let Some(stream) = self.streams.by_link.get_mut(&link) else { return };
-            let done = match stream.frames.take() {
+            let done = match stream.frames.next_message() {
                 Ok(None) => return,
                 Ok(Some(message)) => match message.kind {
                     Some(kind) => self.message(now, link, kind, out),
@@ -479,19 +482,25 @@
         }
     }
 
-    fn message(&mut self, now: Moment, link: Link, kind: up::Kind, out: &mut Outbox) -> Result<(), String> {
+    fn message(
+        &mut self,
+        now: Moment,
+        link: Link,
+        kind: proxy_message::Kind,
+        out: &mut Outbox,
+    ) -> Result<(), String> {
         let Some(stream) = self.streams.by_link.get_mut(&link) else { return Ok(()) };
         let Some(proxy) = stream.proxy else {
             return match kind {
-                up::Kind::Hello(hello) => self.hello(now, link, hello, out),
+                proxy_message::Kind::Hello(hello) => self.hello(now, link, hello, out),
                 _ => Err("the first message must be a hello".into()),
             };
         };
         match kind {
-            up::Kind::Hello(_) => return Err("a second hello".into()),
-            up::Kind::Ack(ack) if ack.nonce <= stream.void => {}
-            up::Kind::Nack(nack) if nack.nonce <= stream.void => {}
-            up::Kind::Ack(ack) => {
+            proxy_message::Kind::Hello(_) => return Err("a second hello".into()),
+            proxy_message::Kind::Ack(ack) if ack.nonce <= stream.void => {}
+            proxy_message::Kind::Nack(nack) if nack.nonce <= stream.void => {}
+            proxy_message::Kind::Ack(ack) => {
                 let sent =
                     stream.answered(ack.nonce).ok_or(format!("ack of {}, which was not sent", ack.nonce))?;
                 self.counts.acks += 1;
@@ -508,10 +517,10 @@
                     self.event(now, Event::Applied { proxy, mark: u64::from(sent.mark) }, out);
                 }
             }
-            up::Kind::Nack(nack) => return self.refused(now, link, proxy, &nack, out),
-            up::Kind::Sums(sums) => self.sums(now, link, &sums, out),
-            up::Kind::Arrivals(arrivals) => {
-                let (over, zone) = (Span::micros(arrivals.over_us), stream.zone);
+            proxy_message::Kind::Nack(nack) => return self.refused(now, link, proxy, &nack, out),
+            proxy_message::Kind::ServerStats(sums) => self.sums(now, link, &sums, out),
+            proxy_message::Kind::Arrivals(arrivals) => {
+                let (over, zone) = (Span::micros(arrivals.period_us), stream.zone);
                 stream.reported(arrivals.rows.iter().map(|row| row.calls).sum(), over);
                 for row in arrivals.rows.iter().filter(|row| (row.route as usize) < self.charge.routes.len())
                 {
@@ -520,7 +529,7 @@
                 }
                 self.set_intake(now, out);
             }
-            up::Kind::Beat(_) => {}
+            proxy_message::Kind::Heartbeat(_) => {}
         }
         Ok(())
     }
@@ -563,7 +572,7 @@
             routes: self.charge.routes.clone(),
             report_every_us: self.reports.interval.0 / 1_000,
         };
-        out.send(link, encode(&Down::of(down::Kind::Welcome(welcome))));
+        out.send(link, encode(&PlannerMessage::new(planner_message::Kind::Welcome(welcome))));
         out.log(Level::Info, "joined", vec![("proxy", hello.proxy), ("zone", hello.zone)]);
         self.event(now, Event::ProxyJoined { proxy, zone, calls_per_s: hello.calls_per_s }, out);
         Ok(())
@@ -600,15 +609,15 @@
         Ok(())
     }
 
-    fn sums(&mut self, now: Moment, link: Link, sums: &Sums, out: &mut Outbox) {
+    fn sums(&mut self, now: Moment, link: Link, sums: &ServerStats, out: &mut Outbox) {
         let zone = self.streams.by_link.get(&link).map_or(0, |stream| stream.zone);
         for row in &sums.rows {
             // A server that no list of ours ever named is another planner's affair.
             let Some(server) = self.servers.get(&row.server) else { continue };
             self.tried.0 = self.tried.0.saturating_add(row.tries);
             self.tried.1 = self.tried.1.saturating_add(row.dropped);
-            let load = Load { util: row.util, in_flight: row.in_hand };
-            let (mean, over) = (Span::micros(row.mean_us), Span::micros(sums.over_us));
+            let load = Load { util: row.util, in_flight: row.in_flight };
+            let (mean, over) = (Span::micros(row.mean_latency_us), Span::micros(sums.period_us));
             self.traffic.met(&row.server, row.tries, row.dropped, mean.seconds());
             self.intake.sums(server, zone, row.tries, row.dropped, mean, over, load);
         }
@@ -618,14 +627,19 @@
     fn set_intake(&mut self, now: Moment, out: &mut Outbox) {
         if !self.intake_set && self.intake.waiting() > 0 {
             self.intake_set = true;
-            out.wake(timer::INTAKE, now + INTAKE);
+            out.set_timer(timer::INTAKE, now + INTAKE);
         }
     }
 
     /// Says why and closes.
     fn close(&mut self, now: Moment, link: Link, why: &str, out: &mut Outbox) {
         out.log(Level::Warn, "stream_closed", vec![("link", link.0.to_string()), ("why", why.into())]);
-        out.send(link, encode(&Down::of(down::Kind::Bye(Bye { reason: why.chars().take(512).collect() }))));
+        out.send(
+            link,
+            encode(&PlannerMessage::new(planner_message::Kind::Bye(Bye {
+                reason: why.chars().take(512).collect(),
+            }))),
+        );
         out.finish(link);
         self.forget(now, link, out);
     }
@@ -657,7 +671,7 @@
             let link = out.connect(at, self.doors.source_ip);
             self.counts.probes += 1;
             let until = self.probes.start(now, server, link);
-            out.wake(timer::PROBES, until);
+            out.set_timer(timer::PROBES, until);
             out.send(link, self.probes.request(self.servers.name(server)));
         }
     }
@@ -876,7 +890,7 @@
     // ---- upkeep
 
     fn housekeeping(&mut self, now: Moment, out: &mut Outbox) {
-        out.wake(timer::HOUSEKEEPING, now + HOUSEKEEPING);
+        out.set_timer(timer::HOUSEKEEPING, now + HOUSEKEEPING);
         let every = self.reports.interval;
         let overdue = |stream: &Stream| stream.overdue(now, every, self.charge.unresponsive_after);
         let late: Vec<(Link, &str)> =
@@ -890,7 +904,7 @@
         for (link, stream) in &mut self.streams.by_link {
             if stream.proxy.is_some() && now.since(stream.beat) >= every {
                 stream.beat = now;
-                out.send(*link, encode(&Down::of(down::Kind::Beat(Beat {}))));
+                out.send(*link, encode(&PlannerMessage::new(planner_message::Kind::Heartbeat(Heartbeat {}))));
             }
         }
     }
@@ -898,7 +912,9 @@
     fn stop(&mut self, now: Moment, out: &mut Outbox) {
         self.stopping = true;
         out.log(Level::Info, "stopping", vec![("streams", self.streams.joined().to_string())]);
-        let bye = encode(&Down::of(down::Kind::Bye(Bye { reason: "the planner stops".into() })));
+        let bye = encode(&PlannerMessage::new(planner_message::Kind::Bye(Bye {
+            reason: "the planner stops".into(),
+        })));
         for link in self.streams.by_link.keys() {
             out.send(*link, bye.clone());
             out.finish(*link);
@@ -906,8 +922,8 @@
         if self.listed {
             self.keep(out);
         }
-        out.push(Effect::Unlisten { door: PROXIES });
-        out.wake(timer::EXIT, now + FAREWELL);
+        out.push(Effect::Unlisten { listener: PROXIES });
+        out.set_timer(timer::EXIT, now + FAREWELL);
     }
 
     fn due(&mut self, now: Moment, timer: u64, out: &mut Outbox) {
@@ -941,7 +957,7 @@
         if self.streams.by_link.len() >= self.reports.max_streams {
             self.counts.refused_streams += 1;
             let reason = format!("{} streams are open, no more are taken", self.streams.by_link.len());
-            out.send(link, encode(&Down::of(down::Kind::Bye(Bye { reason }))));
+            out.send(link, encode(&PlannerMessage::new(planner_message::Kind::Bye(Bye { reason }))));
             out.finish(link);
             return;
         }
@@ -1009,7 +1025,7 @@
     fn handle(&mut self, now: Moment, input: Input<'_>, out: &mut Outbox) {
         match input {
             Input::Start => self.start(now, out),
-            Input::Listening { door, at } => {
+            Input::Listening { listener: door, at } => {
                 let what = if door == PROXIES { "proxies" } else { "admin" };
                 out.log(Level::Info, "listening", vec![("door", what.into()), ("at", at.to_string())]);
             }
@@ -1019,7 +1035,7 @@
             }
             Input::File { name, bytes } if name == self.kept_name() => self.kept(now, bytes, out),
             Input::File { bytes, .. } => self.list_file(now, bytes, out),
-            Input::Accepted { link, door, .. } => self.accepted(now, link, door, out),
+            Input::Accepted { link, listener: door, .. } => self.accepted(now, link, door, out),
             Input::Opened { link } if self.list_link == Some(link) => {
                 let told = self.watch.as_mut().map(|watch| watch.opened(now)).unwrap_or_default();
                 self.follow(now, told, out);
@@ -1027,19 +1043,19 @@
             Input::Opened { .. } => {}
             Input::Bytes { link, bytes } => self.bytes(now, link, bytes, out),
             Input::Closed { link, why } => self.closed(now, link, why, out),
-            Input::Due { timer } => self.due(now, timer, out),
+            Input::TimerFired { timer } => self.due(now, timer, out),
             Input::Reload => {
                 out.log(Level::Info, "reload", Vec::new());
                 if let ListSource::File { name } = &self.source {
-                    out.push(Effect::Fetch { name: name.clone() });
+                    out.push(Effect::ReadFile { name: name.clone() });
                 }
             }
             Input::Stop if !self.stopping => self.stop(now, out),
             Input::Synced { .. }
             | Input::Stop
-            | Input::Word(_)
-            | Input::Knocked
-            | Input::HandedBack { .. } => {}
+            | Input::Command(_)
+            | Input::Notified
+            | Input::TransferFailed { .. } => {}
         }
     }
 
--- a/crates/control/src/streams.rs
+++ b/crates/control/src/streams.rs
@@ -1,7 +1,7 @@
 //! The streams of proxies: who is behind each, what was sent and not yet answered.
 
 use pewtergap_node::Link;
-use pewtergap_protocol::{Frames, Up};
+use pewtergap_protocol::{FrameReader, ProxyMessage};
 use pewtergap_time::{Moment, Span};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
@@ -33,7 +33,7 @@
 }
 
 pub struct Stream {
-    pub frames: Frames<Up>,
+    pub frames: FrameReader<ProxyMessage>,
     /// Known once it said hello.
     pub proxy: Option<usize>,
     pub zone: usize,
@@ -52,7 +52,7 @@
 impl Stream {
     pub fn new(now: Moment) -> Stream {
         Stream {
-            frames: Frames::default(),
+            frames: FrameReader::default(),
             proxy: None,
             zone: 0,
             calls_per_s: 0.0,
--- a/crates/control/src/tables.rs
+++ b/crates/control/src/tables.rs
@@ -6,7 +6,7 @@
 use crate::channel::count_lines;
 use pewtergap_planner::interner::Interner;
 use pewtergap_planner::{Action, ResendPolicy};
-use pewtergap_protocol::{Bind, Gate, Line, TableChange, Update};
+use pewtergap_protocol::{Binding, Gate, Line, TableChange, Update};
 use pewtergap_time::Moment;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -93,7 +93,7 @@
                 let standing = self.tables.entry(*table).or_default();
                 follower.bound.retain(|known| *routes != 0 && known.0 != *routes);
                 follower.bound.push((*routes, *table));
-                update.binds.push(Bind { table: *table as u32, routes: *routes });
+                update.binds.push(Binding { table: *table as u32, routes: *routes });
                 if standing.version > 0 && follower.versions.get(table) != Some(&standing.version) {
                     update.tables.push(standing.whole(*table, servers));
                     follower.versions.insert(*table, standing.version);
--- a/crates/control/tests/service.rs
+++ b/crates/control/tests/service.rs
@@ -6,7 +6,9 @@
 };
 use pewtergap_node::{Effect, Ended, Input, Link, Node, Outbox};
 use pewtergap_planner::*;
-use pewtergap_protocol::{down, encode, up, Ack, Down, Frames, Hello, Nack, Up};
+use pewtergap_protocol::{
+    encode, planner_message, proxy_message, Ack, FrameReader, Hello, Nack, PlannerMessage, ProxyMessage,
+};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -21,7 +23,7 @@
     out: Outbox,
     trace: String,
     timers: Vec<(Moment, u64)>,
-    streams: BTreeMap<Link, (String, Frames<Down>, u64)>,
+    streams: BTreeMap<Link, (String, FrameReader<PlannerMessage>, u64)>,
     kept: Option<Vec<u8>>,
     next: u64,
 }
@@ -128,17 +130,17 @@
         for effect in std::mem::take(&mut self.out.effects) {
             let at = self.now.since(START).0 / 1_000_000;
             match effect {
-                Effect::Wake { timer, at } => self.timers.push((at, timer)),
-                Effect::Keep { bytes, .. } => self.kept = Some(bytes),
+                Effect::SetTimer { timer, at } => self.timers.push((at, timer)),
+                Effect::SaveFile { bytes, .. } => self.kept = Some(bytes),
                 Effect::Cut { link } => self.trace += &format!("{at:>5} cuts {}\n", self.name(link)),
                 Effect::Finish { link } => self.trace += &format!("{at:>5} finishes {}\n", self.name(link)),
                 Effect::Send { link, bytes } => {
                     let Some((name, frames, nonce)) = self.streams.get_mut(&link) else { continue };
                     frames.push(&bytes);
-                    let told = match frames.take().unwrap().unwrap().kind.unwrap() {
-                        down::Kind::Welcome(_) | down::Kind::Beat(_) => continue,
-                        down::Kind::Bye(bye) => format!("bye: {}", bye.reason),
-                        down::Kind::Update(update) => {
+                    let told = match frames.next_message().unwrap().unwrap().kind.unwrap() {
+                        planner_message::Kind::Welcome(_) | planner_message::Kind::Heartbeat(_) => continue,
+                        planner_message::Kind::Bye(bye) => format!("bye: {}", bye.reason),
+                        planner_message::Kind::Update(update) => {
                             *nonce = update.nonce;
                             let tables = update.tables.iter().map(|t| {
                                 let set: Vec<&str> = t.set.iter().map(|line| &line.server[..8]).collect();
@@ -165,7 +167,7 @@
             let Some((at, timer)) = self.timers.first().copied().filter(|t| t.0 <= until) else { break };
             self.timers.remove(0);
             self.now = self.now.max(at);
-            self.give(Input::Due { timer });
+            self.give(Input::TimerFired { timer });
         }
         self.now = until;
     }
@@ -173,8 +175,8 @@
     fn open(&mut self, name: &str) -> Link {
         self.next += 1;
         let link = Link(self.next);
-        self.streams.insert(link, (name.into(), Frames::default(), 0));
-        self.give(Input::Accepted { link, door: 0, from: SocketAddr::from(([127, 0, 0, 1], 9)) });
+        self.streams.insert(link, (name.into(), FrameReader::default(), 0));
+        self.give(Input::Accepted { link, listener: 0, from: SocketAddr::from(([127, 0, 0, 1], 9)) });
         link
     }
 
@@ -183,19 +185,26 @@
         let (proxy, zone, routes) = (name.into(), "north".into(), vec!["order".into()]);
         self.say(
             link,
-            up::Kind::Hello(Hello { protocol: 1, proxy, zone, calls_per_s: 5.0, held: vec![], routes }),
+            proxy_message::Kind::Hello(Hello {
+                protocol: 1,
+                proxy,
+                zone,
+                calls_per_s: 5.0,
+                held: vec![],
+                routes,
+            }),
         );
         link
     }
 
-    fn say(&mut self, link: Link, kind: up::Kind) {
-        self.give(Input::Bytes { link, bytes: &encode(&Up::of(kind)) });
+    fn say(&mut self, link: Link, kind: proxy_message::Kind) {
+        self.give(Input::Bytes { link, bytes: &encode(&ProxyMessage::new(kind)) });
     }
 
     /// Answers the last message.
     fn ack(&mut self, link: Link) {
         let nonce = self.streams[&link].2;
-        self.say(link, up::Kind::Ack(Ack { nonce, mark: 0 }));
+        self.say(link, proxy_message::Kind::Ack(Ack { nonce, mark: 0 }));
     }
 
     fn list(&mut self, text: &str) {
@@ -222,7 +231,7 @@
     for _ in 0..8 {
         stage.pass(500);
         for link in [good, deaf] {
-            stage.say(link, up::Kind::Beat(pewtergap_protocol::Beat {}));
+            stage.say(link, proxy_message::Kind::Heartbeat(pewtergap_protocol::Heartbeat {}));
         }
     }
     stage.trace += "# another drains\n";
@@ -238,7 +247,10 @@
     for _ in 0..7 {
         stage.pass(300);
         let nonce = stage.streams[&link].2;
-        stage.say(link, up::Kind::Nack(Nack { nonce, reason: "version gap".into(), table: 0, holds: 0 }));
+        stage.say(
+            link,
+            proxy_message::Kind::Nack(Nack { nonce, reason: "version gap".into(), table: 0, holds: 0 }),
+        );
     }
     insta::assert_snapshot!(stage.trace);
 }
@@ -248,19 +260,19 @@
     let mut stage = Stage::new(10_000.0, None, LIST);
     let hello = |zone: &str, protocol, route: &str| {
         let (proxy, zone, routes) = ("p".into(), zone.into(), vec![route.into()]);
-        up::Kind::Hello(Hello { protocol, proxy, zone, calls_per_s: 5.0, held: vec![], routes })
+        proxy_message::Kind::Hello(Hello { protocol, proxy, zone, calls_per_s: 5.0, held: vec![], routes })
     };
     for (name, kind) in [
         ("far", hello("east", 1, "order")),
         ("old", hello("north", 0, "order")),
         ("odd", hello("north", 1, "refund")),
-        ("hasty", up::Kind::Ack(Ack { nonce: 1, mark: 0 })),
+        ("hasty", proxy_message::Kind::Ack(Ack { nonce: 1, mark: 0 })),
     ] {
         let link = stage.open(name);
         stage.say(link, kind);
     }
     let link = stage.join("liar");
-    stage.say(link, up::Kind::Ack(Ack { nonce: 77, mark: 0 }));
+    stage.say(link, proxy_message::Kind::Ack(Ack { nonce: 77, mark: 0 }));
     let link = stage.open("noise");
     stage.give(Input::Bytes { link, bytes: b"GET / HTTP/1.1\r\n\r\n" });
     stage.trace += "# silent after connecting\n";
@@ -341,7 +353,7 @@
     stage.orders(Overrides { weights, caps, ..drained });
     for _ in 0..8 {
         let before = stage.streams[&proxy].2;
-        stage.say(proxy, up::Kind::Beat(pewtergap_protocol::Beat {}));
+        stage.say(proxy, proxy_message::Kind::Heartbeat(pewtergap_protocol::Heartbeat {}));
         stage.pass(500);
         if stage.streams[&proxy].2 != before {
             stage.ack(proxy);
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -7,5 +7,5 @@
 mod read;
 mod write;
 
-pub use read::{Bounds, First, Head, Part, Reader, Side, Wrong};
-pub use write::{answer, chunk, request, LAST_CHUNK};
+pub use read::{Head, Limits, ParseError, Part, Reader, Side, StartLine};
+pub use write::{chunk, request, response, LAST_CHUNK};
--- a/crates/http/src/read.rs
+++ b/crates/http/src/read.rs
@@ -11,32 +11,32 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Side {
     Requests,
-    Answers,
+    Responses,
 }
 
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
+pub struct Limits {
     /// Bytes of a head.
     pub head: usize,
     /// Bytes of a body, after its coding is undone.
     pub body: u64,
 }
 
-impl Default for Bounds {
+impl Default for Limits {
     fn default() -> Self {
-        Bounds { head: 16 * 1024, body: 1024 * 1024 }
+        Limits { head: 16 * 1024, body: 1024 * 1024 }
     }
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum First {
+pub enum StartLine {
     Request { method: String, target: String },
-    Answer { status: u16 },
+    Response { status: u16 },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Head {
-    pub first: First,
+    pub first: StartLine,
     /// Names in lower case, as they came otherwise.
     pub headers: Vec<(String, String)>,
     /// The connection may carry another message after this one.
@@ -53,8 +53,8 @@
     /// Answers only; 0 for a request.
     pub fn status(&self) -> u16 {
         match self.first {
-            First::Answer { status } => status,
-            First::Request { .. } => 0,
+            StartLine::Response { status } => status,
+            StartLine::Request { .. } => 0,
         }
     }
 }
@@ -69,17 +69,17 @@
 
 /// Why a stream of messages cannot be read any further.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Wrong {
+pub struct ParseError {
     /// Byte of the stream at which the part began that is wrong.
-    pub at: u64,
-    pub what: String,
+    pub offset: u64,
+    pub reason: String,
     /// What a server answers.
     pub status: u16,
 }
 
-impl fmt::Display for Wrong {
+impl fmt::Display for ParseError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "byte {}: {}", self.at, self.what)
+        write!(f, "byte {}: {}", self.offset, self.reason)
     }
 }
 
@@ -101,7 +101,7 @@
 #[derive(Debug)]
 pub struct Reader {
     side: Side,
-    bounds: Bounds,
+    bounds: Limits,
     state: State,
     buffer: Vec<u8>,
     from: usize,
@@ -111,7 +111,7 @@
 }
 
 impl Reader {
-    pub fn new(side: Side, bounds: Bounds) -> Reader {
+    pub fn new(side: Side, bounds: Limits) -> Reader {
         let state = State::Head;
         Reader { side, bounds, state, buffer: Vec::new(), from: 0, passed: 0, body: 0, bodiless: false }
     }
@@ -134,7 +134,7 @@
     }
 
     /// The stream ended in order. An answer without a length ends with it; anything else is cut off.
-    pub fn close(&mut self) -> Result<Option<Part>, Wrong> {
+    pub fn close(&mut self) -> Result<Option<Part>, ParseError> {
         match self.state {
             State::UntilClose => {
                 self.state = State::Failed;
@@ -146,7 +146,7 @@
         }
     }
 
-    pub fn take(&mut self) -> Result<Option<Part>, Wrong> {
+    pub fn next_part(&mut self) -> Result<Option<Part>, ParseError> {
         let part = self.step();
         if part.is_err() {
             self.state = State::Failed;
@@ -154,7 +154,7 @@
         part
     }
 
-    fn step(&mut self) -> Result<Option<Part>, Wrong> {
+    fn step(&mut self) -> Result<Option<Part>, ParseError> {
         loop {
             match self.state {
                 State::Head => return self.head(),
@@ -202,8 +202,8 @@
         }
     }
 
-    fn wrong(&self, status: u16, what: &str) -> Wrong {
-        Wrong { at: self.passed, what: what.into(), status }
+    fn wrong(&self, status: u16, what: &str) -> ParseError {
+        ParseError { offset: self.passed, reason: what.into(), status }
     }
 
     fn pass(&mut self, count: usize) {
@@ -225,7 +225,7 @@
         (count > 0).then_some((data, left - count as u64))
     }
 
-    fn grow(&mut self, by: u64) -> Result<(), Wrong> {
+    fn grow(&mut self, by: u64) -> Result<(), ParseError> {
         self.body = self.body.saturating_add(by);
         if self.body > self.bounds.body {
             return Err(self.wrong(413, &format!("a body of more than {} bytes", self.bounds.body)));
@@ -233,7 +233,7 @@
         Ok(())
     }
 
-    fn line(&mut self) -> Result<Option<String>, Wrong> {
+    fn line(&mut self) -> Result<Option<String>, ParseError> {
         let rest = &self.buffer[self.from..];
         let Some(end) = rest.iter().take(MOST_LINE + 1).position(|b| *b == b'\n') else {
             let long = rest.len() > MOST_LINE;
@@ -251,7 +251,7 @@
         Ok(Some(line))
     }
 
-    fn head(&mut self) -> Result<Option<Part>, Wrong> {
+    fn head(&mut self) -> Result<Option<Part>, ParseError> {
         let rest = &self.buffer[self.from..];
         if rest.is_empty() {
             return Ok(None);
@@ -263,14 +263,14 @@
                 let mut request = httparse::Request::new(&mut headers);
                 request.parse(within).map(|status| {
                     let (method, target) = (request.method.unwrap_or(""), request.path.unwrap_or(""));
-                    let first = First::Request { method: method.into(), target: target.into() };
+                    let first = StartLine::Request { method: method.into(), target: target.into() };
                     (status, first, request.version.unwrap_or(0), owned(request.headers))
                 })
             }
-            Side::Answers => {
+            Side::Responses => {
                 let mut answer = httparse::Response::new(&mut headers);
                 answer.parse(within).map(|status| {
-                    let first = First::Answer { status: answer.code.unwrap_or(0) };
+                    let first = StartLine::Response { status: answer.code.unwrap_or(0) };
                     (status, first, answer.version.unwrap_or(0), owned(answer.headers))
                 })
             }
@@ -299,7 +299,7 @@
 
     /// How the body is delimited. What two readers could take differently is refused: a message with both a
     /// length and a coding, or two lengths, has been used to smuggle requests past a proxy.
-    fn framing(&self, head: &mut Head, version: u8) -> Result<State, Wrong> {
+    fn framing(&self, head: &mut Head, version: u8) -> Result<State, ParseError> {
         let mut lengths: Vec<&str> =
             head.headers.iter().filter(|h| h.0 == "content-length").map(|h| h.1.as_str()).collect();
         let codings: Vec<&str> =
@@ -326,8 +326,8 @@
         };
         head.length = length;
         let empty = match head.first {
-            First::Answer { status } => self.bodiless || status < 200 || status == 204 || status == 304,
-            First::Request { .. } => false,
+            StartLine::Response { status } => self.bodiless || status < 200 || status == 204 || status == 304,
+            StartLine::Request { .. } => false,
         };
         Ok(match (codings.is_empty(), length) {
             _ if empty => State::Length(0),
--- a/crates/http/src/write.rs
+++ b/crates/http/src/write.rs
@@ -40,7 +40,7 @@
     headers_and_body(format!("{method} {target} HTTP/1.1\r\n"), headers, body)
 }
 
-pub fn answer(status: u16, headers: &[(&str, &str)], body: Option<&[u8]>) -> Vec<u8> {
+pub fn response(status: u16, headers: &[(&str, &str)], body: Option<&[u8]>) -> Vec<u8> {
     let reason = REASONS.iter().find(|row| row.0 == status).map_or("", |row| row.1);
     headers_and_body(format!("HTTP/1.1 {status} {reason}\r\n"), headers, body)
 }
--- a/crates/http/tests/messages.rs
+++ b/crates/http/tests/messages.rs
@@ -3,12 +3,12 @@
 use pewtergap_http::*;
 
 fn read(side: Side, parts: &[&[u8]]) -> String {
-    let mut reader = Reader::new(side, Bounds { head: 400, body: 100 });
+    let mut reader = Reader::new(side, Limits { head: 400, body: 100 });
     let mut trace = String::new();
     for bytes in parts {
         reader.push(bytes);
         loop {
-            match reader.take() {
+            match reader.next_part() {
                 Ok(Some(Part::Head(head))) => {
                     trace += &format!("{:?} keep {}; ", head.first, head.keep_alive)
                 }
@@ -53,10 +53,10 @@
         (Side::Requests, b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nffffffffffffffff\r\n"),
         (Side::Requests, b"GET  / HTTP/1.1\r\n\r\n"),
         (Side::Requests, b"POST / HTTP/1.1\r\nContent-Length: 5\r\n\r\nabc"),
-        (Side::Answers, b"HTTP/1.1 200 OK\r\n\r\nall until the end"),
-        (Side::Answers, b"HTTP/1.1 204 No Content\r\nContent-Length: 5\r\n\r\n"),
-        (Side::Answers, b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab"),
-        (Side::Answers, b"\x16\x03\x01\x02\x00"),
+        (Side::Responses, b"HTTP/1.1 200 OK\r\n\r\nall until the end"),
+        (Side::Responses, b"HTTP/1.1 204 No Content\r\nContent-Length: 5\r\n\r\n"),
+        (Side::Responses, b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab"),
+        (Side::Responses, b"\x16\x03\x01\x02\x00"),
     ];
     let mut trace: Vec<String> = cases.iter().map(|(side, bytes)| read(*side, &[bytes])).collect();
     let long = format!("GET / HTTP/1.1\r\nX: {}\r\n\r\n", "y".repeat(500));
@@ -83,6 +83,6 @@
 
 #[test]
 fn a_value_cannot_bring_a_header_of_its_own() {
-    let bytes = answer(200, &[("x-id", "a\r\nset-cookie: b")], Some(b"hi"));
+    let bytes = response(200, &[("x-id", "a\r\nset-cookie: b")], Some(b"hi"));
     insta::assert_snapshot!(String::from_utf8(bytes).unwrap().replace("\r\n", "|"));
 }
--- a/crates/lab/src/ask.rs
+++ b/crates/lab/src/ask.rs
@@ -1,6 +1,6 @@
 //! Calls to a planner's admin door, as an operator or a script makes them: each waits for its answer.
 
-use pewtergap_http::{request, Bounds, First, Part, Reader, Side};
+use pewtergap_http::{request, Limits, Part, Reader, Side, StartLine};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
@@ -8,7 +8,7 @@
 /// An answer takes no longer than this: a planner answers within its own patience.
 const ANSWER: Duration = Duration::from_secs(10);
 const DIAL: Duration = Duration::from_secs(2);
-const BOUNDS: Bounds = Bounds { head: 4096, body: 64 * 1024 * 1024 };
+const BOUNDS: Limits = Limits { head: 4096, body: 64 * 1024 * 1024 };
 
 /// Status and body, or whether anything was sent and why there is no answer.
 pub type Asked = Result<(u16, String), (bool, String)>;
@@ -32,7 +32,7 @@
             None => {
                 let stream = TcpStream::connect_timeout(&at, DIAL).map_err(told(false))?;
                 stream.set_nodelay(true).map_err(told(false))?;
-                (stream, Reader::new(Side::Answers, BOUNDS))
+                (stream, Reader::new(Side::Responses, BOUNDS))
             }
         };
         let end = Instant::now() + ANSWER;
@@ -50,10 +50,10 @@
                 return Err((true, format!("{at}: closed without an answer")));
             }
             reader.push(&buffer[..count]);
-            while let Some(part) = reader.take().map_err(|e| (true, format!("{at}: {e}")))? {
+            while let Some(part) = reader.next_part().map_err(|e| (true, format!("{at}: {e}")))? {
                 match part {
                     Part::Head(head) => {
-                        if let First::Answer { status: told } = head.first {
+                        if let StartLine::Response { status: told } = head.first {
                             status = told;
                         }
                     }
--- a/crates/lab/src/clients.rs
+++ b/crates/lab/src/clients.rs
@@ -4,9 +4,9 @@
 use crate::bell::{Bell, Rung};
 use crate::record::{Kind, Row};
 use crate::words::{ATTEMPT, CALL, MEANT, WORK};
-use pewtergap_http::{request, Bounds, Part, Reader, Side};
+use pewtergap_http::{request, Limits, Part, Reader, Side};
 use pewtergap_node::{Input, Link, Node, Outbox};
-use pewtergap_proxy::ENDED;
+use pewtergap_proxy::ENDED_HEADER;
 use pewtergap_time::{Moment, Span};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -97,7 +97,7 @@
         let rate = (self.targets[target].per_s * self.factors[target]).max(1e-3);
         let gap = Exp::new(rate).map_or(1.0, |exp| exp.sample(&mut self.rng));
         self.arrivals[target] = from + Span::of_seconds(gap);
-        out.wake(target as u64, self.arrivals[target]);
+        out.set_timer(target as u64, self.arrivals[target]);
     }
 
     fn arrive(&mut self, now: Moment, target: usize, out: &mut Outbox) {
@@ -129,7 +129,7 @@
                 self.bell.ring(Rung::Row(row));
                 continue;
             }
-            out.wake(id, meant + self.asked[asked].time_limit);
+            out.set_timer(id, meant + self.asked[asked].time_limit);
             self.open.insert(id, open);
             self.send(id, out);
         }
@@ -142,7 +142,7 @@
             Some(link) => link,
             None => {
                 let link = out.connect(target.at, Some(self.from));
-                let reader = Reader::new(Side::Answers, Bounds::default());
+                let reader = Reader::new(Side::Responses, Limits::default());
                 let conn = Conn {
                     target: open.target,
                     reader,
@@ -184,10 +184,10 @@
         conn.reader.push(bytes);
         loop {
             let Some(conn) = self.conns.get_mut(&link) else { return };
-            match conn.reader.take() {
+            match conn.reader.next_part() {
                 Ok(Some(Part::Head(head))) => {
                     conn.status = head.status();
-                    conn.ended = head.header(ENDED).unwrap_or("").into();
+                    conn.ended = head.header(ENDED_HEADER).unwrap_or("").into();
                     conn.keep = head.keep_alive;
                 }
                 Ok(Some(Part::Data(_))) => {}
@@ -242,11 +242,11 @@
 impl Node for Clients {
     fn handle(&mut self, now: Moment, input: Input<'_>, out: &mut Outbox) {
         match input {
-            Input::Word(word) => self.told(now, word, out),
-            Input::Due { timer } if (timer as usize) < self.targets.len() => {
+            Input::Command(word) => self.told(now, word, out),
+            Input::TimerFired { timer } if (timer as usize) < self.targets.len() => {
                 self.arrive(now, timer as usize, out)
             }
-            Input::Due { timer } => {
+            Input::TimerFired { timer } => {
                 // Its time is up: the client goes away.
                 if let Some(open) = self.open.remove(&timer) {
                     out.cut(open.link);
--- a/crates/lab/src/cluster/duties.rs
+++ b/crates/lab/src/cluster/duties.rs
@@ -139,7 +139,7 @@
         let from = self.sent().len();
         let (handle, place, _) = self.threads.get(&one).ok_or("it does not run here")?;
         let (handle, place) = (handle.clone(), *place);
-        handle.tell(place, "hold");
+        handle.send_command(place, "hold");
         // Only once it holds something: cut off before that it could close no period, and never had anything to send
         // (on a busy machine six of twelve drills waited for that in vain).
         self.wait(&format!("{} held", name(one)))?;
@@ -148,7 +148,7 @@
             self.tell(format!("cut {one} {other}"));
         }
         self.until_taken(from, number)?;
-        handle.tell(place, "let");
+        handle.send_command(place, "let");
         let begin = Instant::now();
         // Under that number, or one given anew before it was held.
         while !self.sent()[from..].iter().any(|sent| sent.number >= number && sent.became == Became::Fenced) {
@@ -303,7 +303,7 @@
         // Confirmed, the confirmation lost, and the holder with it.
         let (one, number) = self.holder("books")?;
         let seen = self.sent().len();
-        self.relay.0.tell(self.receiver.ok_or("there is no receiver")?, "lose 1000000");
+        self.relay.0.send_command(self.receiver.ok_or("there is no receiver")?, "lose 1000000");
         let begin = Instant::now();
         while self.sent().len() <= seen {
             if begin.elapsed() > CEILING {
@@ -312,7 +312,7 @@
             std::thread::sleep(Duration::from_millis(2));
         }
         self.end(one, Signal::KILL);
-        self.relay.0.tell(self.receiver.ok_or("there is no receiver")?, "lose 0");
+        self.relay.0.send_command(self.receiver.ok_or("there is no receiver")?, "lose 0");
         self.until_taken(seen, number)?;
         self.start(one)?;
         self.wait_up(one)?;
--- a/crates/lab/src/cluster/held.rs
+++ b/crates/lab/src/cluster/held.rs
@@ -26,8 +26,8 @@
 impl Node for Held {
     fn handle(&mut self, now: Moment, input: Input<'_>, out: &mut Outbox) {
         match input {
-            Input::Word("hold") => self.hold = true,
-            Input::Word("let") => {
+            Input::Command("hold") => self.hold = true,
+            Input::Command("let") => {
                 if let Some((link, bytes)) = self.held.take() {
                     out.send(link, bytes);
                 }
--- a/crates/lab/src/cluster/links.rs
+++ b/crates/lab/src/cluster/links.rs
@@ -6,7 +6,7 @@
 use crate::bell::{Bell, Rung};
 use pewtergap_member::messages::{peer_message, PeerMessage, RaftPayload};
 use pewtergap_node::{Effect, Input, Link, Node, Outbox};
-use pewtergap_protocol::Frames;
+use pewtergap_protocol::FrameReader;
 use pewtergap_time::{Moment, Span};
 use std::any::Any;
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -32,7 +32,7 @@
 #[derive(Default)]
 struct Half {
     queue: VecDeque<(Moment, Vec<u8>)>,
-    frames: Frames<PeerMessage>,
+    frames: FrameReader<PeerMessage>,
     ended: bool,
 }
 
@@ -187,7 +187,7 @@
             }
             out.push(Effect::Resume { link: pair.ends[way] });
             match pair.halves[way].queue.front() {
-                Some(held) => out.wake(at, held.0),
+                Some(held) => out.set_timer(at, held.0),
                 None if pair.halves[way].ended => return self.end(at, out),
                 None => {}
             }
@@ -199,7 +199,7 @@
 fn read(pair: &mut Pair, way: usize, bytes: &[u8]) -> Vec<Seen> {
     let mut seen = Vec::new();
     pair.halves[way].frames.push(bytes);
-    while let Ok(Some(word)) = pair.halves[way].frames.take() {
+    while let Ok(Some(word)) = pair.halves[way].frames.next_message() {
         pair.words.fetch_add(1, Ordering::Relaxed);
         match word.kind {
             Some(peer_message::Kind::Hello(hello)) => {
@@ -235,16 +235,16 @@
             Input::Start => {
                 for door in 0..self.rows * self.count {
                     let at = SocketAddr::from(([127, 0, 0, 1], 0));
-                    out.push(Effect::Listen { door: door as u32, at });
+                    out.push(Effect::Listen { listener: door as u32, at });
                 }
             }
-            Input::Listening { door, at } => {
+            Input::Listening { listener: door, at } => {
                 let door = door as usize;
                 let name = format!("{} {} {}", self.what, door / self.count, door % self.count);
                 self.bell.listens(&name, at);
             }
             Input::NotListening { why, .. } => self.bell.ring(Rung::Failed(why)),
-            Input::Accepted { link, door, .. } => {
+            Input::Accepted { link, listener: door, .. } => {
                 let door = door as usize;
                 let Some(target) = self.targets[door % self.count] else { return out.cut(link) };
                 let far = out.connect(target, None);
@@ -299,8 +299,8 @@
                 // Behind a cut nobody hears of it.
                 self.pump(now, at, out);
             }
-            Input::Due { timer } => self.pump(now, timer, out),
-            Input::Word(word) => self.word(now, word, out),
+            Input::TimerFired { timer } => self.pump(now, timer, out),
+            Input::Command(word) => self.word(now, word, out),
             _ => {}
         }
     }
--- a/crates/lab/src/cluster/mod.rs
+++ b/crates/lab/src/cluster/mod.rs
@@ -16,7 +16,7 @@
 use judge::{judge, Breach, Done, Op};
 use links::{Links, Sightings};
 use operators::{operate, order, read};
-use pewtergap_reactor::{Clock, Handle, Place, Reactor};
+use pewtergap_reactor::{Clock, Handle, NodeId, Reactor};
 use receiver::{judge_books, Ledger};
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::{json, Value};
@@ -151,7 +151,7 @@
     day: &'a ClusterDay<'a>,
     shared: Arc<Shared>,
     clock: Clock,
-    relay: (Handle, Place),
+    relay: (Handle, NodeId),
     rungs: Receiver<Rung>,
     bell: Bell,
     listens: HashMap<String, SocketAddr>,
@@ -168,10 +168,10 @@
     passed: (links::Passed, Arc<AtomicU64>),
     said: shares::Sayings,
     shares_nothing: Option<usize>,
-    receiver: Option<Place>,
+    receiver: Option<NodeId>,
     ledger: Ledger,
     /// Members that run in this process, to be held where no signal can.
-    threads: BTreeMap<usize, (Handle, Place, JoinHandle<()>)>,
+    threads: BTreeMap<usize, (Handle, NodeId, JoinHandle<()>)>,
     /// Members that belong now.
     belong: usize,
 }
@@ -247,7 +247,7 @@
     fn drop(&mut self) {
         self.director.shared.over.store(true, Ordering::SeqCst);
         (0..self.director.running.len()).for_each(|at| self.director.end(at, Signal::KILL));
-        self.handle.end();
+        self.handle.shut_down();
         self.thread.take().map(JoinHandle::join);
     }
 }
@@ -440,7 +440,7 @@
     }
 
     fn tell(&self, word: String) {
-        self.relay.0.tell(self.relay.1, word);
+        self.relay.0.send_command(self.relay.1, word);
     }
 
     fn rest(&mut self, least: u64, most: u64) {
@@ -551,7 +551,7 @@
                     if *door == "admin" {
                         shared.admin.lock().into_iter().for_each(|mut known| known[at] = Some(heard));
                     } else {
-                        relay.0.tell(relay.1, format!("target {at} {heard}"));
+                        relay.0.send_command(relay.1, format!("target {at} {heard}"));
                     }
                     bell.listens(&format!("{me} {door}"), heard);
                 }
@@ -576,7 +576,7 @@
         let announce = move |door: &str, heard: SocketAddr| {
             match door {
                 "admin" => shared.admin.lock().into_iter().for_each(|mut known| known[at] = Some(heard)),
-                "members" => drop(relay.0.tell(relay.1, format!("target {at} {heard}"))),
+                "members" => drop(relay.0.send_command(relay.1, format!("target {at} {heard}"))),
                 _ => {}
             }
             bell.listens(&format!("{me} {door}"), heard);
@@ -636,7 +636,7 @@
 
     fn end(&mut self, at: usize, signal: Signal) {
         if let Some((handle, _, thread)) = self.threads.remove(&at) {
-            handle.end();
+            handle.shut_down();
             let _ = thread.join();
         }
         self.go_on(at);
--- a/crates/lab/src/cluster/receiver.rs
+++ b/crates/lab/src/cluster/receiver.rs
@@ -3,7 +3,7 @@
 
 use crate::bell::{Bell, Rung};
 use pewtergap_duty::Fence;
-use pewtergap_http::{answer, Bounds, First, Part, Reader, Side};
+use pewtergap_http::{response, Limits, Part, Reader, Side, StartLine};
 use pewtergap_node::{Effect, Input, Link, Node, Outbox};
 use pewtergap_time::Moment;
 use std::any::Any;
@@ -33,7 +33,7 @@
 
 pub type Ledger = Arc<Mutex<Vec<Sent>>>;
 
-const BOUNDS: Bounds = Bounds { head: 4 * 1024, body: 16 * 1024 * 1024 };
+const BOUNDS: Limits = Limits { head: 4 * 1024, body: 16 * 1024 * 1024 };
 
 struct Conn {
     reader: Reader,
@@ -82,7 +82,9 @@
 impl Node for Receiver {
     fn handle(&mut self, now: Moment, input: Input<'_>, out: &mut Outbox) {
         match input {
-            Input::Start => out.push(Effect::Listen { door: 0, at: SocketAddr::from(([127, 0, 0, 1], 0)) }),
+            Input::Start => {
+                out.push(Effect::Listen { listener: 0, at: SocketAddr::from(([127, 0, 0, 1], 0)) })
+            }
             Input::Listening { at, .. } => self.bell.listens("receiver", at),
             Input::NotListening { why, .. } => self.bell.ring(Rung::Failed(why)),
             Input::Accepted { link, .. } => {
@@ -94,10 +96,10 @@
                 let Some(conn) = self.conns.get_mut(&link) else { return };
                 conn.reader.push(bytes);
                 loop {
-                    match conn.reader.take() {
+                    match conn.reader.next_part() {
                         Ok(Some(Part::Head(head))) => {
                             conn.number = head.header("x-fence").and_then(|n| n.parse().ok()).unwrap_or(0);
-                            if let First::Request { target, .. } = head.first {
+                            if let StartLine::Request { target, .. } = head.first {
                                 conn.target = target;
                             }
                         }
@@ -113,11 +115,11 @@
                     self.lose -= 1;
                     return out.cut(link);
                 }
-                out.send(link, answer(status, &[("connection", "close")], Some(b"")));
+                out.send(link, response(status, &[("connection", "close")], Some(b"")));
                 out.finish(link);
             }
             Input::Closed { link, .. } => drop(self.conns.remove(&link)),
-            Input::Word(word) => {
+            Input::Command(word) => {
                 self.lose = word.strip_prefix("lose ").and_then(|n| n.parse().ok()).unwrap_or(0)
             }
             _ => {}
--- a/crates/lab/src/day.rs
+++ b/crates/lab/src/day.rs
@@ -3,8 +3,8 @@
 use crate::clients::Asked;
 use crate::server::Machine;
 use pewtergap_planner::{ChannelLimits, Contract, RetrySafety};
-use pewtergap_proxy::Shunning;
-use pewtergap_settings::{channel, routes, rules, run, Faults, RouteFile, Section, Share};
+use pewtergap_proxy::EjectionConfig;
+use pewtergap_settings::{channel, routes, rules, run, Faults, Fraction, RouteFile, Section};
 use pewtergap_time::Span;
 
 /// A place in the fleet: a machine, and another of its kind that follows when it is replaced.
@@ -156,7 +156,7 @@
     pub channel: ChannelLimits,
     pub report_every: Span,
     pub intake_per_s: f64,
-    pub shunning: Shunning,
+    pub shunning: EjectionConfig,
     pub troubles: Vec<Trouble>,
 }
 
@@ -166,28 +166,28 @@
     }
 
     fn take(part: &Section) -> Day {
-        let zones: Vec<String> = part.need("zones");
-        let lasts: Span = part.need("lasts");
-        let (contract, no_line) = part.within("rules", "rules", rules);
+        let zones: Vec<String> = part.required("zones");
+        let lasts: Span = part.required("lasts");
+        let (contract, no_line) = part.part_or_default("rules", "rules", rules);
         let mut slots: Vec<Slot> = Vec::new();
         let groups = part.parts("servers", "servers", |part| {
             let machine = Machine {
-                cores: part.or("cores", 2),
-                speed: part.or("speed", 1.0),
-                queue: part.or("queue", 40),
-                most_conns: part.or("connections", 200),
-                cold_from: part.or("cold_from", Share(0.3)).0,
-                cold_for: part.or("cold_for", Span::millis(4_000)),
+                cores: part.or_default("cores", 2),
+                speed: part.or_default("speed", 1.0),
+                queue: part.or_default("queue", 40),
+                most_conns: part.or_default("connections", 200),
+                cold_from: part.or_default("cold_from", Fraction(0.3)).0,
+                cold_for: part.or_default("cold_for", Span::millis(4_000)),
             };
             if machine.cold_from < contract.cold_capacity || machine.cold_for > contract.warmup {
-                part.clash("cold_from", "colder, or cold for longer, than the rules say");
+                part.conflict("cold_from", "colder, or cold for longer, than the rules say");
             }
-            let zone: String = part.need("zone");
+            let zone: String = part.required("zone");
             if !zones.contains(&zone) {
-                part.fault("zone", format!("\"{zone}\" is not among the zones"));
+                part.error("zone", format!("\"{zone}\" is not among the zones"));
             }
-            let weight: f64 = part.or("weight", machine.cores as f64 * machine.speed);
-            (part.need::<usize>("count"), zone, machine, weight, part.or("later", false))
+            let weight: f64 = part.or_default("weight", machine.cores as f64 * machine.speed);
+            (part.required::<usize>("count"), zone, machine, weight, part.or_default("later", false))
         });
         for (count, zone, machine, weight, later) in groups {
             for _ in 0..count {
@@ -196,91 +196,91 @@
             }
         }
         if slots.iter().all(|slot| slot.later) {
-            part.fault("servers", "at least one server that is there at the start was expected");
+            part.error("servers", "at least one server that is there at the start was expected");
         }
         let routes = routes(part);
         let asked = part.parts("calls", "calls", |part| {
-            let name: String = part.need("name");
+            let name: String = part.required("name");
             let route = routes.iter().find(|route| route.name == name);
             if route.is_none() {
-                part.fault("name", format!("\"{name}\" is not among the routes"));
+                part.error("name", format!("\"{name}\" is not among the routes"));
             }
             Asked {
-                share: part.or("share", 1.0),
-                work: part.or("work", Span::millis(40)),
-                cv: part.or("scatter", 0.5),
+                share: part.or_default("share", 1.0),
+                work: part.or_default("work", Span::millis(40)),
+                cv: part.or_default("scatter", 0.5),
                 time_limit: route.map_or(Span::millis(1), |route| route.planned.time_limit),
                 repeatable: route.is_some_and(|route| route.planned.retry_safety == RetrySafety::Repeatable),
                 route: name,
             }
         });
         if asked.is_empty() {
-            part.fault("calls", "at least one calls() was expected");
+            part.error("calls", "at least one calls() was expected");
         }
-        let planners: usize = part.or("planners", 2);
-        let agreed: bool = part.or("agreed", false);
-        let duties: bool = part.or("duties", false);
-        let sharing: bool = part.or("sharing", false);
+        let planners: usize = part.or_default("planners", 2);
+        let agreed: bool = part.or_default("agreed", false);
+        let duties: bool = part.or_default("duties", false);
+        let sharing: bool = part.or_default("sharing", false);
         if sharing && !duties {
-            part.clash("sharing", "only planners with duties have it: duties = True");
+            part.conflict("sharing", "only planners with duties have it: duties = True");
         }
         if duties && !agreed {
-            part.clash("duties", "only planners that agree have them: agreed = True");
+            part.conflict("duties", "only planners that agree have them: agreed = True");
         }
         if agreed && ![1, 3, 5, 7].contains(&planners) {
-            part.clash("planners", "1, 3, 5 or 7 of them agree");
+            part.conflict("planners", "1, 3, 5 or 7 of them agree");
         }
         let troubles = part.parts("troubles", "trouble", |part| {
             let trouble = Trouble {
-                kind: part.word("name", KINDS),
-                at: part.need("at"),
-                lasts: part.or("lasts", Span::millis(1_000)),
-                zone: part.maybe("zone"),
-                share: part.or("share", Share(0.2)).0,
-                factor: part.or("factor", 0.5),
-                delay: part.or("delay", Span::millis(50)),
-                linger: part.or("linger", Span::millis(500)),
+                kind: part.choice("name", KINDS),
+                at: part.required("at"),
+                lasts: part.or_default("lasts", Span::millis(1_000)),
+                zone: part.optional("zone"),
+                share: part.or_default("share", Fraction(0.2)).0,
+                factor: part.or_default("factor", 0.5),
+                delay: part.or_default("delay", Span::millis(50)),
+                linger: part.or_default("linger", Span::millis(500)),
             };
             if trouble.at + trouble.lasts > lasts {
-                part.clash("at", format!("ends {} into a day of {lasts}", trouble.at + trouble.lasts));
+                part.conflict("at", format!("ends {} into a day of {lasts}", trouble.at + trouble.lasts));
             }
             if let Some(zone) = trouble.zone.as_ref().filter(|zone| !zones.contains(zone)) {
-                part.fault("zone", format!("\"{zone}\" is not among the zones"));
+                part.error("zone", format!("\"{zone}\" is not among the zones"));
             }
             if !agreed
                 && matches!(trouble.kind, MemberCut | MemberDeaf | MajorityLost | LeaderKilled | DiskLost)
             {
-                part.clash("name", "only planners that agree have it: agreed = True");
+                part.conflict("name", "only planners that agree have it: agreed = True");
             }
             let zonal = matches!(trouble.kind, ZoneCut | ZoneLost);
             if zonal && trouble.zone.is_none() {
-                part.fault("zone", "is missing: which zone is struck?");
+                part.error("zone", "is missing: which zone is struck?");
             }
             trouble
         });
         Day {
-            name: part.need("name"),
+            name: part.required("name"),
             lasts,
             slots,
-            proxies: part.or("proxies", 8),
+            proxies: part.or_default("proxies", 8),
             planners,
             agreed,
             duties,
             sharing,
-            standing: part.or("standing", 4),
+            standing: part.or_default("standing", 4),
             routes,
             asked,
-            calls_per_s: part.or("calls_per_s", 200.0),
-            skew: part.or("skew", 2.0),
-            crossing_price: part.or("crossing_price", Share(0.03)).0,
+            calls_per_s: part.or_default("calls_per_s", 200.0),
+            skew: part.or_default("skew", 2.0),
+            crossing_price: part.or_default("crossing_price", Fraction(0.03)).0,
             contract,
             no_line,
-            channel: part.within("channel", "channel", channel),
-            report_every: part.or("report_every", Span::millis(500)),
-            intake_per_s: part.or("intake_per_s", 500.0),
-            shunning: part.within("shunning", "shunning", |part| Shunning {
-                after: part.or("after", 0u64) as u32,
-                rest: part.or("rest", Span::millis(2_000)),
+            channel: part.part_or_default("channel", "channel", channel),
+            report_every: part.or_default("report_every", Span::millis(500)),
+            intake_per_s: part.or_default("intake_per_s", 500.0),
+            shunning: part.part_or_default("shunning", "shunning", |part| EjectionConfig {
+                consecutive_failures: part.or_default("after", 0u64) as u32,
+                ejection_time: part.or_default("rest", Span::millis(2_000)),
             }),
             troubles,
             zones,
--- a/crates/lab/src/explore.rs
+++ b/crates/lab/src/explore.rs
@@ -93,7 +93,7 @@
     fn handle(&mut self, now: Moment, input: Input<'_>, out: &mut Outbox) {
         let mut member = hold(&self.member);
         match input {
-            Input::Word(word) => {
+            Input::Command(word) => {
                 let parts: Vec<u64> = word.split(' ').filter_map(|part| part.parse().ok()).collect();
                 match parts.as_slice() {
                     [token] => member.request(now, *token, Request::LinearizableRead, out),
@@ -115,10 +115,10 @@
             }
             Input::Stop => {
                 member.stop(now, out);
-                out.wake(GONE, now + Span::millis(400));
+                out.set_timer(GONE, now + Span::millis(400));
             }
             // As the planner beside it does: one that only stopped would lead and take nothing in.
-            Input::Due { timer: GONE } => out.push(Effect::Exit { code: 0 }),
+            Input::TimerFired { timer: GONE } => out.push(Effect::Exit { code: 0 }),
             input => member.handle(now, input, out),
         }
         for told in std::mem::take(&mut member.events) {
--- a/crates/lab/src/explore_watch/nodes.rs
+++ b/crates/lab/src/explore_watch/nodes.rs
@@ -144,14 +144,14 @@
         let mut own = hold(&self.0);
         own.touched = true;
         match input {
-            Input::Start => out.push(Effect::Listen { door: 0, at: own.at }),
+            Input::Start => out.push(Effect::Listen { listener: 0, at: own.at }),
             Input::Accepted { link, .. } => own.serving.accepted(now, link, out),
-            Input::Word(word) => own.word(now, word, out),
+            Input::Command(word) => own.word(now, word, out),
             Input::Stop => {
                 own.serving.stop(now, out);
-                out.wake(GONE, now + Span::millis(300));
+                out.set_timer(GONE, now + Span::millis(300));
             }
-            Input::Due { timer: GONE } => out.push(Effect::Exit { code: 0 }),
+            Input::TimerFired { timer: GONE } => out.push(Effect::Exit { code: 0 }),
             input => {
                 own.overflown += u64::from(overflown(&input));
                 own.serving.handle(now, input, out);
@@ -272,7 +272,7 @@
         let next = InForce { place: kept.index, scope: kept.scope.clone(), state: kept.entries.clone() };
         self.ticket += 1;
         let (name, bytes, ticket) = (KEPT.to_string(), watching.encode_state(), self.ticket);
-        out.push(Effect::Replace { name, bytes, ticket });
+        out.push(Effect::ReplaceFile { name, bytes, ticket });
         (self.writing, self.dirty) = (Some((self.ticket, next)), false);
     }
 
@@ -292,10 +292,10 @@
         let mut own = hold(&self.0);
         own.touched = true;
         match input {
-            Input::Start => out.push(Effect::Fetch { name: KEPT.into() }),
+            Input::Start => out.push(Effect::ReadFile { name: KEPT.into() }),
             Input::File { bytes, .. } => own.begins(now, bytes, out),
             Input::Synced { ticket, .. } => own.synced(now, ticket, out),
-            Input::Word(word) => {
+            Input::Command(word) => {
                 let scope = scope_of(word);
                 own.home.scope = scope.clone();
                 if let Some(watching) = &mut own.watching {
@@ -306,9 +306,9 @@
                 if let Some(watching) = &mut own.watching {
                     watching.leave(now, out);
                 }
-                out.wake(GONE, now + Span::millis(200));
+                out.set_timer(GONE, now + Span::millis(200));
             }
-            Input::Due { timer: GONE } => out.push(Effect::Exit { code: 0 }),
+            Input::TimerFired { timer: GONE } => out.push(Effect::Exit { code: 0 }),
             input => {
                 own.overflown += u64::from(overflown(&input));
                 let Some(watching) = &mut own.watching else { return };
--- a/crates/lab/src/list.rs
+++ b/crates/lab/src/list.rs
@@ -1,7 +1,7 @@
 //! A stand-in for the discovery API: list and watch of endpoint slices, and what goes wrong with them.
 
 use crate::bell::Bell;
-use pewtergap_http::{answer, chunk, Bounds, First, Part, Reader, Side};
+use pewtergap_http::{chunk, response, Limits, Part, Reader, Side, StartLine};
 use pewtergap_node::{Effect, Input, Link, Node, Outbox};
 use pewtergap_time::{Moment, Span};
 use serde_json::{json, Value};
@@ -166,7 +166,7 @@
             });
             out.send(
                 link,
-                answer(200, &[("content-type", "application/json")], Some(list.to_string().as_bytes())),
+                response(200, &[("content-type", "application/json")], Some(list.to_string().as_bytes())),
             );
             return;
         }
@@ -174,12 +174,12 @@
         // What was changed while nothing of the past is kept cannot be told.
         let oldest = self.past.first().map_or(self.version, |past| past.0);
         if from < oldest && !older {
-            out.send(link, answer(410, &[], Some(b"{\"code\":410}")));
+            out.send(link, response(410, &[], Some(b"{\"code\":410}")));
             return;
         }
         out.send(
             link,
-            answer(200, &[("content-type", "application/json"), ("transfer-encoding", "chunked")], None),
+            response(200, &[("content-type", "application/json"), ("transfer-encoding", "chunked")], None),
         );
         for (zone, slice) in self.slices.iter().filter(|s| s.1.version > from && !older) {
             out.send(link, chunk(&Self::event("MODIFIED", Self::object(zone, slice))));
@@ -192,9 +192,9 @@
         reader.push(bytes);
         let mut asked = Vec::new();
         loop {
-            match reader.take() {
+            match reader.next_part() {
                 Ok(Some(Part::Head(head))) => {
-                    if let First::Request { target, .. } = head.first {
+                    if let StartLine::Request { target, .. } = head.first {
                         asked.push(target);
                     }
                 }
@@ -211,27 +211,27 @@
     fn handle(&mut self, now: Moment, input: Input<'_>, out: &mut Outbox) {
         match input {
             Input::Start => {
-                out.push(Effect::Listen { door: 0, at: SocketAddr::from(([127, 0, 0, 1], 0)) });
-                out.wake(0, now + BOOKMARK);
+                out.push(Effect::Listen { listener: 0, at: SocketAddr::from(([127, 0, 0, 1], 0)) });
+                out.set_timer(0, now + BOOKMARK);
             }
             Input::Listening { at, .. } => self.bell.listens("list", at),
             Input::Accepted { link, .. } => {
-                self.conns.insert(link, Reader::new(Side::Requests, Bounds::default()));
+                self.conns.insert(link, Reader::new(Side::Requests, Limits::default()));
             }
             Input::Bytes { link, bytes } => self.bytes(now, link, bytes, out),
             Input::Closed { link, .. } => {
                 self.conns.remove(&link);
                 self.watches.retain(|watch| *watch != link);
             }
-            Input::Due { .. } => {
-                out.wake(0, now + BOOKMARK);
+            Input::TimerFired { .. } => {
+                out.set_timer(0, now + BOOKMARK);
                 let object = json!({"kind": "EndpointSlice", "metadata": {"resourceVersion": self.version.to_string()}});
                 let line = chunk(&Self::event("BOOKMARK", object));
                 if now >= self.older_until {
                     self.watches.iter().for_each(|link| out.send(*link, line.clone()));
                 }
             }
-            Input::Word(word) => self.told(now, word, out),
+            Input::Command(word) => self.told(now, word, out),
             _ => {}
         }
     }
--- a/crates/lab/src/measure.rs
+++ b/crates/lab/src/measure.rs
@@ -7,8 +7,8 @@
 use crate::process::Process;
 use hdrhistogram::Histogram;
 use pewtergap_node::{Effect, Input, Node, Outbox};
-use pewtergap_protocol::{up, Frames, Up};
-use pewtergap_proxy::{Front, Home, Proxy, Route, Shunning};
+use pewtergap_protocol::{proxy_message, FrameReader, ProxyMessage};
+use pewtergap_proxy::{EjectionConfig, FrontConfig, Proxy, ProxyConfig, Route};
 use pewtergap_reactor::{Clock, Reactor};
 use pewtergap_time::{Moment, Span};
 use serde::Serialize;
@@ -58,9 +58,10 @@
         self.inner.handle(now, input, out);
         for effect in &out.effects[before..] {
             let Effect::Send { bytes, .. } = effect else { continue };
-            let mut frames = Frames::<Up>::default();
+            let mut frames = FrameReader::<ProxyMessage>::default();
             frames.push(bytes);
-            if let Ok(Some(Up { kind: Some(up::Kind::Ack(_)) })) = frames.take() {
+            if let Ok(Some(ProxyMessage { kind: Some(proxy_message::Kind::Ack(_)) })) = frames.next_message()
+            {
                 self.bell.ring(Rung::Acked(self.name.clone(), now));
             }
         }
@@ -190,12 +191,13 @@
     })?;
     let list_at = listens["list"];
     let server = |nth: usize| format!("127.0.50.{}:9", nth + 1);
-    let put = |nth: usize| lists.tell(list, format!("put {} {} running 1 0", server(nth), ZONES[nth % 2]));
+    let put =
+        |nth: usize| lists.send_command(list, format!("put {} {} running 1 0", server(nth), ZONES[nth % 2]));
     for nth in 0..SERVERS {
         put(nth);
     }
 
-    let tell = |word: String| links.map(|links| lists.tell(links, word)).unwrap_or(true);
+    let tell = |word: String| links.map(|links| lists.send_command(links, word)).unwrap_or(true);
     let mut beside = Vec::new();
     let mut cluster = String::new();
     if links.is_some() {
@@ -221,17 +223,17 @@
     let fleet = reactor.handle();
     for nth in 0..proxies {
         let name = format!("p{nth}");
-        let home = Home {
+        let home = ProxyConfig {
             name: name.clone(),
             zone: ZONES[nth % 2].into(),
             planners: vec![planner_at],
             calls_per_s: 100.0,
         };
         let listen = SocketAddr::from(([127, 0, 0, 1], 0));
-        let front = Front { listen, from: None, most_calls: 10, keep_alive: Span::millis(1_000) };
+        let front = FrontConfig { listen, source_ip: None, max_calls: 10, keep_alive: Span::millis(1_000) };
         let route =
             Route { name: "search".into(), time_limit: Span::millis(2_000), mutating: false, resend: 0 };
-        let shunning = Shunning { after: 0, rest: Span(0) };
+        let shunning = EjectionConfig { consecutive_failures: 0, ejection_time: Span(0) };
         let inner = Proxy::new(home, front, vec![route], shunning, &[], nth as u64);
         reactor.add(Box::new(Tap { inner, name, bell: bell.clone() }));
     }
@@ -273,7 +275,7 @@
         let nth = round % SERVERS;
         let (before, _) = planner.used();
         let from = clock.now();
-        lists.tell(list, format!("state {} {} stopping", server(nth), ZONES[nth % 2]));
+        lists.send_command(list, format!("state {} {} stopping", server(nth), ZONES[nth % 2]));
         let took = all_acked("all proxies to follow a removal", from, Some(&mut each))?;
         cpu += planner.used().0 - before;
         let _ = lasts.record(took.0 / 1_000);
@@ -281,8 +283,8 @@
         put(nth);
         std::thread::sleep(REST);
     }
-    fleet.end();
-    lists.end();
+    fleet.shut_down();
+    lists.shut_down();
     drop((planner, beside));
     let _ = (fleet_thread.join(), list_thread.join());
     Ok(OrderToEffect {
--- a/crates/lab/src/rehearse.rs
+++ b/crates/lab/src/rehearse.rs
@@ -17,7 +17,7 @@
 use crate::server::Server;
 use crate::wrong::{Plant, Wrong};
 use pewtergap_planner::RetrySafety;
-use pewtergap_reactor::{duration, Clock, Handle, Place, Reactor};
+use pewtergap_reactor::{duration, Clock, Handle, NodeId, Reactor};
 use pewtergap_settings::{proxy_file, run, service_file};
 use pewtergap_time::{Moment, Span};
 use rustix::process::{kill_process, Pid, Signal};
@@ -75,7 +75,7 @@
                 let _ = child.wait();
             }
             Party::Thread(handle, thread) => {
-                handle.end();
+                handle.shut_down();
                 thread.take().map(JoinHandle::join);
             }
         }
@@ -128,14 +128,14 @@
     bell: Bell,
     rungs: Receiver<Rung>,
     lab: Handle,
-    relay: Place,
-    list: Place,
-    clients: Place,
+    relay: NodeId,
+    list: NodeId,
+    clients: NodeId,
     /// The relay of members' links, where planners agree, and their admin doors.
-    links: Option<Place>,
+    links: Option<NodeId>,
     doors: Doors,
     killed: Vec<usize>,
-    servers: HashMap<String, Place>,
+    servers: HashMap<String, NodeId>,
     clock: Clock,
     listens: HashMap<String, SocketAddr>,
     bound: BTreeSet<String>,
@@ -220,7 +220,7 @@
         failed: None,
     };
     let played = director.play();
-    director.lab.end();
+    director.lab.shut_down();
     let ended = thread.join().map_err(|_| "the lab's reactor failed".to_string())?.map_err(told)?;
     played?;
     if director.bell.lost() > 0 {
@@ -395,7 +395,7 @@
             format!(", messages = {}, messages_over = {}", channel.max_messages, span(channel.message_window))
         };
         let binds = if contract.removal_is_binding { "True" } else { "False" };
-        let shun = if day.shunning.after > 0 { "True" } else { "False" };
+        let shun = if day.shunning.consecutive_failures > 0 { "True" } else { "False" };
         format!(
             "service(\n    name = \"{}\", zones = [{}], seed = {},\n    listen = \"127.0.0.1:0\", source_address = \"{}\",\n    \
              list = list_watch(address = \"{}\"),\n    routes = [\n{}    ],\n    \
@@ -479,8 +479,8 @@
             doors.join(", "),
             routes_text(day),
             standing.join(", "),
-            day.shunning.after,
-            span(day.shunning.rest),
+            day.shunning.consecutive_failures,
+            span(day.shunning.ejection_time),
         )
     }
 
@@ -514,7 +514,7 @@
                             doors.lock().into_iter().for_each(|mut doors| doors[planner] = Some(at));
                         }
                         ("members", Some(planner), Some(links)) => {
-                            lab.tell(links, format!("target {planner} {at}"));
+                            lab.send_command(links, format!("target {planner} {at}"));
                         }
                         _ => {}
                     }
@@ -646,8 +646,8 @@
     }
 
     /// A word for a stand-in. If the lab has ended, the wait for what should follow says so.
-    fn say(&self, place: Place, word: impl Into<String>) {
-        self.lab.tell(place, word);
+    fn say(&self, place: NodeId, word: impl Into<String>) {
+        self.lab.send_command(place, word);
     }
 
     fn server(&self, name: &str, word: &str) {
--- a/crates/lab/src/relay.rs
+++ b/crates/lab/src/relay.rs
@@ -10,11 +10,11 @@
 use crate::record::{Kind, Row};
 use crate::words::{ATTEMPT, CALL, MEANT, RAN, WORK};
 use pewtergap_control::endpoints::{parse_slice, Slice, SliceList, WatchEvent};
-use pewtergap_http::{Bounds, First, Head, Part, Reader, Side};
+use pewtergap_http::{Head, Limits, Part, Reader, Side, StartLine};
 use pewtergap_node::{Effect, Ended, Input, Link, Node, Outbox};
 use pewtergap_planner::ListedState;
-use pewtergap_protocol::{down, up, Down, Frames, Up};
-use pewtergap_proxy::ENDED;
+use pewtergap_protocol::{planner_message, proxy_message, FrameReader, PlannerMessage, ProxyMessage};
+use pewtergap_proxy::ENDED_HEADER;
 use pewtergap_time::{Moment, Span};
 use std::any::Any;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
@@ -73,8 +73,8 @@
         call: Option<Box<Row>>,
     },
     Stream {
-        ups: Frames<Up>,
-        downs: Frames<Down>,
+        ups: FrameReader<ProxyMessage>,
+        downs: FrameReader<PlannerMessage>,
         proxy: String,
         joined: bool,
         told: bool,
@@ -169,7 +169,7 @@
 
     fn listen(&mut self, at: usize, out: &mut Outbox) {
         let listen = self.doors[at].at.unwrap_or(self.doors[at].door.listen);
-        out.push(Effect::Listen { door: at as u32, at: listen });
+        out.push(Effect::Listen { listener: at as u32, at: listen });
     }
 
     /// Servers share a port, as the list tells one for all of a zone: the first finds it, the others follow.
@@ -199,12 +199,12 @@
         let unknown = || Party { name: from.ip().to_string(), zone: String::new() };
         let party = self.parties.get(&from.ip()).cloned().unwrap_or_else(unknown);
         let up = out.connect(upstream, None);
-        let calls = || Reader::new(Side::Requests, Bounds { body: u64::MAX, ..Bounds::default() });
-        let answers = || Reader::new(Side::Answers, Bounds { body: u64::MAX, ..Bounds::default() });
+        let calls = || Reader::new(Side::Requests, Limits { body: u64::MAX, ..Limits::default() });
+        let answers = || Reader::new(Side::Responses, Limits { body: u64::MAX, ..Limits::default() });
         let reads = match self.doors[door].door.passes {
             Passes::Streams => Reads::Stream {
-                ups: Frames::default(),
-                downs: Frames::default(),
+                ups: FrameReader::default(),
+                downs: FrameReader::default(),
                 proxy: String::new(),
                 joined: false,
                 told: false,
@@ -317,7 +317,7 @@
         if pair.ends.iter().all(Option::is_none) {
             self.end(now, id);
         } else if let Some(at) = next {
-            out.wake(id, at);
+            out.set_timer(id, at);
         }
     }
 
@@ -398,13 +398,14 @@
         let reader = if way == Way::In { asks } else { answers };
         reader.push(bytes);
         let mut passes = true;
-        while let Some(part) = reader.take().ok()? {
+        while let Some(part) = reader.next_part().ok()? {
             match (way, part) {
                 (_, Part::Head(came)) => *head = Some(came),
                 (_, Part::Data(_)) => {}
                 (Way::In, Part::End) => {
                     let Some(head) = head.take() else { continue };
-                    let (First::Request { target, .. }, Some(id)) = (&head.first, head.header(CALL)) else {
+                    let (StartLine::Request { target, .. }, Some(id)) = (&head.first, head.header(CALL))
+                    else {
                         // No client's call: a planner asks how the server is.
                         if door.passes == Passes::Work {
                             self.row(Row::new(now.0, Kind::Probed, &party.name, &door.name));
@@ -428,7 +429,7 @@
                 (Way::Back, Part::End) => {
                     let (Some(head), Some(asked)) = (head.take(), call.take()) else { continue };
                     let kind = if door.passes == Passes::Work { Kind::Served } else { Kind::Answered };
-                    let mut text = head.header(ENDED).unwrap_or("").to_string();
+                    let mut text = head.header(ENDED_HEADER).unwrap_or("").to_string();
                     if kind == Kind::Served {
                         let lost = self
                             .lost
@@ -465,10 +466,10 @@
         let Reads::Stream { ups, downs, proxy, joined, bound, .. } = reads else { return Some(true) };
         if way == Way::In {
             ups.push(bytes);
-            while let Some(message) = ups.take().ok()? {
+            while let Some(message) = ups.next_message().ok()? {
                 match message.kind? {
-                    up::Kind::Hello(hello) => *proxy = hello.proxy,
-                    up::Kind::Ack(ack) => {
+                    proxy_message::Kind::Hello(hello) => *proxy = hello.proxy,
+                    proxy_message::Kind::Ack(ack) => {
                         if !std::mem::replace(bound, true) {
                             self.bell.ring(Rung::Bound(proxy.clone()));
                         }
@@ -476,7 +477,7 @@
                             Row { n: ack.nonce as i64, ..Row::new(now.0, Kind::Acked, proxy, &door.name) };
                         self.row(row);
                     }
-                    up::Kind::Nack(nack) => {
+                    proxy_message::Kind::Nack(nack) => {
                         let (n, text) = (nack.nonce as i64, nack.reason);
                         self.row(Row { n, text, ..Row::new(now.0, Kind::Nacked, proxy, &door.name) });
                     }
@@ -486,10 +487,10 @@
             return Some(true);
         }
         downs.push(bytes);
-        while let Some(message) = downs.take().ok()? {
+        while let Some(message) = downs.next_message().ok()? {
             match message.kind? {
-                down::Kind::Welcome(_) => *joined = true,
-                down::Kind::Update(update) => {
+                planner_message::Kind::Welcome(_) => *joined = true,
+                planner_message::Kind::Update(update) => {
                     let text = format!("turn {} nonce {}", update.turn, update.nonce);
                     let row = Row {
                         n: i64::from(update.lines),
@@ -518,7 +519,7 @@
             return Some(true);
         }
         answers.push(bytes);
-        while let Some(part) = answers.take().ok()? {
+        while let Some(part) = answers.next_part().ok()? {
             match part {
                 Part::Head(head) => {
                     body.clear();
@@ -592,7 +593,7 @@
             }
             ["refuse", name] => {
                 if let Some(door) = self.doors.iter().position(|opened| opened.door.name == *name) {
-                    out.push(Effect::Unlisten { door: door as u32 });
+                    out.push(Effect::Unlisten { listener: door as u32 });
                     self.reset(now, |pair| pair.door == door, out);
                 }
             }
@@ -675,20 +676,20 @@
                     }
                 }
             }
-            Input::Listening { door, at } => self.listening(door as usize, at, out),
+            Input::Listening { listener: door, at } => self.listening(door as usize, at, out),
             // A door that opens again may find its old connections still closing.
-            Input::NotListening { door, .. } if self.doors[door as usize].at.is_some() => {
-                out.wake(u64::MAX - u64::from(door), now + RETRY);
+            Input::NotListening { listener: door, .. } if self.doors[door as usize].at.is_some() => {
+                out.set_timer(u64::MAX - u64::from(door), now + RETRY);
             }
             Input::NotListening { why, .. } => self.bell.ring(Rung::Failed(why)),
-            Input::Accepted { link, door, from } => self.accepted(link, door as usize, from, out),
+            Input::Accepted { link, listener: door, from } => self.accepted(link, door as usize, from, out),
             Input::Bytes { link, bytes } => self.bytes(now, link, bytes, out),
             Input::Closed { link, why } => self.closed(now, link, why, out),
-            Input::Due { timer } if timer > u64::MAX - self.doors.len() as u64 - 1 => {
+            Input::TimerFired { timer } if timer > u64::MAX - self.doors.len() as u64 - 1 => {
                 self.listen((u64::MAX - timer) as usize, out);
             }
-            Input::Due { timer } => self.flush(now, timer, out),
-            Input::Word(word) => self.told(now, word, out),
+            Input::TimerFired { timer } => self.flush(now, timer, out),
+            Input::Command(word) => self.told(now, word, out),
             _ => {}
         }
     }
--- a/crates/lab/src/server.rs
+++ b/crates/lab/src/server.rs
@@ -5,10 +5,10 @@
 
 use crate::bell::Bell;
 use crate::words::{CALL, RAN, WORK};
-use pewtergap_http::{answer, Bounds, First, Head, Part, Reader, Side};
+use pewtergap_http::{response, Head, Limits, Part, Reader, Side, StartLine};
 use pewtergap_node::{Effect, Input, Link, Node, Outbox};
 use pewtergap_protocol::load_report::{LoadReport, HEADER};
-use pewtergap_proxy::NOT_RUN;
+use pewtergap_proxy::NOT_RUN_HEADER;
 use pewtergap_time::{Moment, Span};
 use std::any::Any;
 use std::collections::{BTreeMap, VecDeque};
@@ -97,14 +97,14 @@
         self.settle_busy(now);
         let util = (self.busy / self.machine.cores as f64).min(1.0);
         let in_hand = (self.running.len() + self.queue.len()) as f64;
-        LoadReport { util: Some(util), in_hand: Some(in_hand) }.write()
+        LoadReport { util: Some(util), in_flight: Some(in_hand) }.to_text()
     }
 
     fn asked(&mut self, now: Moment, link: Link, head: Head, out: &mut Outbox) {
-        let First::Request { target, .. } = &head.first else { return };
+        let StartLine::Request { target, .. } = &head.first else { return };
         if target == "/healthz" {
             let report = self.report(now);
-            out.send(link, answer(200, &[(HEADER, &report)], Some(b"ok\n")));
+            out.send(link, response(200, &[(HEADER, &report)], Some(b"ok\n")));
             return;
         }
         let work = head.header(WORK).and_then(|work| work.parse().ok()).unwrap_or(1_000);
@@ -112,7 +112,7 @@
             Job { link, work: Span::micros(work), runs: head.header(CALL).is_some(), keep: head.keep_alive };
         if self.queue.len() >= self.machine.queue {
             let report = self.report(now);
-            out.send(link, answer(503, &[(NOT_RUN, "1"), (HEADER, &report)], Some(b"full\n")));
+            out.send(link, response(503, &[(NOT_RUN_HEADER, "1"), (HEADER, &report)], Some(b"full\n")));
             return;
         }
         self.queue.push_back(job);
@@ -124,7 +124,7 @@
         while self.running.len() < self.machine.cores {
             let Some(job) = self.queue.pop_front() else { return };
             self.next += 1;
-            out.wake(self.next, now + job.work.times(1.0 / self.speed(now).max(1e-3)));
+            out.set_timer(self.next, now + job.work.times(1.0 / self.speed(now).max(1e-3)));
             self.running.insert(self.next, job);
         }
     }
@@ -135,7 +135,7 @@
         if self.conns.contains_key(&job.link) && self.mode == Mode::Up {
             let report = self.report(now);
             let ran = if job.runs { "1" } else { "0" };
-            out.send(job.link, answer(200, &[(RAN, ran), (HEADER, &report)], Some(b"done\n")));
+            out.send(job.link, response(200, &[(RAN, ran), (HEADER, &report)], Some(b"done\n")));
             if !job.keep {
                 out.finish(job.link);
             }
@@ -183,7 +183,7 @@
         reader.push(bytes);
         loop {
             let Some((reader, head)) = self.conns.get_mut(&link) else { return };
-            match reader.take() {
+            match reader.next_part() {
                 Ok(Some(Part::Head(came))) => *head = Some(came),
                 Ok(Some(Part::Data(_))) => {}
                 Ok(Some(Part::End)) => {
@@ -193,7 +193,7 @@
                 }
                 Ok(None) => return,
                 Err(wrong) => {
-                    out.send(link, answer(wrong.status, &[("connection", "close")], Some(b"")));
+                    out.send(link, response(wrong.status, &[("connection", "close")], Some(b"")));
                     out.finish(link);
                     self.conns.remove(&link);
                     return;
@@ -207,7 +207,7 @@
     fn handle(&mut self, now: Moment, input: Input<'_>, out: &mut Outbox) {
         match input {
             Input::Start => {
-                out.push(Effect::Listen { door: 0, at: self.at });
+                out.push(Effect::Listen { listener: 0, at: self.at });
                 // What stands at the start has been up for long.
                 self.started = now - Span::millis(3_600_000);
                 self.since = now;
@@ -218,7 +218,7 @@
                 if self.mode == Mode::Down || self.conns.len() >= self.most_conns {
                     out.cut(link);
                 } else {
-                    self.conns.insert(link, (Reader::new(Side::Requests, Bounds::default()), None));
+                    self.conns.insert(link, (Reader::new(Side::Requests, Limits::default()), None));
                 }
             }
             Input::Bytes { link, bytes } => self.bytes(now, link, bytes, out),
@@ -227,8 +227,8 @@
                 // What waits for a caller that has gone is not begun.
                 self.queue.retain(|job| job.link != link);
             }
-            Input::Due { timer } => self.done(now, timer, out),
-            Input::Word(word) => self.told(now, word, out),
+            Input::TimerFired { timer } => self.done(now, timer, out),
+            Input::Command(word) => self.told(now, word, out),
             _ => {}
         }
     }
--- a/crates/lab/src/slopes/catalog.rs
+++ b/crates/lab/src/slopes/catalog.rs
@@ -1,7 +1,7 @@
 //! A discovery API with many servers in slices of a told size, that counts what it says. The list of the rehearsal kit
 //! keeps its past and misleads; this one is only large.
 
-use pewtergap_http::{answer, chunk, Bounds, First, Part, Reader, Side};
+use pewtergap_http::{chunk, response, Limits, Part, Reader, Side, StartLine};
 use pewtergap_node::{Effect, Input, Link, Node, Outbox};
 use pewtergap_time::Moment;
 use serde_json::{json, Value};
@@ -74,7 +74,7 @@
     fn asked(&mut self, link: Link, target: &str, out: &mut Outbox) {
         let kind = [("content-type", "application/json"), ("transfer-encoding", "chunked")];
         if target.contains("watch=1") {
-            out.send(link, answer(200, &kind, None));
+            out.send(link, response(200, &kind, None));
             self.watches.push(link);
             self.seen.watches.fetch_add(1, SeqCst);
             return;
@@ -84,7 +84,7 @@
             "apiVersion": "discovery.k8s.io/v1", "kind": "EndpointSliceList",
             "metadata": {"resourceVersion": self.version.to_string()}, "items": items,
         });
-        let said = answer(200, &kind[..1], Some(list.to_string().as_bytes()));
+        let said = response(200, &kind[..1], Some(list.to_string().as_bytes()));
         self.seen.list_bytes.fetch_add(said.len() as u64, SeqCst);
         self.seen.lists.fetch_add(1, SeqCst);
         out.send(link, said);
@@ -112,20 +112,22 @@
 impl Node for Catalog {
     fn handle(&mut self, _: Moment, input: Input<'_>, out: &mut Outbox) {
         match input {
-            Input::Start => out.push(Effect::Listen { door: 0, at: SocketAddr::from(([127, 0, 0, 1], 0)) }),
+            Input::Start => {
+                out.push(Effect::Listen { listener: 0, at: SocketAddr::from(([127, 0, 0, 1], 0)) })
+            }
             Input::Listening { at, .. } => {
                 *self.seen.at.lock().unwrap_or_else(|poisoned| poisoned.into_inner()) = Some(at);
             }
             Input::Accepted { link, .. } => {
-                self.conns.insert(link, Reader::new(Side::Requests, Bounds::default()));
+                self.conns.insert(link, Reader::new(Side::Requests, Limits::default()));
             }
             Input::Bytes { link, bytes } => {
                 let Some(reader) = self.conns.get_mut(&link) else { return };
                 reader.push(bytes);
                 let mut asked = Vec::new();
-                while let Ok(Some(part)) = reader.take() {
+                while let Ok(Some(part)) = reader.next_part() {
                     if let Part::Head(head) = part {
-                        if let First::Request { target, .. } = head.first {
+                        if let StartLine::Request { target, .. } = head.first {
                             asked.push(target);
                         }
                     }
@@ -136,7 +138,7 @@
                 self.conns.remove(&link);
                 self.watches.retain(|watch| *watch != link);
             }
-            Input::Word(word) => {
+            Input::Command(word) => {
                 if let Some(nth) = word.strip_prefix("turn ").and_then(|nth| nth.parse().ok()) {
                     self.turn(nth, out);
                 }
--- a/crates/lab/src/slopes/mod.rs
+++ b/crates/lab/src/slopes/mod.rs
@@ -12,7 +12,7 @@
 
 use crate::process::{descriptors, Process};
 use pewtergap_node::Node;
-use pewtergap_reactor::{Clock, Handle, Place, Reactor};
+use pewtergap_reactor::{Clock, Handle, NodeId, Reactor};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -26,7 +26,7 @@
 /// Nodes of this process on a thread of their own, until dropped.
 struct Hall {
     handle: Handle,
-    places: Vec<Place>,
+    places: Vec<NodeId>,
     thread: Option<JoinHandle<()>>,
 }
 
@@ -41,13 +41,13 @@
 
     /// To the first of its nodes.
     fn tell(&self, word: String) -> bool {
-        self.handle.tell(self.places[0], word)
+        self.handle.send_command(self.places[0], word)
     }
 }
 
 impl Drop for Hall {
     fn drop(&mut self) {
-        self.handle.end();
+        self.handle.shut_down();
         self.thread.take().map(JoinHandle::join);
     }
 }
--- a/crates/lab/src/slopes/origin.rs
+++ b/crates/lab/src/slopes/origin.rs
@@ -1,7 +1,7 @@
 //! Servers that answer at once: what is measured before them is not their own work. One node listens at all their
 //! addresses, on one port.
 
-use pewtergap_http::{answer, Bounds, Part, Reader, Side};
+use pewtergap_http::{response, Limits, Part, Reader, Side};
 use pewtergap_node::{Effect, Input, Link, Node, Outbox};
 use pewtergap_time::Moment;
 use std::any::Any;
@@ -40,7 +40,7 @@
 
 impl Origin {
     pub fn new(heard: Arc<Heard>, servers: Vec<IpAddr>) -> Origin {
-        Origin { heard, servers, conns: BTreeMap::new(), said: answer(200, &[], Some(b"done\n")) }
+        Origin { heard, servers, conns: BTreeMap::new(), said: response(200, &[], Some(b"done\n")) }
     }
 }
 
@@ -49,16 +49,16 @@
         match input {
             Input::Start => {
                 if let Some(first) = self.servers.first() {
-                    out.push(Effect::Listen { door: 0, at: SocketAddr::new(*first, 0) });
+                    out.push(Effect::Listen { listener: 0, at: SocketAddr::new(*first, 0) });
                 }
             }
-            Input::Listening { door, at } => {
+            Input::Listening { listener: door, at } => {
                 self.heard.open.fetch_add(1, SeqCst);
                 if door == 0 {
                     // The others take the port that the first was given.
                     for (door, server) in self.servers.iter().enumerate().skip(1) {
                         let at = SocketAddr::new(*server, at.port());
-                        out.push(Effect::Listen { door: door as u32, at });
+                        out.push(Effect::Listen { listener: door as u32, at });
                     }
                     *self.heard.port.lock().unwrap_or_else(|poisoned| poisoned.into_inner()) =
                         Some(at.port());
@@ -68,14 +68,14 @@
                 *self.heard.failed.lock().unwrap_or_else(|poisoned| poisoned.into_inner()) = Some(why);
             }
             Input::Accepted { link, .. } => {
-                self.conns.insert(link, Reader::new(Side::Requests, Bounds::default()));
+                self.conns.insert(link, Reader::new(Side::Requests, Limits::default()));
             }
             Input::Bytes { link, bytes } => {
                 let Some(reader) = self.conns.get_mut(&link) else { return };
                 reader.push(bytes);
                 let mut asked = 0;
                 loop {
-                    match reader.take() {
+                    match reader.next_part() {
                         Ok(Some(Part::End)) => asked += 1,
                         Ok(Some(_)) => {}
                         Ok(None) => break,
--- a/crates/lab/src/slopes/path.rs
+++ b/crates/lab/src/slopes/path.rs
@@ -9,7 +9,7 @@
 use crate::ask::call;
 use crate::slopes::Party;
 use hdrhistogram::Histogram;
-use pewtergap_http::{Bounds, Part, Reader, Side};
+use pewtergap_http::{Limits, Part, Reader, Side};
 use serde::Serialize;
 use std::collections::VecDeque;
 use std::io::{ErrorKind, Read, Write};
@@ -83,7 +83,7 @@
     let stream = TcpStream::connect(to)?;
     stream.set_nodelay(true)?;
     stream.set_nonblocking(true)?;
-    Ok(Conn { stream, reader: Reader::new(Side::Answers, Bounds::default()), due: None, status: 0 })
+    Ok(Conn { stream, reader: Reader::new(Side::Responses, Limits::default()), due: None, status: 0 })
 }
 
 /// Requests go to the targets in turn.
@@ -133,7 +133,7 @@
             };
             conn.reader.push(&buffer[..count.unwrap_or(0)]);
             let mut whole = false;
-            while let Ok(Some(part)) = conn.reader.take() {
+            while let Ok(Some(part)) = conn.reader.next_part() {
                 match part {
                     Part::Head(head) => conn.status = head.status(),
                     Part::Data(_) => {}
--- a/crates/lab/src/slopes/planner.rs
+++ b/crates/lab/src/slopes/planner.rs
@@ -6,8 +6,8 @@
 use super::{until, Hall};
 use crate::slopes::Party;
 use pewtergap_node::{Effect, Input, Node, Outbox};
-use pewtergap_protocol::{up, Down, Frames, Up};
-use pewtergap_proxy::{Front, Home, Proxy, Route, Shunning};
+use pewtergap_protocol::{proxy_message, FrameReader, PlannerMessage, ProxyMessage};
+use pewtergap_proxy::{EjectionConfig, FrontConfig, Proxy, ProxyConfig, Route};
 use pewtergap_time::{Moment, Span};
 use serde::Serialize;
 use std::any::Any;
@@ -97,8 +97,8 @@
 struct Meter {
     inner: Proxy,
     passed: Arc<Passed>,
-    ups: Frames<Up>,
-    downs: Frames<Down>,
+    ups: FrameReader<ProxyMessage>,
+    downs: FrameReader<PlannerMessage>,
     bound: bool,
 }
 
@@ -107,7 +107,7 @@
         if let Input::Bytes { bytes, .. } = &input {
             self.passed.down_bytes.fetch_add(bytes.len() as u64, SeqCst);
             self.downs.push(bytes);
-            while let Ok(Some(_)) = self.downs.take() {
+            while let Ok(Some(_)) = self.downs.next_message() {
                 self.passed.down_messages.fetch_add(1, SeqCst);
             }
         }
@@ -117,9 +117,10 @@
             let Effect::Send { bytes, .. } = effect else { continue };
             self.passed.up_bytes.fetch_add(bytes.len() as u64, SeqCst);
             self.ups.push(bytes);
-            while let Ok(Some(message)) = self.ups.take() {
+            while let Ok(Some(message)) = self.ups.next_message() {
                 self.passed.up_messages.fetch_add(1, SeqCst);
-                if matches!(message.kind, Some(up::Kind::Ack(_))) && !std::mem::replace(&mut self.bound, true)
+                if matches!(message.kind, Some(proxy_message::Kind::Ack(_)))
+                    && !std::mem::replace(&mut self.bound, true)
                 {
                     self.passed.bound.fetch_add(1, SeqCst);
                 }
@@ -212,24 +213,31 @@
     for nth in 0..count {
         let passed = passed.clone();
         nodes.push(Box::new(move || {
-            let home = Home {
+            let home = ProxyConfig {
                 name: format!("p{nth}"),
                 zone: zones(zone_count)[nth % zone_count].clone(),
                 planners: vec![planner],
                 calls_per_s: 100.0,
             };
             let listen = SocketAddr::from(([127, 0, 0, 1], 0));
-            let front = Front { listen, from: None, most_calls: 10, keep_alive: Span::millis(1_000) };
+            let front =
+                FrontConfig { listen, source_ip: None, max_calls: 10, keep_alive: Span::millis(1_000) };
             let route = |at: usize| Route {
                 name: format!("r{at}"),
                 time_limit: Span::millis(2_000),
                 mutating: false,
                 resend: 0,
             };
-            let shunning = Shunning { after: 0, rest: Span(0) };
+            let shunning = EjectionConfig { consecutive_failures: 0, ejection_time: Span(0) };
             let routes = (0..route_count).map(route).collect();
             let inner = Proxy::new(home, front, routes, shunning, &[], nth as u64);
-            Box::new(Meter { inner, passed, ups: Frames::default(), downs: Frames::default(), bound: false })
+            Box::new(Meter {
+                inner,
+                passed,
+                ups: FrameReader::default(),
+                downs: FrameReader::default(),
+                bound: false,
+            })
         }));
     }
     let hall = Hall::open(dir, nodes)?;
--- a/crates/lab/src/wrong.rs
+++ b/crates/lab/src/wrong.rs
@@ -3,7 +3,7 @@
 
 use crate::bell::Bell;
 use pewtergap_node::{Effect, Input, Link, Node, Outbox};
-use pewtergap_protocol::{down, encode, Down, Frames, Update};
+use pewtergap_protocol::{encode, planner_message, FrameReader, PlannerMessage, Update};
 use pewtergap_time::{Moment, Span};
 use std::any::Any;
 use std::collections::{BTreeSet, HashMap, VecDeque};
@@ -45,7 +45,7 @@
     plant: Option<Plant>,
     name: String,
     bell: Bell,
-    frames: HashMap<Link, Frames<Down>>,
+    frames: HashMap<Link, FrameReader<PlannerMessage>>,
     /// Servers of the first tables; what comes later is new.
     first: BTreeSet<String>,
     later: Vec<String>,
@@ -102,16 +102,18 @@
     fn planner_sends(&mut self, now: Moment, link: Link, bytes: Vec<u8>, out: &mut Outbox) {
         let frames = self.frames.entry(link).or_default();
         frames.push(&bytes);
-        let Ok(Some(Down { kind: Some(down::Kind::Update(mut update)) })) = frames.take() else {
+        let Ok(Some(PlannerMessage { kind: Some(planner_message::Kind::Update(mut update)) })) =
+            frames.next_message()
+        else {
             return out.send(link, bytes);
         };
         self.spoil(now, &mut update);
-        let bytes = encode(&Down::of(down::Kind::Update(update)));
+        let bytes = encode(&PlannerMessage::new(planner_message::Kind::Update(update)));
         if self.plant == Some(Plant::LongQueue) {
             // The first seconds pass as they should, so that all are bound.
             let settled = self.settled.is_some_and(|settled| now > settled);
             if settled {
-                out.wake(TIMER, now + HELD);
+                out.set_timer(TIMER, now + HELD);
                 self.held.push_back((now + HELD, link, bytes));
                 return;
             }
@@ -133,8 +135,8 @@
 impl Node for Wrong {
     fn handle(&mut self, now: Moment, input: Input<'_>, out: &mut Outbox) {
         match &input {
-            Input::Listening { door: 0, at } => self.bell.listens(&self.name, *at),
-            Input::Due { timer: TIMER } => {
+            Input::Listening { listener: 0, at } => self.bell.listens(&self.name, *at),
+            Input::TimerFired { timer: TIMER } => {
                 while self.held.front().is_some_and(|held| held.0 <= now) {
                     if let Some((_, link, bytes)) = self.held.pop_front() {
                         out.send(link, bytes);
--- a/crates/member/src/accounting.rs
+++ b/crates/member/src/accounting.rs
@@ -11,7 +11,7 @@
 //! | sending | confirmed | resting | the record is told that it arrived |
 //! | sending | refused, no answer, link lost | resting | again after a pause |
 
-use pewtergap_http::{request, Bounds, First, Part, Reader, Side};
+use pewtergap_http::{request, Limits, Part, Reader, Side, StartLine};
 use pewtergap_node::{Link, Outbox};
 use pewtergap_record::{AccountingState as Kept, CallUsage, CommandKind, PeriodReport};
 use pewtergap_time::{Moment, Span};
@@ -21,7 +21,7 @@
 const ANSWER: Span = Span::millis(2_000);
 const AGAIN: Span = Span::millis(500);
 const CLOSES: Span = Span::millis(100);
-const BOUNDS: Bounds = Bounds { head: 4 * 1024, body: 64 * 1024 };
+const BOUNDS: Limits = Limits { head: 4 * 1024, body: 64 * 1024 };
 
 /// Where the books go, and how long a period is.
 #[derive(Clone, Copy, Debug)]
@@ -74,7 +74,7 @@
         }
         if kept.delivered_period < kept.closed_period {
             let link = out.connect(self.receiver.address, self.from);
-            let reader = Reader::new(Side::Answers, BOUNDS);
+            let reader = Reader::new(Side::Responses, BOUNDS);
             let until = now + ANSWER;
             self.sending =
                 Some(Sending { link, period: kept.closed_period, number, reader, status: 0, until });
@@ -121,9 +121,9 @@
         let sending = self.sending.as_mut()?;
         sending.reader.push(bytes);
         loop {
-            match sending.reader.take() {
+            match sending.reader.next_part() {
                 Ok(Some(Part::Head(head))) => {
-                    if let First::Answer { status } = head.first {
+                    if let StartLine::Response { status } = head.first {
                         sending.status = status;
                     }
                 }
--- a/crates/member/src/disk.rs
+++ b/crates/member/src/disk.rs
@@ -97,7 +97,7 @@
         let rows: Vec<Vec<u8>> = rows.into_iter().map(messages::record_to_bytes).collect();
         let bytes = self.pen.encode_new_file(&rows);
         let ticket = self.note(what);
-        out.push(Effect::Replace { name: self.name.clone(), bytes, ticket });
+        out.push(Effect::ReplaceFile { name: self.name.clone(), bytes, ticket });
     }
 
     /// What is on disk now; an error ends all belief in it.
--- a/crates/member/src/member.rs
+++ b/crates/member/src/member.rs
@@ -535,7 +535,7 @@
     }
 
     fn house(&mut self, now: Moment, out: &mut Outbox) {
-        out.wake(HOUSE, now + HOUSEKEEPING);
+        out.set_timer(HOUSE, now + HOUSEKEEPING);
         self.know(now, out);
         self.ask_anew(now, out);
         self.peers.dial(now, out);
@@ -716,7 +716,7 @@
         let due = agree.next_tick().max(now);
         if self.tick_set.is_none_or(|set| set > due || set <= now) {
             self.tick_set = Some(due);
-            out.wake(TICK, due);
+            out.set_timer(TICK, due);
         }
     }
 
@@ -825,7 +825,7 @@
             return;
         }
         match input {
-            Input::Start => out.push(Effect::Fetch { name: self.file_name() }),
+            Input::Start => out.push(Effect::ReadFile { name: self.file_name() }),
             Input::File { bytes, .. } => self.opened(now, bytes, out),
             Input::Synced { ticket, result } => self.synced(now, ticket, result, out),
             Input::Listening { at, .. } => {
@@ -845,13 +845,13 @@
                     self.events.push(MemberEvent::PeerLost(id));
                 }
             }
-            Input::Due { timer: TICK } => {
+            Input::TimerFired { timer: TICK } => {
                 if let Stage::Member(agree) = &mut self.stage {
                     agree.tick(now);
                 }
                 self.carry_out(now, out);
             }
-            Input::Due { timer: HOUSE } => self.house(now, out),
+            Input::TimerFired { timer: HOUSE } => self.house(now, out),
             _ => {}
         }
     }
--- a/crates/member/src/member/opening.rs
+++ b/crates/member/src/member/opening.rs
@@ -17,7 +17,7 @@
                 let aside = format!("{}.damaged-{:08x}", self.file_name(), self.rng.u32(..));
                 let fields = vec![("why", fault.to_string()), ("kept_as", aside.clone())];
                 out.log(Level::Error, "record_damaged", fields);
-                out.push(Effect::Keep { name: aside, bytes: bytes.to_vec() });
+                out.push(Effect::SaveFile { name: aside, bytes: bytes.to_vec() });
                 self.make(now, out);
             }
             Err(fault) => self.end(out, "record_refused", &fault.to_string()),
@@ -106,9 +106,9 @@
             return;
         }
         if let Some(at) = self.home.listen {
-            out.push(Effect::Listen { door: MEMBER_LISTENER, at });
+            out.push(Effect::Listen { listener: MEMBER_LISTENER, at });
         }
-        out.wake(HOUSE, now + HOUSEKEEPING);
+        out.set_timer(HOUSE, now + HOUSEKEEPING);
     }
 
     /// Started with settings, or as a build, from before the record was raised: it would read it wrongly.
--- a/crates/member/src/messages.rs
+++ b/crates/member/src/messages.rs
@@ -1,7 +1,7 @@
 //! What members say to each other and what a member writes on its disk, as protobuf, and the way to and from the
 //! machine's own types.
 
-use pewtergap_protocol::Checked;
+use pewtergap_protocol::Validate;
 use pewtergap_raft::{
     Body, Entry, Id, Index, Member, Members, Message as Told, Payload, Snapshot, Term, WalRecord,
 };
@@ -368,9 +368,9 @@
     Committed(Index),
 }
 
-impl Checked for PeerMessage {
-    const MOST: usize = MOST_WORD;
-    fn check(&self) -> Result<(), String> {
+impl Validate for PeerMessage {
+    const MAX_LEN: usize = MOST_WORD;
+    fn validate(&self) -> Result<(), String> {
         let named = |name: &str| match name.len() {
             0 => Err("name: is missing".to_string()),
             n if n > MOST_NAME => Err(format!("name: {n} bytes, {MOST_NAME} at most")),
--- a/crates/member/src/peers.rs
+++ b/crates/member/src/peers.rs
@@ -7,7 +7,7 @@
 use crate::member::{MAX_MEMBERS, MAX_OBSERVERS};
 use crate::messages::{peer_message, Hello, PeerMessage, Rejection};
 use pewtergap_node::{Link, Outbox};
-use pewtergap_protocol::{encode, Frames};
+use pewtergap_protocol::{encode, FrameReader};
 use pewtergap_raft::Id;
 use pewtergap_time::{Moment, Span};
 use std::collections::BTreeMap;
@@ -32,7 +32,7 @@
 
 struct Way {
     link: Option<Link>,
-    frames: Frames<PeerMessage>,
+    frames: FrameReader<PeerMessage>,
     /// The other end's welcome, once it came.
     welcome: Option<Hello>,
     /// When to dial, or until when the welcome has to come.
@@ -48,7 +48,7 @@
 }
 
 pub struct Came {
-    frames: Frames<PeerMessage>,
+    frames: FrameReader<PeerMessage>,
     pub hello: Option<Hello>,
     since: Moment,
 }
@@ -71,7 +71,7 @@
 
 impl Way {
     fn new(now: Moment) -> Way {
-        Way { link: None, frames: Frames::default(), welcome: None, until: now, failures: 0 }
+        Way { link: None, frames: FrameReader::default(), welcome: None, until: now, failures: 0 }
     }
 }
 
@@ -118,7 +118,7 @@
                     }
                     None => {
                         way.link = Some(out.connect(at, self.from));
-                        way.frames = Frames::default();
+                        way.frames = FrameReader::default();
                         way.until = now + WELCOMED;
                     }
                 }
@@ -144,7 +144,7 @@
         if self.came.len() >= MOST_INCOMING {
             return out.cut(link);
         }
-        self.came.insert(link, Came { frames: Frames::default(), hello: None, since: now });
+        self.came.insert(link, Came { frames: FrameReader::default(), hello: None, since: now });
     }
 
     /// A link ended; the id to which the way is now lost.
@@ -160,11 +160,11 @@
     }
 
     pub fn heard(&mut self, link: Link, bytes: &[u8]) -> Heard {
-        let take = |frames: &mut Frames<PeerMessage>| {
+        let take = |frames: &mut FrameReader<PeerMessage>| {
             frames.push(bytes);
             let mut words = Vec::new();
             loop {
-                match frames.take() {
+                match frames.next_message() {
                     Ok(Some(word)) => words.push(word),
                     Ok(None) => return Ok(words),
                     Err(wrong) => return Err(wrong.to_string()),
--- a/crates/member/src/planner_node.rs
+++ b/crates/member/src/planner_node.rs
@@ -465,47 +465,47 @@
 
 impl Node for PlannerNode {
     fn handle(&mut self, now: Moment, input: Input<'_>, out: &mut Outbox) {
-        let over = matches!(input, Input::Due { timer: GONE });
+        let over = matches!(input, Input::TimerFired { timer: GONE });
         self.lend(now, out);
         match input {
             Input::Start => {
                 self.member.handle(now, Input::Start, out);
                 self.take_number(now, out);
-                out.wake(NUMBERED, now + NUMBER);
+                out.set_timer(NUMBERED, now + NUMBER);
                 if self.has_duties {
-                    out.wake(BOOKKEEPING, now + LOOK);
+                    out.set_timer(BOOKKEEPING, now + LOOK);
                 }
                 if self.sharing.is_some() {
-                    out.wake(SHARING, now + LOOK);
+                    out.set_timer(SHARING, now + LOOK);
                 }
             }
-            Input::Due { timer: SHARING } => {
+            Input::TimerFired { timer: SHARING } => {
                 if self.started {
                     self.share(now, out);
                 }
-                out.wake(SHARING, now + LOOK);
+                out.set_timer(SHARING, now + LOOK);
             }
-            Input::Due { timer: BOOKKEEPING } => {
+            Input::TimerFired { timer: BOOKKEEPING } => {
                 self.keep_books(now, out);
                 self.release(now, out);
                 let late = self.slices.as_mut().map(|slices| slices.tick(now)).unwrap_or_default();
                 late.into_iter().for_each(|wants| self.do_probes(now, wants, out));
-                out.wake(BOOKKEEPING, now + LOOK);
+                out.set_timer(BOOKKEEPING, now + LOOK);
             }
-            Input::Due { timer: NUMBERED } => {
+            Input::TimerFired { timer: NUMBERED } => {
                 // The time of orders that end is looked at now and then.
                 self.number(now, None, out);
                 self.stand_by(now, None, out);
-                out.wake(NUMBERED, now + Span::millis(1_000));
+                out.set_timer(NUMBERED, now + Span::millis(1_000));
             }
-            Input::Due { timer: GONE } => out.push(Effect::Exit { code: 0 }),
+            Input::TimerFired { timer: GONE } => out.push(Effect::Exit { code: 0 }),
             Input::File { name, .. } if name == self.member.file_name() => {
                 self.member.handle(now, input, out)
             }
             Input::Synced { .. } => self.member.handle(now, input, out),
-            Input::Listening { door: MEMBER_LISTENER, .. }
-            | Input::NotListening { door: MEMBER_LISTENER, .. }
-            | Input::Accepted { door: MEMBER_LISTENER, .. } => self.member.handle(now, input, out),
+            Input::Listening { listener: MEMBER_LISTENER, .. }
+            | Input::NotListening { listener: MEMBER_LISTENER, .. }
+            | Input::Accepted { listener: MEMBER_LISTENER, .. } => self.member.handle(now, input, out),
             Input::Opened { link } | Input::Bytes { link, .. } | Input::Closed { link, .. }
                 if self.books.as_ref().is_some_and(|books| books.has(link)) =>
             {
@@ -516,11 +516,11 @@
             {
                 self.member.handle(now, input, out)
             }
-            Input::Due { timer } if timer >= FIRST_TIMER => self.member.handle(now, input, out),
+            Input::TimerFired { timer } if timer >= FIRST_TIMER => self.member.handle(now, input, out),
             Input::Stop if !self.stopping => {
                 self.stopping = true;
                 self.member.stop(now, out);
-                out.wake(GONE, now + HANDED);
+                out.set_timer(GONE, now + HANDED);
                 self.service.handle(now, Input::Stop, out);
             }
             input => self.service.handle(now, input, out),
--- a/crates/member/tests/hand.rs
+++ b/crates/member/tests/hand.rs
@@ -3,7 +3,7 @@
 use pewtergap_member::messages::{peer_message, Hello, MemberInfo, PeerMessage, Rejection};
 use pewtergap_member::{Member, MemberConfig};
 use pewtergap_node::{Effect, Input, Link, Outbox, NO_FILE};
-use pewtergap_protocol::{encode, Frames};
+use pewtergap_protocol::{encode, FrameReader};
 use pewtergap_raft::RaftConfig;
 use pewtergap_time::{Moment, Span};
 use std::net::SocketAddr;
@@ -72,8 +72,8 @@
         for effect in std::mem::take(&mut self.out.effects) {
             match effect {
                 Effect::Connect { link, .. } => self.dialled.push(link),
-                Effect::Wake { timer, at } => self.due.push((at, timer)),
-                Effect::Replace { bytes, ticket, .. } => {
+                Effect::SetTimer { timer, at } => self.due.push((at, timer)),
+                Effect::ReplaceFile { bytes, ticket, .. } => {
                     self.file = bytes;
                     self.synced(ticket);
                 }
@@ -88,9 +88,9 @@
                     self.seen.push(format!("{} {}", line.event, why.collect::<String>()).trim().to_string());
                 }
                 Effect::Send { bytes, .. } => {
-                    let mut frames: Frames<PeerMessage> = Frames::default();
+                    let mut frames: FrameReader<PeerMessage> = FrameReader::default();
                     frames.push(&bytes);
-                    let word = frames.take().ok().flatten().and_then(|word| word.kind);
+                    let word = frames.next_message().ok().flatten().and_then(|word| word.kind);
                     match word {
                         Some(peer_message::Kind::Reject(refuse)) => {
                             self.seen.push(format!("refused: {}", refuse.reason))
@@ -121,7 +121,7 @@
             }
             let (when, timer) = self.due.remove(at);
             self.now = self.now.max(when);
-            self.give(Input::Due { timer });
+            self.give(Input::TimerFired { timer });
         }
         self.now = end;
     }
@@ -131,7 +131,7 @@
         let link: Link = self.out.link();
         let from = SocketAddr::from(([127, 0, 0, 9], 9));
         self.seen.clear();
-        self.give(Input::Accepted { link, door: 16, from });
+        self.give(Input::Accepted { link, listener: 16, from });
         let bytes = encode(&PeerMessage::new(peer_message::Kind::Hello(hello)));
         self.give(Input::Bytes { link, bytes: &bytes });
         self.seen.join(", ")
@@ -267,7 +267,7 @@
         hand.disk = true;
         hand.slow = Some(Vec::new());
         hand.member.request(hand.now, id, Request::Command(command), &mut hand.out);
-        hand.give(Input::Due { timer: u64::MAX });
+        hand.give(Input::TimerFired { timer: u64::MAX });
         assert_eq!(hand.member.is_taking_from(7), id == 2, "while it is not on disk");
         let tickets = hand.slow.take().unwrap_or_default();
         tickets.into_iter().for_each(|ticket| hand.synced(ticket));
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -27,7 +27,7 @@
 
 /// A node among those of one house: nodes of several drivers, each on a thread of its own, that work together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Seat(pub u32);
+pub struct ReactorId(pub u32);
 
 /// How a link ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -51,18 +51,18 @@
     Start,
     /// A listener is open, at this address (the port is known from here on).
     Listening {
-        door: u32,
+        listener: u32,
         at: SocketAddr,
     },
     /// A listener could not be opened.
     NotListening {
-        door: u32,
+        listener: u32,
         why: String,
     },
     /// A peer came in at a door.
     Accepted {
         link: Link,
-        door: u32,
+        listener: u32,
         from: SocketAddr,
     },
     /// A connection the node asked for stands.
@@ -77,7 +77,7 @@
         link: Link,
         why: Ended,
     },
-    Due {
+    TimerFired {
         timer: u64,
     },
     /// What a file holds that the node asked for, or why it could not be read.
@@ -91,15 +91,15 @@
         result: Result<(), String>,
     },
     /// A link that was to be handed stays here: the other node's driver has no room, or has ended.
-    HandedBack {
+    TransferFailed {
         link: Link,
-        to: Seat,
+        to: ReactorId,
     },
     /// Another node of the house has left something in what both share. Knocks that come before the node
     /// has heard the first are one.
-    Knocked,
+    Notified,
     /// A word from whoever runs the node: the lab's director, a test.
-    Word(&'a str),
+    Command(&'a str),
     /// End in order.
     Stop,
     /// Read again what may have changed outside.
@@ -116,7 +116,7 @@
 
 /// A line for the log: an event's name and its fields.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Line {
+pub struct LogRecord {
     pub level: Level,
     pub event: &'static str,
     pub fields: Vec<(&'static str, String)>,
@@ -125,11 +125,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     Listen {
-        door: u32,
+        listener: u32,
         at: SocketAddr,
     },
     Unlisten {
-        door: u32,
+        listener: u32,
     },
     /// `from` binds the near end, so that a peer can tell by address who calls.
     Connect {
@@ -151,13 +151,13 @@
     },
     /// Give a link that came in, on which nothing was read or sent, to another node of the house: that one has it
     /// as `Accepted` at the same door, here it ends as `Handed`.
-    Hand {
+    Transfer {
         link: Link,
-        to: Seat,
-        door: u32,
+        to: ReactorId,
+        listener: u32,
     },
-    Knock {
-        seat: Seat,
+    Notify {
+        reactor: ReactorId,
     },
     /// Stop reading, so that the peer is held back, and read again.
     Pause {
@@ -166,16 +166,16 @@
     Resume {
         link: Link,
     },
-    Wake {
+    SetTimer {
         timer: u64,
         at: Moment,
     },
     /// Read a file; the answer comes as `File`.
-    Fetch {
+    ReadFile {
         name: String,
     },
     /// Keep a file: the whole of it or nothing, also through a crash.
-    Keep {
+    SaveFile {
         name: String,
         bytes: Vec<u8>,
     },
@@ -187,12 +187,12 @@
         ticket: u64,
     },
     /// Keep a file as by `Keep`, and say so by `Synced`.
-    Replace {
+    ReplaceFile {
         name: String,
         bytes: Vec<u8>,
         ticket: u64,
     },
-    Log(Line),
+    Log(LogRecord),
     Exit {
         code: i32,
     },
@@ -229,12 +229,12 @@
         self.effects.push(Effect::Cut { link });
     }
 
-    pub fn wake(&mut self, timer: u64, at: Moment) {
-        self.effects.push(Effect::Wake { timer, at });
+    pub fn set_timer(&mut self, timer: u64, at: Moment) {
+        self.effects.push(Effect::SetTimer { timer, at });
     }
 
     pub fn log(&mut self, level: Level, event: &'static str, fields: Vec<(&'static str, String)>) {
-        self.effects.push(Effect::Log(Line { level, event, fields }));
+        self.effects.push(Effect::Log(LogRecord { level, event, fields }));
     }
 
     pub fn push(&mut self, effect: Effect) {
--- a/crates/pewtergap/src/fronts.rs
+++ b/crates/pewtergap/src/fronts.rs
@@ -209,11 +209,11 @@
 fn check(file: &Path) -> Ended {
     let script = load(file)?;
     let what = match script.kind() {
-        "service" => service_file(&script).map(|file| format!("a planner, {}", file.charge.name)),
+        "service" => service_file(&script).map(|file| format!("a planner, {}", file.service.name)),
         "control_machine" => {
-            control_file(&script).map(|file| format!("a control machine, {}", file.home.member.name))
+            control_file(&script).map(|file| format!("a control machine, {}", file.config.member.name))
         }
-        "proxy" => proxy_file(&script).map(|file| format!("a proxy, {}", file.home.name)),
+        "proxy" => proxy_file(&script).map(|file| format!("a proxy, {}", file.proxy.name)),
         _ => {
             let text = std::fs::read_to_string(file).map_err(|e| (2, e.to_string()))?;
             pewtergap_lab::day::Day::read(&file.display().to_string(), &text)
--- a/crates/pewtergap/src/operator.rs
+++ b/crates/pewtergap/src/operator.rs
@@ -364,18 +364,18 @@
 
 fn alone(settings: &std::path::Path) -> Ended {
     let file = crate::fronts::planner_file(settings)?;
-    let path = file.dir.join(format!("{}.record", file.post.name));
+    let path = file.dir.join(format!("{}.record", file.member.name));
     let told = |e: std::io::Error| (3, format!("{}: {e}", path.display()));
     let before = std::fs::read(&path).map_err(told)?;
     let refused = |why: String| (3, format!("{}: {why}", path.display()));
     let (after, goes_on) = pewtergap_member::recover_single_member(&before).map_err(refused)?;
     let aside = path.with_extension("record.before-alone");
     std::fs::write(&aside, &before).map_err(told)?;
-    pewtergap_reactor::keep(&path, &after).map_err(told)?;
+    pewtergap_reactor::write_atomically(&path, &after).map_err(told)?;
     println!(
         "{} goes on alone from entry {} of term {}, with {} orders in force. It belonged with {}: what only they held \
          is lost, and they are refused until their disks are empty and they are added. The file as it was: {}",
-        file.post.name,
+        file.member.name,
         goes_on.index,
         goes_on.term,
         goes_on.orders,
--- a/crates/pewtergap/tests/tier.rs
+++ b/crates/pewtergap/tests/tier.rs
@@ -5,7 +5,7 @@
 
 use fleet::*;
 use pewtergap_member::messages as members;
-use pewtergap_protocol::{encode, Checked, Frames};
+use pewtergap_protocol::{encode, FrameReader, Validate};
 use pewtergap_watch::messages::{Hello, Kind, Reason, ScopeMessage, WatchMessage, Welcome};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -163,11 +163,11 @@
 }
 
 /// The next word that comes.
-fn hear<M: Checked>(stream: &mut TcpStream) -> M {
+fn hear<M: Validate>(stream: &mut TcpStream) -> M {
     stream.set_read_timeout(Some(CEILING)).expect("set");
-    let mut frames = Frames::<M>::default();
+    let mut frames = FrameReader::<M>::default();
     loop {
-        if let Some(word) = frames.take().expect("a word") {
+        if let Some(word) = frames.next_message().expect("a word") {
             return word;
         }
         let mut byte = [0];
--- a/crates/platform/src/boot.rs
+++ b/crates/platform/src/boot.rs
@@ -45,7 +45,7 @@
                 let why = format!("{}: {why}", self.file);
                 out.log(Level::Error, "configuration_refused", vec![("why", why)]);
                 if now < until {
-                    out.wake(AGAIN, now + READ.0);
+                    out.set_timer(AGAIN, now + READ.0);
                 } else {
                     out.push(Effect::Exit { code: 2 });
                 }
@@ -63,9 +63,9 @@
         match input {
             Input::Start => {
                 *until = now + READ.1;
-                out.push(Effect::Fetch { name: self.file.clone() });
+                out.push(Effect::ReadFile { name: self.file.clone() });
             }
-            Input::Due { timer: AGAIN } => out.push(Effect::Fetch { name: self.file.clone() }),
+            Input::TimerFired { timer: AGAIN } => out.push(Effect::ReadFile { name: self.file.clone() }),
             Input::File { bytes, .. } => {
                 let until = *until;
                 self.read(now, until, bytes, out);
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -4,7 +4,7 @@
 //! missed. A connection that ends as its last answer announced has missed nothing: the next one goes on from there.
 //! No wait is so long that a change could count as told while a silent connection is still waited on.
 
-use pewtergap_http::{request, Bounds, Part, Reader, Side};
+use pewtergap_http::{request, Limits, Part, Reader, Side};
 use pewtergap_node::{Link, Outbox};
 use pewtergap_time::{Moment, Span};
 use std::net::SocketAddr;
@@ -18,7 +18,7 @@
 const DIAL: Span = Span::millis(500);
 /// Between attempts: the first, and the longest.
 const BACK_OFF: (Span, Span) = (Span::millis(40), Span::millis(640));
-const BOUNDS: Bounds = Bounds { head: 16 * 1024, body: 4 * 1024 * 1024 };
+const BOUNDS: Limits = Limits { head: 16 * 1024, body: 4 * 1024 * 1024 };
 const PATH: &str = "/discovery/hosts";
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -54,7 +54,7 @@
             phase: Phase::Resting,
             until: Moment(0),
             link: None,
-            reader: Reader::new(Side::Answers, BOUNDS),
+            reader: Reader::new(Side::Responses, BOUNDS),
             body: Vec::new(),
             status: 0,
             failures: 0,
@@ -98,7 +98,7 @@
     fn dial(&mut self, now: Moment, out: &mut Outbox) {
         self.link = Some(out.connect(self.at, None));
         (self.phase, self.until) = (Phase::Dialling, now + DIAL);
-        self.reader = Reader::new(Side::Answers, BOUNDS);
+        self.reader = Reader::new(Side::Responses, BOUNDS);
         self.body = Vec::new();
         self.last = false;
     }
@@ -159,7 +159,7 @@
         self.reader.push(bytes);
         self.until = self.until.max((now + ANSWER).min(self.asked + LONGEST));
         loop {
-            match self.reader.take() {
+            match self.reader.next_part() {
                 Ok(None) => return Ok(None),
                 Ok(Some(_)) if !matches!(self.phase, Phase::Listing | Phase::Watching) => {
                     return Err("an answer that was not asked for");
--- a/crates/platform/src/node.rs
+++ b/crates/platform/src/node.rs
@@ -179,8 +179,8 @@
         if !known.is_empty() {
             self.tell_list(now, ListKind::Kept, &known, out);
         }
-        out.push(Effect::Listen { door: DOOR, at: self.listen });
-        out.wake(timer::SWEEP, now + SWEEP);
+        out.push(Effect::Listen { listener: DOOR, at: self.listen });
+        out.set_timer(timer::SWEEP, now + SWEEP);
         self.look(now, out);
         self.turn(now, out);
     }
@@ -209,20 +209,20 @@
     fn look(&mut self, now: Moment, out: &mut Outbox) {
         match self.discovery.due(now, out) {
             Some(why) => self.discovery_failed(now, why, out),
-            None => out.wake(timer::DISCOVERY, self.discovery.until()),
+            None => out.set_timer(timer::DISCOVERY, self.discovery.until()),
         }
     }
 
     fn discovery_failed(&mut self, now: Moment, why: &'static str, out: &mut Outbox) {
         self.discovery.fail(now, out);
         self.log(now, Level::Warn, "discovery_failed", vec![("why", why.into())], out);
-        out.wake(timer::DISCOVERY, self.discovery.until());
+        out.set_timer(timer::DISCOVERY, self.discovery.until());
         if self.discovery.failures() >= LOST
             && now.since(self.reread) >= READ_AGAIN.2
             && self.reload.is_none()
         {
             self.reread = now;
-            out.push(Effect::Fetch { name: self.file.clone() });
+            out.push(Effect::ReadFile { name: self.file.clone() });
         }
     }
 
@@ -273,7 +273,7 @@
         }
         self.discovery.went_well();
         self.discovery.watch(now, self.server_list.version(), out);
-        out.wake(timer::DISCOVERY, self.discovery.until());
+        out.set_timer(timer::DISCOVERY, self.discovery.until());
     }
 
     fn tell_list(&mut self, now: Moment, kind: ListKind, targets: &[Target], out: &mut Outbox) {
@@ -334,7 +334,7 @@
         self.events.push(event);
         if !self.turn_set {
             self.turn_set = true;
-            out.wake(timer::TURN, now + ROUND);
+            out.set_timer(timer::TURN, now + ROUND);
         }
     }
 
@@ -352,7 +352,7 @@
                 Action::Probe { server } => self.probes.enqueue(*server),
                 Action::Wake { at } => {
                     self.woken = Some(*at);
-                    out.wake(timer::WOKEN, *at);
+                    out.set_timer(timer::WOKEN, *at);
                 }
                 Action::Log { text } => {
                     self.log(now, Level::Info, "planner", vec![("text", text.clone())], out)
@@ -407,7 +407,7 @@
             let Some((at, _)) = self.endpoints.get(server).copied().flatten() else { continue };
             let link = out.connect(at, None);
             let until = self.probes.start(now, server, link);
-            out.wake(timer::PROBES, until);
+            out.set_timer(timer::PROBES, until);
         }
     }
 
@@ -443,7 +443,7 @@
     }
 
     fn sweep(&mut self, now: Moment, out: &mut Outbox) {
-        out.wake(timer::SWEEP, now + SWEEP);
+        out.set_timer(timer::SWEEP, now + SWEEP);
         let late: Vec<Link> = self
             .peers
             .loose()
@@ -499,7 +499,7 @@
                     let rest = if self.read_again > 0 { READ_AGAIN.1 } else { READ_AGAIN.2 };
                     self.read_again = self.read_again.saturating_sub(1);
                     self.reload = Some(now + rest);
-                    out.wake(timer::RELOAD, now + rest);
+                    out.set_timer(timer::RELOAD, now + rest);
                 }
             }
             Ok(config) => {
@@ -510,7 +510,7 @@
                 self.probes.set_max_open(most_probes(self.limits));
                 if config.discovery != self.discovery.at() {
                     self.discovery.move_to(now, config.discovery, out);
-                    out.wake(timer::DISCOVERY, self.discovery.until());
+                    out.set_timer(timer::DISCOVERY, self.discovery.until());
                 }
             }
         }
@@ -525,16 +525,18 @@
             Input::NotListening { why, .. } => {
                 out.log(Level::Error, "not_listening", vec![("why", why)]);
                 if now.since(self.started) < HELD_ADDRESS.1 {
-                    out.wake(timer::LISTEN, now + HELD_ADDRESS.0);
+                    out.set_timer(timer::LISTEN, now + HELD_ADDRESS.0);
                 } else {
                     out.push(Effect::Exit { code: 3 });
                 }
             }
-            Input::Due { timer: timer::LISTEN } => out.push(Effect::Listen { door: DOOR, at: self.listen }),
+            Input::TimerFired { timer: timer::LISTEN } => {
+                out.push(Effect::Listen { listener: DOOR, at: self.listen })
+            }
             Input::Accepted { link, .. } => self.accepted(now, link, out),
             Input::Opened { link } if self.discovery.has(link) => {
                 self.discovery.opened(now, out);
-                out.wake(timer::DISCOVERY, self.discovery.until());
+                out.set_timer(timer::DISCOVERY, self.discovery.until());
             }
             Input::Opened { link } if self.probes.owns_link(link) => {
                 let call = self.probes.request(&self.name);
@@ -556,33 +558,35 @@
                 None => self.no_room(now, out),
             },
             Input::Closed { link, why } => self.closed(now, link, why, out),
-            Input::Due { timer: timer::TURN } => self.turn(now, out),
-            Input::Due { timer: timer::WOKEN } if self.woken.is_some_and(|at| at <= now) => {
+            Input::TimerFired { timer: timer::TURN } => self.turn(now, out),
+            Input::TimerFired { timer: timer::WOKEN } if self.woken.is_some_and(|at| at <= now) => {
                 self.woken = None;
                 self.event(now, Event::Tick, out);
             }
-            Input::Due { timer: timer::SWEEP } => self.sweep(now, out),
-            Input::Due { timer: timer::DISCOVERY } if now >= self.discovery.until() => self.look(now, out),
-            Input::Due { timer: timer::PROBES } => self.late_probes(now, out),
+            Input::TimerFired { timer: timer::SWEEP } => self.sweep(now, out),
+            Input::TimerFired { timer: timer::DISCOVERY } if now >= self.discovery.until() => {
+                self.look(now, out)
+            }
+            Input::TimerFired { timer: timer::PROBES } => self.late_probes(now, out),
             Input::Reload => {
                 // A reading that waits for its second was meant for the file as it was.
                 (self.read_again, self.reload) = (READ_AGAIN.0, None);
-                out.push(Effect::Fetch { name: self.file.clone() });
+                out.push(Effect::ReadFile { name: self.file.clone() });
             }
-            Input::Due { timer: timer::RELOAD } if self.reload.is_some_and(|at| at <= now) => {
+            Input::TimerFired { timer: timer::RELOAD } if self.reload.is_some_and(|at| at <= now) => {
                 self.reload = None;
-                out.push(Effect::Fetch { name: self.file.clone() });
+                out.push(Effect::ReadFile { name: self.file.clone() });
             }
             Input::File { bytes, .. } => self.reload(now, bytes, out),
             Input::Stop => {
                 out.log(Level::Info, "stopped", vec![]);
                 out.push(Effect::Exit { code: 0 });
             }
-            Input::Due { .. }
+            Input::TimerFired { .. }
             | Input::Synced { .. }
-            | Input::HandedBack { .. }
-            | Input::Knocked
-            | Input::Word(_) => {}
+            | Input::TransferFailed { .. }
+            | Input::Notified
+            | Input::Command(_) => {}
         }
     }
 
--- a/crates/platform/tests/crossings.rs
+++ b/crates/platform/tests/crossings.rs
@@ -146,7 +146,8 @@
         hand.give(Input::File { name: "config.json", bytes: Ok(b"{") });
     }
     hand.done.clear();
-    let fetched = |hand: &Hand| hand.done.iter().filter(|done| matches!(done, Effect::Fetch { .. })).count();
+    let fetched =
+        |hand: &Hand| hand.done.iter().filter(|done| matches!(done, Effect::ReadFile { .. })).count();
     let mut before = 0;
     for _ in 0..100 {
         hand.pass(100);
@@ -165,7 +166,7 @@
     let fetched = |hand: &mut Hand, ms: u64| {
         hand.done.clear();
         hand.pass(ms);
-        hand.done.iter().any(|done| matches!(done, Effect::Fetch { .. }))
+        hand.done.iter().any(|done| matches!(done, Effect::ReadFile { .. }))
     };
     hand.give(Input::Reload);
     torn(&mut hand);
@@ -205,7 +206,7 @@
     let mut hand = Hand::new(&settings(10, 256));
     let begin = hand.now;
     while !hand.done.contains(&Effect::Exit { code: 3 }) {
-        hand.give(Input::NotListening { door: 0, why: "held".into() });
+        hand.give(Input::NotListening { listener: 0, why: "held".into() });
         hand.pass(100);
         assert!(hand.now.since(begin) < Span::millis(10_500));
     }
--- a/crates/platform/tests/hand/mod.rs
+++ b/crates/platform/tests/hand/mod.rs
@@ -65,7 +65,7 @@
         for effect in std::mem::take(&mut self.out.effects) {
             self.logged += usize::from(matches!(effect, Effect::Log(_)));
             match effect {
-                Effect::Wake { timer, at } => self.due.push((at, timer)),
+                Effect::SetTimer { timer, at } => self.due.push((at, timer)),
                 Effect::Connect { link, to, .. } => self.dialled.push((link, to)),
                 Effect::Log(line) if line.event == "probe" => {
                     let told: Vec<&str> = line.fields.iter().map(|field| field.1.as_str()).collect();
@@ -86,7 +86,7 @@
             }
             let (when, timer) = self.due.remove(at);
             self.now = self.now.max(when);
-            self.give(Input::Due { timer });
+            self.give(Input::TimerFired { timer });
         }
         self.now = end;
     }
@@ -94,7 +94,7 @@
     pub fn come(&mut self) -> Link {
         let link = self.out.link();
         let from = SocketAddr::from(([127, 0, 0, 9], 9));
-        self.give(Input::Accepted { link, door: 0, from });
+        self.give(Input::Accepted { link, listener: 0, from });
         link
     }
 
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -7,5 +7,5 @@
 pub mod load_report;
 mod messages;
 
-pub use frames::{encode, Checked, Frames, Wrong, HEAD};
+pub use frames::{encode, FrameReader, FramingError, Validate, HEADER_LEN};
 pub use messages::*;
--- a/crates/protocol/src/load_report.rs
+++ b/crates/protocol/src/load_report.rs
@@ -10,27 +10,27 @@
     /// Part of the capacity in use; `application_utilization` goes before `cpu_utilization`.
     pub util: Option<f64>,
     /// Calls in hand, under the named metric `in_hand`.
-    pub in_hand: Option<f64>,
+    pub in_flight: Option<f64>,
 }
 
 impl LoadReport {
-    pub fn read(text: &str) -> LoadReport {
+    pub fn parse(text: &str) -> LoadReport {
         // `application_utilization` goes before `cpu_utilization`, unless it says nothing.
-        let application = LoadReport::read_as(text, &["application_utilization"], &[IN_HAND]);
+        let application = LoadReport::parse_named(text, &["application_utilization"], &[IN_HAND]);
         match application.util.filter(|util| *util > 0.0) {
             Some(_) => application,
-            None => LoadReport::read_as(text, &["cpu_utilization"], &[IN_HAND]),
+            None => LoadReport::parse_named(text, &["cpu_utilization"], &[IN_HAND]),
         }
     }
 
     /// Reads a report of servers that have other names for the two, the first that is there.
-    pub fn read_as(text: &str, util: &[&str], in_hand: &[&str]) -> LoadReport {
+    pub fn parse_named(text: &str, util: &[&str], in_hand: &[&str]) -> LoadReport {
         let text = text.trim();
         let (form, rest) = text.split_once(char::is_whitespace).unwrap_or(("", text));
         let sane = |number: &f64| number.is_finite() && *number >= 0.0;
         let of = |value: &dyn Fn(&str) -> Option<f64>| {
             let first = |names: &[&str]| names.iter().find_map(|name| value(name).filter(sane));
-            LoadReport { util: first(util), in_hand: first(in_hand) }
+            LoadReport { util: first(util), in_flight: first(in_hand) }
         };
         match form {
             "JSON" => of(&json(rest)),
@@ -42,9 +42,9 @@
     }
 
     /// In the TEXT form.
-    pub fn write(&self) -> String {
+    pub fn to_text(&self) -> String {
         let util = self.util.map(|util| format!("application_utilization={util:.3}"));
-        let in_hand = self.in_hand.map(|calls| format!("named_metrics.in_hand={calls}"));
+        let in_hand = self.in_flight.map(|calls| format!("named_metrics.in_hand={calls}"));
         let pairs: Vec<String> = util.into_iter().chain(in_hand).collect();
         format!("TEXT {}", pairs.join(","))
     }
--- a/crates/protocol/src/messages.rs
+++ b/crates/protocol/src/messages.rs
@@ -1,25 +1,25 @@
 //! The messages, and what is allowed in each.
 
-use crate::frames::Checked;
+use crate::frames::Validate;
 use prost::{Message, Oneof};
 
 /// What this build speaks; a peer of another number is refused with the reason.
 pub const VERSION: u32 = 1;
-pub const MOST_NAME: usize = 256;
-pub const MOST_LINES: usize = 65_536;
-pub const MOST_TABLES: usize = 4_096;
-pub const MOST_ROUTES: usize = 64;
-pub const MOST_ROWS: usize = 65_536;
+pub const MAX_NAME_LEN: usize = 256;
+pub const MAX_LINES: usize = 65_536;
+pub const MAX_TABLES: usize = 4_096;
+pub const MAX_ROUTES: usize = 64;
+pub const MAX_ROWS: usize = 65_536;
 
 // ---- proxy to planner
 
 #[derive(Clone, PartialEq, Message)]
-pub struct Up {
-    #[prost(oneof = "up::Kind", tags = "1, 2, 3, 4, 5, 6")]
-    pub kind: Option<up::Kind>,
+pub struct ProxyMessage {
+    #[prost(oneof = "proxy_message::Kind", tags = "1, 2, 3, 4, 5, 6")]
+    pub kind: Option<proxy_message::Kind>,
 }
 
-pub mod up {
+pub mod proxy_message {
     #[derive(Clone, PartialEq, super::Oneof)]
     pub enum Kind {
         #[prost(message, tag = "1")]
@@ -29,11 +29,11 @@
         #[prost(message, tag = "3")]
         Nack(super::Nack),
         #[prost(message, tag = "4")]
-        Sums(super::Sums),
+        ServerStats(super::ServerStats),
         #[prost(message, tag = "5")]
         Arrivals(super::Arrivals),
         #[prost(message, tag = "6")]
-        Beat(super::Beat),
+        Heartbeat(super::Heartbeat),
     }
 }
 
@@ -51,14 +51,14 @@
     pub calls_per_s: f64,
     /// Tables it holds from a planner, by whom they were sent.
     #[prost(message, repeated, tag = "5")]
-    pub held: Vec<Held>,
+    pub held: Vec<HeldTable>,
     /// Routes it knows, in its order: masks of routes and `Arrivals` follow the planner's order, told in `Welcome`.
     #[prost(string, repeated, tag = "6")]
     pub routes: Vec<String>,
 }
 
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
-pub struct Held {
+pub struct HeldTable {
     #[prost(string, tag = "1")]
     pub planner: String,
     /// Which start of that planner.
@@ -95,15 +95,15 @@
 
 /// What the proxy met at servers since the last sums.
 #[derive(Clone, PartialEq, Message)]
-pub struct Sums {
+pub struct ServerStats {
     #[prost(uint64, tag = "1")]
-    pub over_us: u64,
+    pub period_us: u64,
     #[prost(message, repeated, tag = "2")]
-    pub rows: Vec<Sum>,
+    pub rows: Vec<ServerStatsRow>,
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct Sum {
+pub struct ServerStatsRow {
     #[prost(string, tag = "1")]
     pub server: String,
     #[prost(uint64, tag = "2")]
@@ -113,24 +113,24 @@
     pub dropped: u64,
     /// Mean time of the good ones.
     #[prost(uint64, tag = "4")]
-    pub mean_us: u64,
+    pub mean_latency_us: u64,
     /// The last load report among the answers.
     #[prost(double, optional, tag = "5")]
     pub util: Option<f64>,
     #[prost(double, optional, tag = "6")]
-    pub in_hand: Option<f64>,
+    pub in_flight: Option<f64>,
 }
 
 #[derive(Clone, PartialEq, Message)]
 pub struct Arrivals {
     #[prost(uint64, tag = "1")]
-    pub over_us: u64,
+    pub period_us: u64,
     #[prost(message, repeated, tag = "2")]
-    pub rows: Vec<Arrived>,
+    pub rows: Vec<RouteArrivals>,
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct Arrived {
+pub struct RouteArrivals {
     #[prost(uint32, tag = "1")]
     pub route: u32,
     #[prost(uint64, tag = "2")]
@@ -142,17 +142,17 @@
 
 /// Nothing to say, but alive.
 #[derive(Clone, PartialEq, Message)]
-pub struct Beat {}
+pub struct Heartbeat {}
 
 // ---- planner to proxy
 
 #[derive(Clone, PartialEq, Message)]
-pub struct Down {
-    #[prost(oneof = "down::Kind", tags = "1, 2, 3, 4")]
-    pub kind: Option<down::Kind>,
+pub struct PlannerMessage {
+    #[prost(oneof = "planner_message::Kind", tags = "1, 2, 3, 4")]
+    pub kind: Option<planner_message::Kind>,
 }
 
-pub mod down {
+pub mod planner_message {
     #[derive(Clone, PartialEq, super::Oneof)]
     pub enum Kind {
         #[prost(message, tag = "1")]
@@ -162,7 +162,7 @@
         #[prost(message, tag = "3")]
         Bye(super::Bye),
         #[prost(message, tag = "4")]
-        Beat(super::Beat),
+        Heartbeat(super::Heartbeat),
     }
 }
 
@@ -202,7 +202,7 @@
     #[prost(message, repeated, tag = "6")]
     pub tables: Vec<TableChange>,
     #[prost(message, repeated, tag = "7")]
-    pub binds: Vec<Bind>,
+    pub binds: Vec<Binding>,
 }
 
 /// A change from one version of a table to another, or the whole of it.
@@ -250,7 +250,7 @@
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct Bind {
+pub struct Binding {
     #[prost(uint32, tag = "1")]
     pub table: u32,
     /// 0 for all routes.
@@ -265,15 +265,15 @@
     pub reason: String,
 }
 
-impl Up {
-    pub fn of(kind: up::Kind) -> Up {
-        Up { kind: Some(kind) }
+impl ProxyMessage {
+    pub fn new(kind: proxy_message::Kind) -> ProxyMessage {
+        ProxyMessage { kind: Some(kind) }
     }
 }
 
-impl Down {
-    pub fn of(kind: down::Kind) -> Down {
-        Down { kind: Some(kind) }
+impl PlannerMessage {
+    pub fn new(kind: planner_message::Kind) -> PlannerMessage {
+        PlannerMessage { kind: Some(kind) }
     }
 }
 
@@ -290,8 +290,8 @@
 }
 
 fn name(what: &str, text: &str) -> Result<(), String> {
-    ensure(!text.is_empty() && text.len() <= MOST_NAME, || {
-        format!("{what}: {} bytes, 1 to {MOST_NAME} are allowed", text.len())
+    ensure(!text.is_empty() && text.len() <= MAX_NAME_LEN, || {
+        format!("{what}: {} bytes, 1 to {MAX_NAME_LEN} are allowed", text.len())
     })
 }
 
@@ -301,71 +301,71 @@
     })
 }
 
-impl Checked for Up {
-    const MOST: usize = 1024 * 1024;
+impl Validate for ProxyMessage {
+    const MAX_LEN: usize = 1024 * 1024;
 
-    fn check(&self) -> Result<(), String> {
+    fn validate(&self) -> Result<(), String> {
         match self.kind.as_ref().ok_or("empty message, or of a kind not known")? {
-            up::Kind::Hello(hello) => {
+            proxy_message::Kind::Hello(hello) => {
                 name("hello.proxy", &hello.proxy)?;
                 name("hello.zone", &hello.zone)?;
                 number("hello.calls_per_s", hello.calls_per_s)?;
-                few("hello.held", hello.held.len(), MOST_TABLES)?;
-                few("hello.routes", hello.routes.len(), MOST_ROUTES)?;
+                few("hello.held", hello.held.len(), MAX_TABLES)?;
+                few("hello.routes", hello.routes.len(), MAX_ROUTES)?;
                 hello.routes.iter().try_for_each(|route| name("hello.routes", route))?;
                 hello.held.iter().try_for_each(|held| name("hello.held.planner", &held.planner))
             }
-            up::Kind::Ack(ack) => ensure(ack.nonce > 0, || "ack.nonce: 0 was never sent".into()),
-            up::Kind::Nack(nack) => {
-                ensure(nack.reason.len() <= 4 * MOST_NAME, || "nack.reason: too long".into())
+            proxy_message::Kind::Ack(ack) => ensure(ack.nonce > 0, || "ack.nonce: 0 was never sent".into()),
+            proxy_message::Kind::Nack(nack) => {
+                ensure(nack.reason.len() <= 4 * MAX_NAME_LEN, || "nack.reason: too long".into())
             }
-            up::Kind::Sums(sums) => {
-                few("sums.rows", sums.rows.len(), MOST_ROWS)?;
+            proxy_message::Kind::ServerStats(sums) => {
+                few("sums.rows", sums.rows.len(), MAX_ROWS)?;
                 for row in &sums.rows {
                     name("sums.rows.server", &row.server)?;
                     ensure(row.dropped <= row.tries, || "sums.rows: more dropped than tried".into())?;
                     number("sums.rows.util", row.util.unwrap_or(0.0))?;
-                    number("sums.rows.in_hand", row.in_hand.unwrap_or(0.0))?;
+                    number("sums.rows.in_hand", row.in_flight.unwrap_or(0.0))?;
                 }
                 Ok(())
             }
-            up::Kind::Arrivals(arrivals) => few("arrivals.rows", arrivals.rows.len(), MOST_ROUTES),
-            up::Kind::Beat(_) => Ok(()),
+            proxy_message::Kind::Arrivals(arrivals) => few("arrivals.rows", arrivals.rows.len(), MAX_ROUTES),
+            proxy_message::Kind::Heartbeat(_) => Ok(()),
         }
     }
 }
 
-impl Checked for Down {
-    const MOST: usize = 4 * 1024 * 1024;
+impl Validate for PlannerMessage {
+    const MAX_LEN: usize = 4 * 1024 * 1024;
 
-    fn check(&self) -> Result<(), String> {
+    fn validate(&self) -> Result<(), String> {
         match self.kind.as_ref().ok_or("empty message, or of a kind not known")? {
-            down::Kind::Welcome(welcome) => {
+            planner_message::Kind::Welcome(welcome) => {
                 name("welcome.planner", &welcome.planner)?;
-                few("welcome.routes", welcome.routes.len(), MOST_ROUTES)?;
+                few("welcome.routes", welcome.routes.len(), MAX_ROUTES)?;
                 ensure(welcome.report_every_us > 0, || "welcome.report_every_us: 0".into())?;
                 welcome.routes.iter().try_for_each(|route| name("welcome.routes", route))
             }
-            down::Kind::Update(update) => {
+            planner_message::Kind::Update(update) => {
                 ensure(update.nonce > 0, || "update.nonce: 0".into())?;
-                few("update.tables", update.tables.len(), MOST_TABLES)?;
-                few("update.binds", update.binds.len(), MOST_TABLES)?;
-                update.tables.iter().try_for_each(TableChange::check)
+                few("update.tables", update.tables.len(), MAX_TABLES)?;
+                few("update.binds", update.binds.len(), MAX_TABLES)?;
+                update.tables.iter().try_for_each(TableChange::validate)
             }
-            down::Kind::Bye(bye) => {
-                ensure(bye.reason.len() <= 4 * MOST_NAME, || "bye.reason: too long".into())
+            planner_message::Kind::Bye(bye) => {
+                ensure(bye.reason.len() <= 4 * MAX_NAME_LEN, || "bye.reason: too long".into())
             }
-            down::Kind::Beat(_) => Ok(()),
+            planner_message::Kind::Heartbeat(_) => Ok(()),
         }
     }
 }
 
 impl TableChange {
-    fn check(&self) -> Result<(), String> {
+    fn validate(&self) -> Result<(), String> {
         let place = |what: &str| format!("table {} {what}", self.table);
-        few(&place("set"), self.set.len(), MOST_LINES)?;
-        few(&place("removed"), self.removed.len(), MOST_LINES)?;
-        few(&place("gates"), self.gates.len(), 2 * MOST_ROUTES)?;
+        few(&place("set"), self.set.len(), MAX_LINES)?;
+        few(&place("removed"), self.removed.len(), MAX_LINES)?;
+        few(&place("gates"), self.gates.len(), 2 * MAX_ROUTES)?;
         ensure(self.to > self.from, || {
             format!("table {}: version {} after {}, a later one was expected", self.table, self.to, self.from)
         })?;
--- a/crates/protocol/tests/frames.rs
+++ b/crates/protocol/tests/frames.rs
@@ -7,7 +7,7 @@
     bytes.iter().map(|b| format!("{b:02x}")).collect()
 }
 
-fn update() -> Down {
+fn update() -> PlannerMessage {
     let change = TableChange {
         table: 3,
         from: 6,
@@ -17,18 +17,18 @@
         gates: vec![Gate { routes: 1, level: 0.6, resend: 0 }],
         ..TableChange::default()
     };
-    let binds = vec![Bind { table: 3, routes: 0 }];
+    let binds = vec![Binding { table: 3, routes: 0 }];
     let update = Update { nonce: 9, turn: 12, ordered_at: 5, lines: 4, mark: 2, tables: vec![change], binds };
-    Down::of(down::Kind::Update(update))
+    PlannerMessage::new(planner_message::Kind::Update(update))
 }
 
-fn hello() -> Up {
-    Up::of(up::Kind::Hello(Hello {
+fn hello() -> ProxyMessage {
+    ProxyMessage::new(proxy_message::Kind::Hello(Hello {
         protocol: VERSION,
         proxy: "p1".into(),
         zone: "north".into(),
         calls_per_s: 2.5,
-        held: vec![Held { planner: "a".into(), epoch: 7, table: 3, version: 6 }],
+        held: vec![HeldTable { planner: "a".into(), epoch: 7, table: 3, version: 6 }],
         routes: vec!["search".into()],
     }))
 }
@@ -39,8 +39,8 @@
     for (what, bytes) in [
         ("hello", encode(&hello())),
         ("update", encode(&update())),
-        ("ack", encode(&Up::of(up::Kind::Ack(Ack { nonce: 9, mark: 2 })))),
-        ("bye", encode(&Down::of(down::Kind::Bye(Bye { reason: "done".into() })))),
+        ("ack", encode(&ProxyMessage::new(proxy_message::Kind::Ack(Ack { nonce: 9, mark: 2 })))),
+        ("bye", encode(&PlannerMessage::new(planner_message::Kind::Bye(Bye { reason: "done".into() })))),
     ] {
         trace += &format!("{what} {}\n", hex(&bytes));
     }
@@ -51,16 +51,16 @@
 fn frames_come_whole_however_the_bytes_are_cut() {
     let bytes: Vec<u8> = [encode(&update()), encode(&update()), encode(&update())].concat();
     for cut in 1..bytes.len() {
-        let mut frames = Frames::<Down>::default();
+        let mut frames = FrameReader::<PlannerMessage>::default();
         let mut count = 0;
         for part in bytes.chunks(cut) {
             frames.push(part);
-            while let Some(message) = frames.take().unwrap() {
+            while let Some(message) = frames.next_message().unwrap() {
                 assert_eq!(message, update());
                 count += 1;
             }
         }
-        assert_eq!((count, frames.held()), (3, 0), "cut at {cut}");
+        assert_eq!((count, frames.buffered()), (3, 0), "cut at {cut}");
     }
 }
 
@@ -68,12 +68,12 @@
 fn refusals_say_where_and_what() {
     let mut trace = String::new();
     let mut say = |bytes: &[u8]| {
-        let mut frames = Frames::<Down>::default();
+        let mut frames = FrameReader::<PlannerMessage>::default();
         frames.push(&encode(&update()));
         frames.push(bytes);
-        let mut outcome = frames.take();
+        let mut outcome = frames.next_message();
         while let Ok(Some(_)) = outcome {
-            outcome = frames.take();
+            outcome = frames.next_message();
         }
         trace += &format!("{}\n", outcome.map_or_else(|wrong| wrong.to_string(), |_| "waits".into()));
     };
@@ -83,7 +83,7 @@
     say(&[0, 0, 1]);
     let mut wrong = |edit: fn(&mut Update)| {
         let mut message = update();
-        if let Some(down::Kind::Update(update)) = &mut message.kind {
+        if let Some(planner_message::Kind::Update(update)) = &mut message.kind {
             edit(update);
         }
         say(&encode(&message));
@@ -94,7 +94,7 @@
     wrong(|update| update.tables[0].set[0].server = "x".repeat(300));
     wrong(|update| update.tables[0].gates[0].level = -1.0);
     wrong(|update| update.tables[0].whole = true);
-    wrong(|update| update.binds = vec![Bind::default(); MOST_TABLES + 1]);
+    wrong(|update| update.binds = vec![Binding::default(); MAX_TABLES + 1]);
     insta::assert_snapshot!(trace);
 }
 
@@ -112,11 +112,11 @@
                 _ => bytes.insert(at, rng.u8(..)),
             }
         }
-        let mut frames = Frames::<Down>::default();
+        let mut frames = FrameReader::<PlannerMessage>::default();
         for part in bytes.chunks(rng.usize(1..40)) {
             frames.push(part);
-            assert!(frames.held() <= bytes.len());
-            match frames.take() {
+            assert!(frames.buffered() <= bytes.len());
+            match frames.next_message() {
                 Ok(Some(_)) => taken += 1,
                 Ok(None) => {}
                 Err(_) => {
@@ -142,9 +142,9 @@
         "BIN CgQIARAB",
         "",
     ] {
-        trace += &format!("{text:?} -> {:?}\n", LoadReport::read(text));
+        trace += &format!("{text:?} -> {:?}\n", LoadReport::parse(text));
     }
-    let report = LoadReport { util: Some(0.5), in_hand: Some(3.0) };
-    assert_eq!(LoadReport::read(&report.write()), report);
+    let report = LoadReport { util: Some(0.5), in_flight: Some(3.0) };
+    assert_eq!(LoadReport::parse(&report.to_text()), report);
     insta::assert_snapshot!(trace);
 }
--- a/crates/proxy/src/board.rs
+++ b/crates/proxy/src/board.rs
@@ -6,13 +6,13 @@
 
 use crate::tables::Tables;
 use crate::worker::Arrival;
-use pewtergap_protocol::Sum;
+use pewtergap_protocol::ServerStatsRow;
 use pewtergap_time::{Moment, Span};
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
 
-pub struct Board {
+pub struct SharedState {
     version: AtomicU64,
     tables: Mutex<Arc<Tables>>,
     desks: Vec<Desk>,
@@ -34,13 +34,13 @@
 
 #[derive(Default)]
 struct Counted {
-    sums: BTreeMap<String, Sum>,
+    sums: BTreeMap<String, ServerStatsRow>,
     arrivals: Vec<Arrival>,
 }
 
 /// A worker as the front sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Seen {
+pub struct WorkerStatus {
     pub beat: Moment,
     pub taken: u64,
     pub clients: u64,
@@ -52,10 +52,10 @@
     shared.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
-impl Board {
-    pub fn new(workers: usize, tables: Arc<Tables>) -> Board {
+impl SharedState {
+    pub fn new(workers: usize, tables: Arc<Tables>) -> SharedState {
         let desks = (0..workers).map(|_| Desk::default()).collect();
-        Board { version: AtomicU64::new(0), tables: Mutex::new(tables), desks, stopping: false.into() }
+        SharedState { version: AtomicU64::new(0), tables: Mutex::new(tables), desks, stopping: false.into() }
     }
 
     pub fn workers(&self) -> usize {
@@ -75,9 +75,9 @@
         self.desks.iter().map(|desk| desk.follows.load(Ordering::Acquire)).min().unwrap_or(0)
     }
 
-    pub fn seen(&self, worker: usize) -> Seen {
+    pub fn seen(&self, worker: usize) -> WorkerStatus {
         let desk = &self.desks[worker];
-        Seen {
+        WorkerStatus {
             beat: Moment(desk.beat.load(Ordering::Acquire)),
             taken: desk.taken.load(Ordering::Acquire),
             clients: desk.clients.load(Ordering::Acquire),
@@ -86,7 +86,7 @@
     }
 
     /// What all workers counted since the last time, as one proxy's: tries added up, times by their tries.
-    pub fn take_counted(&self, routes: usize) -> (Vec<Sum>, Vec<Arrival>) {
+    pub fn take_counted(&self, routes: usize) -> (Vec<ServerStatsRow>, Vec<Arrival>) {
         let mut all = Counted { sums: BTreeMap::new(), arrivals: vec![Arrival::default(); routes] };
         for desk in &self.desks {
             let counted = std::mem::take(&mut *open(&desk.counted));
@@ -122,7 +122,7 @@
         desk.clients.store(clients as u64, Ordering::Release);
     }
 
-    pub fn leave_counted(&self, worker: usize, sums: Vec<Sum>, arrivals: &[Arrival]) {
+    pub fn leave_counted(&self, worker: usize, sums: Vec<ServerStatsRow>, arrivals: &[Arrival]) {
         open(&self.desks[worker].counted).add(sums.into_iter(), arrivals);
     }
 
@@ -132,20 +132,20 @@
 }
 
 impl Counted {
-    fn add(&mut self, sums: impl Iterator<Item = Sum>, arrivals: &[Arrival]) {
+    fn add(&mut self, sums: impl Iterator<Item = ServerStatsRow>, arrivals: &[Arrival]) {
         for sum in sums {
             match self.sums.get_mut(&sum.server) {
                 None => {
                     self.sums.insert(sum.server.clone(), sum);
                 }
                 Some(known) => {
-                    let good = |sum: &Sum| sum.tries - sum.dropped;
-                    let took = known.mean_us * good(known) + sum.mean_us * good(&sum);
+                    let good = |sum: &ServerStatsRow| sum.tries - sum.dropped;
+                    let took = known.mean_latency_us * good(known) + sum.mean_latency_us * good(&sum);
                     known.tries += sum.tries;
                     known.dropped += sum.dropped;
-                    known.mean_us = took / good(known).max(1);
+                    known.mean_latency_us = took / good(known).max(1);
                     known.util = sum.util.or(known.util);
-                    known.in_hand = sum.in_hand.or(known.in_hand);
+                    known.in_flight = sum.in_flight.or(known.in_flight);
                 }
             }
         }
@@ -159,9 +159,9 @@
 
 /// Which worker a new client goes to: the one with the fewest, among those that lately did anything. One that
 /// stands still is passed over, so that only the calls it already has wait for it.
-pub fn least_busy(workers: &[(Seen, u64)], now: Moment, patience: Span) -> Option<usize> {
-    let load = |(seen, handed): &(Seen, u64)| handed.saturating_sub(seen.taken) + seen.clients;
-    let stands = |(seen, _): &(Seen, u64)| now.since(seen.beat) > patience;
+pub fn least_busy(workers: &[(WorkerStatus, u64)], now: Moment, patience: Span) -> Option<usize> {
+    let load = |(seen, handed): &(WorkerStatus, u64)| handed.saturating_sub(seen.taken) + seen.clients;
+    let stands = |(seen, _): &(WorkerStatus, u64)| now.since(seen.beat) > patience;
     let open = workers.iter().enumerate().filter(|worker| !worker.1 .0.done);
     open.min_by_key(|worker| (stands(worker.1), load(worker.1))).map(|worker| worker.0)
 }
--- a/crates/proxy/src/house.rs
+++ b/crates/proxy/src/house.rs
@@ -2,13 +2,13 @@
 //! workers that serve calls. The program does not start it yet. One thread lets in and hands over, rather than
 //! each worker from a listener of its own, so that a worker that stands still gets no new clients.
 
-use crate::board::{least_busy, Board, Seen};
+use crate::board::{least_busy, SharedState, WorkerStatus};
 use crate::orders::{timer, told_of_door, Orders, CLIENTS, HOUSEKEEPING};
-use crate::stream::Home;
+use crate::stream::ProxyConfig;
 use crate::tables::Tables;
 use crate::worker::Worker;
-use crate::{Front, Route, Shunning};
-use pewtergap_node::{Effect, Input, Level as LogLevel, Node, Outbox, Seat};
+use crate::{EjectionConfig, FrontConfig, Route};
+use pewtergap_node::{Effect, Input, Level as LogLevel, Node, Outbox, ReactorId};
 use pewtergap_time::{Moment, Span};
 use std::any::Any;
 use std::sync::Arc;
@@ -16,27 +16,27 @@
 /// A worker that did nothing for so long gets no new clients; it would have looked up four times.
 const STANDS: Span = Span::millis(1_000);
 /// Seats of the house: the front's, and from there on the workers'.
-pub const FRONT: Seat = Seat(0);
+pub const FRONT_ID: ReactorId = ReactorId(0);
 
-fn seat(worker: usize) -> Seat {
-    Seat(worker as u32 + 1)
+fn seat(worker: usize) -> ReactorId {
+    ReactorId(worker as u32 + 1)
 }
 
 /// The nodes of one proxy: the front first, for `FRONT`, then the workers for the seats after it.
-pub fn house(
-    home: Home,
-    front: Front,
+pub fn proxy_nodes(
+    home: ProxyConfig,
+    front: FrontConfig,
     routes: Vec<Route>,
-    shunning: Shunning,
+    shunning: EjectionConfig,
     standing: &[String],
     workers: usize,
     seed: u64,
 ) -> Vec<Box<dyn Node>> {
     let tables = Arc::new(Tables::standing(standing, routes.len()));
-    let board = Arc::new(Board::new(workers, tables.clone()));
+    let board = Arc::new(SharedState::new(workers, tables.clone()));
     let mut chance = fastrand::Rng::with_seed(seed);
     // The limit on calls is the proxy's; each worker has its part.
-    let part = Front { most_calls: front.most_calls.div_ceil(workers.max(1)), ..front };
+    let part = FrontConfig { max_calls: front.max_calls.div_ceil(workers.max(1)), ..front };
     let worker = |at: usize| -> Box<dyn Node> {
         let (routes, tables) = (routes.clone(), tables.clone());
         let inner = Worker::new(&home.name, part, routes, shunning, tables, chance.u64(..));
@@ -45,7 +45,7 @@
     let workers: Vec<Box<dyn Node>> = (0..workers).map(worker).collect();
     let longest = routes.iter().map(|route| route.time_limit).max().unwrap_or_default();
     let count = routes.len();
-    let orders = Orders::new(home, front.from, routes, tables, seed);
+    let orders = Orders::new(home, front.source_ip, routes, tables, seed);
     let handed = vec![0; workers.len()];
     let porter =
         Porter { front, board, orders, published: 0, handed, routes: count, longest, stopping: false };
@@ -53,8 +53,8 @@
 }
 
 struct Porter {
-    front: Front,
-    board: Arc<Board>,
+    front: FrontConfig,
+    board: Arc<SharedState>,
     orders: Orders,
     published: u64,
     /// Clients ever handed to each worker.
@@ -66,7 +66,7 @@
 
 impl Porter {
     fn knock(&self, out: &mut Outbox) {
-        (0..self.board.workers()).for_each(|worker| out.push(Effect::Knock { seat: seat(worker) }));
+        (0..self.board.workers()).for_each(|worker| out.push(Effect::Notify { reactor: seat(worker) }));
     }
 
     fn publish(&mut self, out: &mut Outbox) {
@@ -96,17 +96,17 @@
             Input::Listening { .. } | Input::NotListening { .. } => told_of_door(&input, out),
             Input::Accepted { link, .. } => {
                 let seen = self.handed.iter().enumerate().map(|(at, handed)| (self.board.seen(at), *handed));
-                let seen: Vec<(Seen, u64)> = seen.collect();
+                let seen: Vec<(WorkerStatus, u64)> = seen.collect();
                 match least_busy(&seen, now, STANDS) {
                     Some(worker) => {
                         self.handed[worker] += 1;
-                        out.push(Effect::Hand { link, to: seat(worker), door: CLIENTS });
+                        out.push(Effect::Transfer { link, to: seat(worker), listener: CLIENTS });
                     }
                     None => out.cut(link),
                 }
             }
             // The worker has thousands on their way to it: a client that is turned away tries elsewhere.
-            Input::HandedBack { link, to } => {
+            Input::TransferFailed { link, to } => {
                 self.handed[to.0 as usize - 1] -= 1;
                 out.log(LogLevel::Warn, "no_room_at_worker", Vec::new());
                 out.cut(link);
@@ -117,14 +117,14 @@
                 self.publish(out);
             }
             Input::Closed { link, .. } if self.orders.is_link(link) => self.orders.lost(now, out),
-            Input::Due { timer } => self.due(now, timer, out),
+            Input::TimerFired { timer } => self.due(now, timer, out),
             Input::Stop if !self.stopping => {
                 self.stopping = true;
                 self.orders.stop();
                 self.board.stop();
                 self.knock(out);
-                out.push(Effect::Unlisten { door: CLIENTS });
-                out.wake(timer::STOP, now + self.longest + HOUSEKEEPING);
+                out.push(Effect::Unlisten { listener: CLIENTS });
+                out.set_timer(timer::STOP, now + self.longest + HOUSEKEEPING);
             }
             _ => {}
         }
@@ -142,7 +142,7 @@
 
 struct Clerk {
     at: usize,
-    board: Arc<Board>,
+    board: Arc<SharedState>,
     inner: Worker,
     follows: u64,
     taken: u64,
@@ -156,7 +156,7 @@
             self.follows = version;
             self.inner.follow(tables);
             self.board.follows(self.at, version);
-            out.push(Effect::Knock { seat: FRONT });
+            out.push(Effect::Notify { reactor: FRONT_ID });
             self.inner.reap(now, out);
         }
         if self.board.stopping() && !self.stopping {
@@ -170,20 +170,20 @@
     fn handle(&mut self, now: Moment, input: Input<'_>, out: &mut Outbox) {
         self.look(now, out);
         match input {
-            Input::Start => out.wake(timer::HOUSEKEEPING, now + HOUSEKEEPING),
+            Input::Start => out.set_timer(timer::HOUSEKEEPING, now + HOUSEKEEPING),
             Input::Accepted { link, .. } => {
                 self.taken += 1;
                 self.inner.accepted(link, out);
             }
             Input::Bytes { link, bytes } => self.inner.bytes(now, link, bytes, out),
             Input::Closed { link, why } => self.inner.closed(now, link, why, out),
-            Input::Due { timer: timer::HOUSEKEEPING } => {
-                out.wake(timer::HOUSEKEEPING, now + HOUSEKEEPING);
+            Input::TimerFired { timer: timer::HOUSEKEEPING } => {
+                out.set_timer(timer::HOUSEKEEPING, now + HOUSEKEEPING);
                 self.inner.reap(now, out);
                 let (sums, arrivals) = self.inner.counted();
                 self.board.leave_counted(self.at, sums, &arrivals);
             }
-            Input::Due { timer } => self.inner.due(now, timer, out),
+            Input::TimerFired { timer } => self.inner.due(now, timer, out),
             _ => {}
         }
         self.board.beat(self.at, now, self.taken, self.inner.clients());
@@ -191,7 +191,7 @@
             let (sums, arrivals) = self.inner.counted();
             self.board.leave_counted(self.at, sums, &arrivals);
             self.board.done(self.at);
-            out.push(Effect::Knock { seat: FRONT });
+            out.push(Effect::Notify { reactor: FRONT_ID });
             out.push(Effect::Exit { code: 0 });
         }
     }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -4,7 +4,7 @@
 //! levels say, tries again only when ordered and only on proof for what must not run twice, keeps away from a
 //! server after so many failures of its own in a row, and tells its planner what it met, in sums.
 //!
-//! For several cores [`house`] makes it of several nodes.
+//! For several cores [`proxy_nodes`] makes it of several nodes.
 //!
 //! Not in here: choosing servers by load, hedging, caching, HTTP/2, TLS.
 #![forbid(unsafe_code)]
@@ -20,7 +20,7 @@
 pub mod tables;
 mod worker;
 
-pub use board::{least_busy, Board, Seen};
-pub use house::{house, FRONT};
-pub use node::{Front, Proxy, Route, Shunning, ENDED, NOT_RUN};
-pub use stream::Home;
+pub use board::{least_busy, SharedState, WorkerStatus};
+pub use house::{proxy_nodes, FRONT_ID};
+pub use node::{EjectionConfig, FrontConfig, Proxy, Route, ENDED_HEADER, NOT_RUN_HEADER};
+pub use stream::ProxyConfig;
--- a/crates/proxy/src/node.rs
+++ b/crates/proxy/src/node.rs
@@ -1,7 +1,7 @@
 //! The proxy as one node: the planner's side and one worker.
 
 use crate::orders::{timer, told_of_door, Orders, CLIENTS};
-use crate::stream::Home;
+use crate::stream::ProxyConfig;
 use crate::tables::Tables;
 use crate::worker::Worker;
 use pewtergap_node::{Effect, Input, Node, Outbox};
@@ -21,27 +21,27 @@
 
 /// Where clients come in, and what is taken from them.
 #[derive(Clone, Copy, Debug)]
-pub struct Front {
+pub struct FrontConfig {
     pub listen: SocketAddr,
-    pub from: Option<IpAddr>,
-    pub most_calls: usize,
+    pub source_ip: Option<IpAddr>,
+    pub max_calls: usize,
     pub keep_alive: Span,
 }
 
 /// Keeping away from a server after so many failures of its own calls there in a row; 0 for never.
 #[derive(Clone, Copy, Debug)]
-pub struct Shunning {
-    pub after: u32,
-    pub rest: Span,
+pub struct EjectionConfig {
+    pub consecutive_failures: u32,
+    pub ejection_time: Span,
 }
 
 /// What a server answers with when it turned a call away before running it.
-pub const NOT_RUN: &str = "x-pewtergap-not-run";
+pub const NOT_RUN_HEADER: &str = "x-pewtergap-not-run";
 /// How a call ended here, when the proxy answered itself.
-pub const ENDED: &str = "x-pewtergap-ended";
+pub const ENDED_HEADER: &str = "x-pewtergap-ended";
 
 pub struct Proxy {
-    front: Front,
+    front: FrontConfig,
     orders: Orders,
     worker: Worker,
     follows: u64,
@@ -50,16 +50,16 @@
 
 impl Proxy {
     pub fn new(
-        home: Home,
-        front: Front,
+        home: ProxyConfig,
+        front: FrontConfig,
         routes: Vec<Route>,
-        shunning: Shunning,
+        shunning: EjectionConfig,
         standing: &[String],
         seed: u64,
     ) -> Proxy {
         let tables = Arc::new(Tables::standing(standing, routes.len()));
         let worker = Worker::new(&home.name, front, routes.clone(), shunning, tables.clone(), seed);
-        let orders = Orders::new(home, front.from, routes, tables, seed);
+        let orders = Orders::new(home, front.source_ip, routes, tables, seed);
         Proxy { front, orders, worker, follows: 0, stopping: false }
     }
 
@@ -107,18 +107,18 @@
             Input::Bytes { link, bytes } => self.worker.bytes(now, link, bytes, out),
             Input::Closed { link, .. } if self.orders.is_link(link) => self.orders.lost(now, out),
             Input::Closed { link, why } => self.worker.closed(now, link, why, out),
-            Input::Due { timer } => self.due(now, timer, out),
+            Input::TimerFired { timer } => self.due(now, timer, out),
             Input::Stop if !self.stopping => {
                 // Calls under way are finished; nobody new is let in.
                 self.stopping = true;
                 self.worker.stop();
                 self.orders.stop();
-                out.push(Effect::Unlisten { door: CLIENTS });
+                out.push(Effect::Unlisten { listener: CLIENTS });
                 let wait = if self.worker.idle() { Span::millis(50) } else { self.worker.longest() };
-                out.wake(timer::STOP, now + wait);
+                out.set_timer(timer::STOP, now + wait);
             }
-            Input::Stop | Input::Reload | Input::Word(_) | Input::File { .. } => {}
-            Input::Synced { .. } | Input::Knocked | Input::HandedBack { .. } => {}
+            Input::Stop | Input::Reload | Input::Command(_) | Input::File { .. } => {}
+            Input::Synced { .. } | Input::Notified | Input::TransferFailed { .. } => {}
         }
         if self.stopping && self.worker.idle() {
             out.push(Effect::Exit { code: 0 });
--- a/crates/proxy/src/orders.rs
+++ b/crates/proxy/src/orders.rs
@@ -1,12 +1,13 @@
 //! The planner's side of a proxy: its stream, the tables it orders, and what is told it.
 
-use crate::stream::{Home, Sign, State, Step, Stream, PATIENCE};
+use crate::stream::{ProxyConfig, Sign, State, Step, Stream, PATIENCE};
 use crate::tables::Tables;
 use crate::worker::Arrival;
 use crate::Route;
 use pewtergap_node::{Effect, Input, Level as LogLevel, Link, Outbox};
 use pewtergap_protocol::{
-    down, encode, up, Ack, Arrivals, Arrived, Beat, Hello, Nack, Sum, Sums, Up, VERSION,
+    encode, planner_message, proxy_message, Ack, Arrivals, Heartbeat, Hello, Nack, ProxyMessage,
+    RouteArrivals, ServerStats, ServerStatsRow, VERSION,
 };
 use pewtergap_time::{Moment, Span};
 use std::collections::VecDeque;
@@ -45,7 +46,7 @@
 const MOST_UNFOLLOWED: usize = 256;
 
 pub struct Orders {
-    home: Home,
+    home: ProxyConfig,
     from: Option<IpAddr>,
     routes: Vec<Route>,
     rng: fastrand::Rng,
@@ -64,7 +65,7 @@
 
 impl Orders {
     pub fn new(
-        home: Home,
+        home: ProxyConfig,
         from: Option<IpAddr>,
         routes: Vec<Route>,
         tables: Arc<Tables>,
@@ -110,7 +111,7 @@
     pub fn followed(&mut self, version: u64, out: &mut Outbox) {
         while self.unfollowed.front().is_some_and(|waits| waits.0 <= version) {
             if let Some((_, ack)) = self.unfollowed.pop_front() {
-                self.tell(up::Kind::Ack(ack), out);
+                self.tell(proxy_message::Kind::Ack(ack), out);
             }
         }
     }
@@ -125,8 +126,8 @@
     }
 
     pub fn start(&mut self, now: Moment, listen: SocketAddr, out: &mut Outbox) {
-        out.push(Effect::Listen { door: CLIENTS, at: listen });
-        out.wake(timer::HOUSEKEEPING, now + HOUSEKEEPING);
+        out.push(Effect::Listen { listener: CLIENTS, at: listen });
+        out.set_timer(timer::HOUSEKEEPING, now + HOUSEKEEPING);
         self.stream_sign(now, Sign::Due, out);
     }
 
@@ -135,12 +136,12 @@
         match timer {
             timer::DIAL => self.stream_sign(now, Sign::Due, out),
             timer::HOUSEKEEPING => {
-                out.wake(timer::HOUSEKEEPING, now + HOUSEKEEPING);
+                out.set_timer(timer::HOUSEKEEPING, now + HOUSEKEEPING);
                 self.check_stream(now, out);
             }
             timer::PATIENCE => self.check_stream(now, out),
             timer::REPORT => {
-                out.wake(timer::REPORT, now + self.stream.every);
+                out.set_timer(timer::REPORT, now + self.stream.every);
                 return self.joined();
             }
             _ => {}
@@ -156,7 +157,7 @@
                     self.stream.link = Some(out.connect(at, self.from));
                     self.stream.heard = now;
                     self.stream.frames = Default::default();
-                    out.wake(timer::PATIENCE, now + PATIENCE + Span::millis(1));
+                    out.set_timer(timer::PATIENCE, now + PATIENCE + Span::millis(1));
                 }
                 _ => {}
             },
@@ -170,7 +171,7 @@
                     held: self.tables.held(),
                     routes: self.routes.iter().map(|route| route.name.clone()).collect(),
                 };
-                self.tell(up::Kind::Hello(hello), out);
+                self.tell(proxy_message::Kind::Hello(hello), out);
             }
             Step::Join => {}
             Step::Next | Step::Again => {
@@ -179,14 +180,14 @@
                 if let Some(link) = self.stream.link.take() {
                     out.cut(link);
                 }
-                out.wake(timer::DIAL, now + wait);
+                out.set_timer(timer::DIAL, now + wait);
             }
         }
     }
 
-    fn tell(&mut self, kind: up::Kind, out: &mut Outbox) {
+    fn tell(&mut self, kind: proxy_message::Kind, out: &mut Outbox) {
         if let Some(link) = self.stream.link {
-            out.send(link, encode(&Up::of(kind)));
+            out.send(link, encode(&ProxyMessage::new(kind)));
         }
     }
 
@@ -194,7 +195,7 @@
         self.stream.heard = now;
         self.stream.frames.push(bytes);
         while self.stream.link.is_some() {
-            match self.stream.frames.take() {
+            match self.stream.frames.next_message() {
                 Ok(None) => return,
                 Ok(Some(message)) => {
                     if let Some(kind) = message.kind {
@@ -209,9 +210,9 @@
         }
     }
 
-    fn ordered(&mut self, now: Moment, kind: down::Kind, out: &mut Outbox) {
+    fn ordered(&mut self, now: Moment, kind: planner_message::Kind, out: &mut Outbox) {
         match kind {
-            down::Kind::Welcome(welcome) => {
+            planner_message::Kind::Welcome(welcome) => {
                 let place = |route: &Route| welcome.routes.iter().position(|name| *name == route.name);
                 let order: Option<Vec<usize>> = self.routes.iter().map(place).collect();
                 let Some(order) = order else {
@@ -231,10 +232,10 @@
                 if !self.reporting {
                     self.reporting = true;
                     // Proxies that joined together should not report in step.
-                    out.wake(timer::REPORT, now + self.stream.every.times(self.rng.f64()));
+                    out.set_timer(timer::REPORT, now + self.stream.every.times(self.rng.f64()));
                 }
             }
-            down::Kind::Update(update) => {
+            planner_message::Kind::Update(update) => {
                 let mut ours = update;
                 ours.binds.iter_mut().for_each(|bind| bind.routes = self.ours(bind.routes));
                 ours.tables
@@ -258,16 +259,16 @@
                         out.log(LogLevel::Warn, "refuses", fields);
                         let (nonce, reason) = (ours.nonce, refusal.reason);
                         let nack = Nack { nonce, reason, table: refusal.table, holds: refusal.holds };
-                        self.tell(up::Kind::Nack(nack), out);
+                        self.tell(proxy_message::Kind::Nack(nack), out);
                     }
                 }
             }
-            down::Kind::Bye(bye) => {
+            planner_message::Kind::Bye(bye) => {
                 out.log(LogLevel::Info, "sent_away", vec![("why", bye.reason)]);
                 self.stream.state = State::Greeting;
                 self.stream_sign(now, Sign::Lost, out);
             }
-            down::Kind::Beat(_) => {}
+            planner_message::Kind::Heartbeat(_) => {}
         }
     }
 
@@ -282,22 +283,22 @@
         }
     }
 
-    pub fn report(&mut self, now: Moment, rows: Vec<Sum>, arrivals: &[Arrival], out: &mut Outbox) {
+    pub fn report(&mut self, now: Moment, rows: Vec<ServerStatsRow>, arrivals: &[Arrival], out: &mut Outbox) {
         let over_us = now.since(self.reported).0 / 1_000;
         self.reported = now;
         let none = rows.is_empty();
         if !none {
-            self.tell(up::Kind::Sums(Sums { over_us, rows }), out);
+            self.tell(proxy_message::Kind::ServerStats(ServerStats { period_us: over_us, rows }), out);
         }
         let place = |(at, arrival): (usize, &Arrival)| {
             let Arrival { calls, dropped } = *arrival;
-            Arrived { route: self.order[at] as u32, calls, dropped }
+            RouteArrivals { route: self.order[at] as u32, calls, dropped }
         };
-        let mut rows: Vec<Arrived> = arrivals.iter().enumerate().map(place).collect();
+        let mut rows: Vec<RouteArrivals> = arrivals.iter().enumerate().map(place).collect();
         rows.sort_by_key(|row| row.route);
-        self.tell(up::Kind::Arrivals(Arrivals { over_us, rows }), out);
+        self.tell(proxy_message::Kind::Arrivals(Arrivals { period_us: over_us, rows }), out);
         if none {
-            self.tell(up::Kind::Beat(Beat {}), out);
+            self.tell(proxy_message::Kind::Heartbeat(Heartbeat {}), out);
         }
     }
 
--- a/crates/proxy/src/servers.rs
+++ b/crates/proxy/src/servers.rs
@@ -2,7 +2,7 @@
 
 use pewtergap_node::Link;
 use pewtergap_protocol::load_report::LoadReport;
-use pewtergap_protocol::Sum;
+use pewtergap_protocol::ServerStatsRow;
 use pewtergap_time::{Moment, Span};
 use std::collections::HashMap;
 
@@ -89,7 +89,7 @@
                 let before = known.counted.report;
                 known.counted.report = LoadReport {
                     util: report.util.or(before.util),
-                    in_hand: report.in_hand.or(before.in_hand),
+                    in_flight: report.in_flight.or(before.in_flight),
                 };
                 false
             }
@@ -107,13 +107,20 @@
     }
 
     /// What was counted since the last time.
-    pub fn sums(&mut self) -> Vec<Sum> {
-        let mut rows: Vec<Sum> = Vec::new();
+    pub fn sums(&mut self) -> Vec<ServerStatsRow> {
+        let mut rows: Vec<ServerStatsRow> = Vec::new();
         for (name, server) in self.known.iter_mut().filter(|known| known.1.counted.tries > 0) {
             let Counted { tries, dropped, took, report } = std::mem::take(&mut server.counted);
             let mean_us = took.0 / 1_000 / (tries - dropped).max(1);
-            let (util, in_hand) = (report.util, report.in_hand);
-            rows.push(Sum { server: name.clone(), tries, dropped, mean_us, util, in_hand });
+            let (util, in_hand) = (report.util, report.in_flight);
+            rows.push(ServerStatsRow {
+                server: name.clone(),
+                tries,
+                dropped,
+                mean_latency_us: mean_us,
+                util,
+                in_flight: in_hand,
+            });
         }
         rows.sort_by(|a, b| a.server.cmp(&b.server));
         rows
--- a/crates/proxy/src/stream.rs
+++ b/crates/proxy/src/stream.rs
@@ -1,13 +1,13 @@
 //! The stream to a planner: one at a time, dialled again when it breaks, the next one when it does not stand.
 
 use pewtergap_node::Link;
-use pewtergap_protocol::{Down, Frames};
+use pewtergap_protocol::{FrameReader, PlannerMessage};
 use pewtergap_time::{Moment, Span};
 use std::net::SocketAddr;
 
 /// Where planners are, its own zone's first, and how it names itself to them.
 #[derive(Clone, Debug)]
-pub struct Home {
+pub struct ProxyConfig {
     pub name: String,
     pub zone: String,
     pub planners: Vec<SocketAddr>,
@@ -67,7 +67,7 @@
 pub struct Stream {
     pub state: State,
     pub link: Option<Link>,
-    pub frames: Frames<Down>,
+    pub frames: FrameReader<PlannerMessage>,
     pub heard: Moment,
     pub every: Span,
     planners: Vec<SocketAddr>,
@@ -80,7 +80,7 @@
         Stream {
             state: Waiting,
             link: None,
-            frames: Frames::default(),
+            frames: FrameReader::default(),
             heard: Moment(0),
             every: Span::millis(1_000),
             planners,
--- a/crates/proxy/src/tables.rs
+++ b/crates/proxy/src/tables.rs
@@ -1,6 +1,6 @@
 //! The tables a proxy holds, by versions: a message is taken whole or refused whole.
 
-use pewtergap_protocol::{Gate, Held, TableChange, Update, Welcome};
+use pewtergap_protocol::{Gate, HeldTable, TableChange, Update, Welcome};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
@@ -60,9 +60,9 @@
     }
 
     /// What the next planner is told.
-    pub fn held(&self) -> Vec<Held> {
+    pub fn held(&self) -> Vec<HeldTable> {
         let ours = self.tables.iter().filter(|table| *table.0 != STANDING);
-        let held = |(table, found): (&u32, &Table)| Held {
+        let held = |(table, found): (&u32, &Table)| HeldTable {
             planner: self.sender.planner.clone(),
             epoch: self.sender.epoch,
             table: *table,
