--- a/crates/proxy/src/worker.rs
+++ b/crates/proxy/src/worker.rs
@@ -5,11 +5,11 @@
 use crate::picks::{Level, Picks};
 use crate::servers::{Servers, TryEnd};
 use crate::tables::Tables;
-use crate::{Front, Route, Shunning, ENDED, NOT_RUN};
-use pewtergap_http::{answer, chunk, request, Bounds, First, Head, Part, Reader, Side, LAST_CHUNK};
+use crate::{EjectionConfig, FrontConfig, Route, ENDED_HEADER, NOT_RUN_HEADER};
+use pewtergap_http::{chunk, request, response, Head, Limits, Part, Reader, Side, StartLine, LAST_CHUNK};
 use pewtergap_node::{Effect, Ended, Level as LogLevel, Link, Outbox};
 use pewtergap_protocol::load_report::{LoadReport, HEADER};
-use pewtergap_protocol::Sum;
+use pewtergap_protocol::ServerStatsRow;
 use pewtergap_time::{Moment, Span};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -36,9 +36,9 @@
 
 pub struct Worker {
     via: String,
-    front: Front,
+    front: FrontConfig,
     routes: Vec<Route>,
-    shunning: Shunning,
+    shunning: EjectionConfig,
     rng: fastrand::Rng,
     tables: Arc<Tables>,
     picks: HashMap<u32, Picks>,
@@ -56,9 +56,9 @@
     /// `name` is the proxy's, as servers see it.
     pub fn new(
         name: &str,
-        front: Front,
+        front: FrontConfig,
         routes: Vec<Route>,
-        shunning: Shunning,
+        shunning: EjectionConfig,
         tables: Arc<Tables>,
         seed: u64,
     ) -> Worker {
@@ -98,7 +98,7 @@
     }
 
     /// What was met at each server, and what came, since the last time.
-    pub fn counted(&mut self) -> (Vec<Sum>, Vec<Arrival>) {
+    pub fn counted(&mut self) -> (Vec<ServerStatsRow>, Vec<Arrival>) {
         let none = vec![Arrival::default(); self.routes.len()];
         (self.servers.sums(), std::mem::replace(&mut self.arrivals, none))
     }
@@ -123,7 +123,7 @@
         if self.clients.len() >= MOST_CLIENTS {
             return out.cut(link);
         }
-        let reader = Reader::new(Side::Requests, Bounds { head: 16 * 1024, body: 256 * 1024 });
+        let reader = Reader::new(Side::Requests, Limits { head: 16 * 1024, body: 256 * 1024 });
         let client = Client { reader, head: None, body: Vec::new(), call: None, keep: false };
         self.clients.insert(link, client);
     }
@@ -181,7 +181,7 @@
                 out.push(Effect::Pause { link });
                 return;
             }
-            match client.reader.take() {
+            match client.reader.next_part() {
                 Ok(None) => return,
                 Ok(Some(Part::Head(head))) => {
                     client.keep = head.keep_alive;
@@ -192,7 +192,7 @@
                 Ok(Some(Part::End)) => self.called(now, link, out),
                 Err(wrong) => {
                     let body = wrong.to_string();
-                    out.send(link, answer(wrong.status, &[("connection", "close")], Some(body.as_bytes())));
+                    out.send(link, response(wrong.status, &[("connection", "close")], Some(body.as_bytes())));
                     out.finish(link);
                     self.clients.remove(&link);
                     return;
@@ -204,7 +204,7 @@
     fn called(&mut self, now: Moment, link: Link, out: &mut Outbox) {
         let Some(client) = self.clients.get_mut(&link) else { return };
         let (Some(head), body) = (client.head.take(), std::mem::take(&mut client.body)) else { return };
-        let First::Request { method, target } = &head.first else { return };
+        let StartLine::Request { method, target } = &head.first else { return };
         let first = target.trim_start_matches('/').split(['/', '?']).next().unwrap_or("");
         let Some(route) = self.routes.iter().position(|route| route.name == first) else {
             return self.give(link, Given::NoRoute, out);
@@ -214,7 +214,7 @@
         if !self.levels[route].admits(level) {
             return self.give(link, Given::Throttled, out);
         }
-        if self.calls.len() >= self.front.most_calls {
+        if self.calls.len() >= self.front.max_calls {
             return self.give(link, Given::TooMany, out);
         }
         let mut headers = passed_on(&head);
@@ -242,7 +242,7 @@
             report: LoadReport::default(),
             keep_server: false,
         };
-        out.wake(id, call.until);
+        out.set_timer(id, call.until);
         self.clients.entry(link).and_modify(|client| client.call = Some(id));
         self.calls.insert(id, call);
         self.try_next(now, id, out);
@@ -257,11 +257,11 @@
     /// Answers a client from here; at once, whatever the reason.
     fn give(&mut self, link: Link, given: Given, out: &mut Outbox) {
         let keep = self.clients.get(&link).is_some_and(|client| client.keep);
-        let mut headers = vec![(ENDED, given.name())];
+        let mut headers = vec![(ENDED_HEADER, given.name())];
         if !keep {
             headers.push(("connection", "close"));
         }
-        out.send(link, answer(given.status(), &headers, Some(b"")));
+        out.send(link, response(given.status(), &headers, Some(b"")));
         self.answered(link, keep, out);
     }
 
@@ -303,7 +303,7 @@
         let link = match self.servers.idle(&server) {
             Some(link) => link,
             None => match server.parse::<SocketAddr>() {
-                Ok(at) => out.connect(at, self.front.from),
+                Ok(at) => out.connect(at, self.front.source_ip),
                 Err(_) => return self.missed(now, id, Miss::NeverRan, out),
             },
         };
@@ -330,7 +330,13 @@
     }
 
     fn count(&mut self, server: &str, end: TryEnd, now: Moment, out: &mut Outbox) {
-        if self.servers.ended_try(server, end, now, self.shunning.after, self.shunning.rest) {
+        if self.servers.ended_try(
+            server,
+            end,
+            now,
+            self.shunning.consecutive_failures,
+            self.shunning.ejection_time,
+        ) {
             out.log(LogLevel::Info, "shuns", vec![("server", server.into())]);
         }
     }
@@ -374,7 +380,7 @@
         }
         loop {
             let Some(call) = self.calls.get_mut(&id).filter(|call| call.link == link) else { return };
-            match call.answer.take() {
+            match call.answer.next_part() {
                 Ok(None) => return,
                 Ok(Some(part)) => self.part(now, id, part, out),
                 Err(wrong) => {
@@ -398,9 +404,9 @@
             Part::Head(head) if head.status() < 200 => {}
             Part::Head(head) => {
                 call.status = head.status();
-                call.report = head.header(HEADER).map(LoadReport::read).unwrap_or_default();
+                call.report = head.header(HEADER).map(LoadReport::parse).unwrap_or_default();
                 call.keep_server = head.keep_alive;
-                let never_ran = head.status() == 503 && head.header(NOT_RUN).is_some();
+                let never_ran = head.status() == 503 && head.header(NOT_RUN_HEADER).is_some();
                 let miss = if never_ran { Miss::NeverRan } else { Miss::Erred };
                 let (link, status, in_time) = (call.link, call.status, now < call.until);
                 if status >= 500 && in_time && self.calls.get(&id).is_some_and(|call| self.again(call, miss))
@@ -419,7 +425,7 @@
                     None => {}
                 }
                 call.passing = true;
-                out.send(call.client, answer(call.status, &headers, None));
+                out.send(call.client, response(call.status, &headers, None));
             }
             Part::Data(data) if call.passing => {
                 out.send(call.client, if call.chunked { chunk(&data) } else { data });
@@ -470,5 +476,5 @@
 }
 
 fn answers() -> Reader {
-    Reader::new(Side::Answers, Bounds { body: u64::MAX, ..Bounds::default() })
+    Reader::new(Side::Responses, Limits { body: u64::MAX, ..Limits::default() })
 }
--- a/crates/proxy/tests/parts.rs
+++ b/crates/proxy/tests/parts.rs
@@ -1,9 +1,12 @@
 //! Tables by version, and the proxy as a node: what it does with calls, orders and failures.
 
 use pewtergap_node::{Effect, Ended, Input, Link, Node, Outbox};
-use pewtergap_protocol::{down, encode, Bind, Down, Frames, Gate, Line, TableChange, Up, Update, Welcome};
+use pewtergap_protocol::{
+    encode, planner_message, Binding, FrameReader, Gate, Line, PlannerMessage, ProxyMessage, TableChange,
+    Update, Welcome,
+};
 use pewtergap_proxy::tables::Tables;
-use pewtergap_proxy::{Front, Home, Proxy, Route, Shunning};
+use pewtergap_proxy::{EjectionConfig, FrontConfig, Proxy, ProxyConfig, Route};
 use pewtergap_time::{Moment, Span};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -21,7 +24,7 @@
 }
 
 fn update(nonce: u64, tables: Vec<TableChange>, binds: &[u32]) -> Update {
-    let binds = binds.iter().map(|table| Bind { table: *table, routes: 0 }).collect();
+    let binds = binds.iter().map(|table| Binding { table: *table, routes: 0 }).collect();
     Update { nonce, tables, binds, ..Update::default() }
 }
 
@@ -88,17 +91,18 @@
             mutating,
             resend,
         };
-        let home = Home {
+        let home = ProxyConfig {
             name: "p1".into(),
             zone: "north".into(),
             planners: vec!["127.0.0.1:7100".parse().unwrap(), "127.0.0.1:7200".parse().unwrap()],
             calls_per_s: 3.0,
         };
         let listen = SocketAddr::from(([127, 0, 0, 1], 0));
-        let front = Front { listen, from: None, most_calls: 100, keep_alive: Span::millis(5_000) };
+        let front = FrontConfig { listen, source_ip: None, max_calls: 100, keep_alive: Span::millis(5_000) };
         let routes = vec![route("search", false), route("order", true)];
         let standing: Vec<String> = servers.iter().map(|server| format!("127.0.0.1:{server}")).collect();
-        let shunning = Shunning { after: shun_after, rest: Span::millis(2_000) };
+        let shunning =
+            EjectionConfig { consecutive_failures: shun_after, ejection_time: Span::millis(2_000) };
         let proxy = Proxy::new(home, front, routes, shunning, &standing, 7);
         let mut stage = Stage {
             proxy,
@@ -131,9 +135,9 @@
                 Effect::Send { link, bytes } => {
                     let name = self.names.get(&link).cloned().unwrap_or_default();
                     if name.starts_with("planner") {
-                        let mut frames = Frames::<Up>::default();
+                        let mut frames = FrameReader::<ProxyMessage>::default();
                         frames.push(&bytes);
-                        format!("tells {name}: {}", spoken(&frames.take().unwrap().unwrap()))
+                        format!("tells {name}: {}", spoken(&frames.next_message().unwrap().unwrap()))
                     } else {
                         let text = String::from_utf8_lossy(&bytes).into_owned();
                         let ended = text
@@ -149,7 +153,7 @@
                 Effect::Cut { link } => {
                     format!("cuts {}", self.names.get(&link).cloned().unwrap_or_default())
                 }
-                Effect::Wake { timer, at } => {
+                Effect::SetTimer { timer, at } => {
                     self.timers.push((at, timer));
                     continue;
                 }
@@ -168,7 +172,7 @@
             let Some((at, timer)) = self.timers.first().copied().filter(|t| t.0 <= until) else { break };
             self.timers.remove(0);
             self.now = self.now.max(at);
-            self.give(Input::Due { timer });
+            self.give(Input::TimerFired { timer });
         }
         self.now = until;
     }
@@ -177,7 +181,7 @@
         self.next += 1;
         let link = Link(self.next);
         self.names.insert(link, "client".into());
-        self.give(Input::Accepted { link, door: 0, from: SocketAddr::from(([127, 0, 0, 1], 9)) });
+        self.give(Input::Accepted { link, listener: 0, from: SocketAddr::from(([127, 0, 0, 1], 9)) });
         let call = format!("POST /{route}/x HTTP/1.1\r\ncontent-length: 2\r\n\r\n{{}}");
         self.give(Input::Bytes { link, bytes: call.as_bytes() });
         link
@@ -205,24 +209,24 @@
     fn join(&mut self, planner: &str, epoch: u64) {
         let link = self.planner.unwrap();
         self.give(Input::Opened { link });
-        self.down(down::Kind::Welcome(welcome(planner, epoch)));
+        self.down(planner_message::Kind::Welcome(welcome(planner, epoch)));
     }
 
-    fn down(&mut self, kind: down::Kind) {
-        let (link, bytes) = (self.planner.unwrap(), encode(&Down::of(kind)));
+    fn down(&mut self, kind: planner_message::Kind) {
+        let (link, bytes) = (self.planner.unwrap(), encode(&PlannerMessage::new(kind)));
         self.give(Input::Bytes { link, bytes: &bytes });
     }
 }
 
-fn spoken(up: &Up) -> String {
-    use pewtergap_protocol::up::Kind;
+fn spoken(up: &ProxyMessage) -> String {
+    use pewtergap_protocol::proxy_message::Kind;
     match up.kind.as_ref().unwrap() {
         Kind::Hello(hello) => {
             format!("hello, holds {:?}", hello.held.iter().map(|h| (h.table, h.version)).collect::<Vec<_>>())
         }
         Kind::Ack(ack) => format!("ack {}", ack.nonce),
         Kind::Nack(nack) => format!("nack {}: {}", nack.nonce, nack.reason),
-        Kind::Sums(sums) => {
+        Kind::ServerStats(sums) => {
             let rows: Vec<String> =
                 sums.rows.iter().map(|r| format!("{} {}/{} dropped", r.server, r.dropped, r.tries)).collect();
             format!("sums {}", rows.join(", "))
@@ -230,7 +234,7 @@
         Kind::Arrivals(arrivals) => {
             format!("arrivals {:?}", arrivals.rows.iter().map(|r| (r.calls, r.dropped)).collect::<Vec<_>>())
         }
-        Kind::Beat(_) => "beat".into(),
+        Kind::Heartbeat(_) => "beat".into(),
     }
 }
 
@@ -266,7 +270,11 @@
 fn a_broken_stream_leaves_the_tables_in_force_and_the_next_planner_replaces_them() {
     let mut stage = Stage::new(0, &["8001"], 0);
     stage.join("a", 5);
-    stage.down(down::Kind::Update(update(1, vec![change(2, 0, 4, &[("127.0.0.1:8002", 1.0)], &[])], &[2])));
+    stage.down(planner_message::Kind::Update(update(
+        1,
+        vec![change(2, 0, 4, &[("127.0.0.1:8002", 1.0)], &[])],
+        &[2],
+    )));
     stage.call("search");
     let planner = stage.planner.unwrap();
     stage.close(planner, Ended::Reset);
@@ -278,9 +286,17 @@
     stage.pass(200);
     stage.join("b", 6);
     stage.trace += "# another planner, a delta of its own first: refused; then its binding\n";
-    stage.down(down::Kind::Update(update(1, vec![change(2, 4, 5, &[], &["127.0.0.1:8002"])], &[])));
+    stage.down(planner_message::Kind::Update(update(
+        1,
+        vec![change(2, 4, 5, &[], &["127.0.0.1:8002"])],
+        &[],
+    )));
     stage.call("search");
-    stage.down(down::Kind::Update(update(2, vec![change(0, 0, 1, &[("127.0.0.1:8003", 1.0)], &[])], &[0])));
+    stage.down(planner_message::Kind::Update(update(
+        2,
+        vec![change(0, 0, 1, &[("127.0.0.1:8003", 1.0)], &[])],
+        &[0],
+    )));
     stage.call("search");
     stage.trace += "# it falls silent: after four missed beats the proxy dials again\n";
     stage.pass(3_500);
@@ -293,13 +309,17 @@
     stage.join("a", 5);
     let mut table = change(2, 0, 4, &[("127.0.0.1:8002", 1.0)], &[]);
     table.gates = vec![Gate { routes: 1, level: 0.25, resend: 0 }];
-    stage.down(down::Kind::Update(update(1, vec![table], &[2])));
+    stage.down(planner_message::Kind::Update(update(1, vec![table], &[2])));
     for _ in 0..40 {
         stage.call("search");
     }
     let throttled = stage.trace.matches("throttled").count();
     stage.trace = format!("{throttled} of 40 throttled at a level of 0.25\n");
-    stage.down(down::Kind::Update(update(2, vec![change(2, 4, 5, &[], &["127.0.0.1:8002"])], &[])));
+    stage.down(planner_message::Kind::Update(update(
+        2,
+        vec![change(2, 4, 5, &[], &["127.0.0.1:8002"])],
+        &[],
+    )));
     stage.call("order");
     stage.call("nowhere");
     insta::assert_snapshot!(stage.trace);
@@ -337,13 +357,13 @@
         ("127.0.0.1:8003", 0.125),
         ("127.0.0.1:8004", 2.0),
     ];
-    stage.down(down::Kind::Update(update(1, vec![change(2, 0, 1, &lines, &[])], &[2])));
+    stage.down(planner_message::Kind::Update(update(1, vec![change(2, 0, 1, &lines, &[])], &[2])));
     let calls = 4_000;
     let mut counts: BTreeMap<String, f64> = BTreeMap::new();
     for at in 0..calls {
         if at == calls / 2 {
             // A change in the middle moves nobody's turn.
-            stage.down(down::Kind::Update(update(
+            stage.down(planner_message::Kind::Update(update(
                 2,
                 vec![change(2, 1, 2, &[("127.0.0.1:8003", 0.125)], &[])],
                 &[],
--- a/crates/reactor/src/disk.rs
+++ b/crates/reactor/src/disk.rs
@@ -3,7 +3,7 @@
 //! What waits for the same file is written in one go and synced once: while the disk is busy, more comes together.
 //! Bounded by what waits; beyond it a write is refused, and whoever asked for it goes by that.
 
-use crate::{sockets, Handle, Place, Told};
+use crate::{sockets, Handle, NodeId, Told};
 use std::fs::OpenOptions;
 use std::io::{self, Seek, SeekFrom, Write};
 use std::path::{Path, PathBuf};
@@ -19,7 +19,7 @@
 }
 
 pub struct Disk {
-    jobs: SyncSender<(Place, u64, Job)>,
+    jobs: SyncSender<(NodeId, u64, Job)>,
 }
 
 impl Disk {
@@ -29,7 +29,7 @@
         Disk { jobs }
     }
 
-    pub fn write(&self, place: Place, ticket: u64, job: Job) -> Result<(), String> {
+    pub fn write(&self, place: NodeId, ticket: u64, job: Job) -> Result<(), String> {
         self.jobs.try_send((place, ticket, job)).map_err(|e| match e {
             TrySendError::Full(_) => format!("{MOST_WAITING} writes wait for the disk"),
             TrySendError::Disconnected(_) => "the disk's thread has ended".to_string(),
@@ -37,7 +37,7 @@
     }
 }
 
-fn work(dir: &Path, waiting: &Receiver<(Place, u64, Job)>, handle: &Handle) {
+fn work(dir: &Path, waiting: &Receiver<(NodeId, u64, Job)>, handle: &Handle) {
     let mut next = waiting.recv().ok();
     while let Some(first) = next.take() {
         let mut together = vec![first];
@@ -65,10 +65,10 @@
     }
 }
 
-fn write(dir: &Path, together: &[(Place, u64, Job)]) -> io::Result<()> {
+fn write(dir: &Path, together: &[(NodeId, u64, Job)]) -> io::Result<()> {
     let first = &together[0].2;
     let path = dir.join(&first.name);
-    let Some(at) = first.at else { return sockets::keep(&path, &first.bytes) };
+    let Some(at) = first.at else { return sockets::write_atomically(&path, &first.bytes) };
     let mut file = OpenOptions::new().write(true).open(&path)?;
     file.set_len(at)?;
     file.seek(SeekFrom::Start(at))?;
--- a/crates/reactor/src/lib.rs
+++ b/crates/reactor/src/lib.rs
@@ -9,11 +9,11 @@
 mod sockets;
 
 use mio::{Events, Interest, Poll, Token, Waker};
-use pewtergap_node::{Effect, Ended, Input, Level, Line, Link, Node, Outbox, Seat, NO_FILE};
+use pewtergap_node::{Effect, Ended, Input, Level, Link, LogRecord, Node, Outbox, ReactorId, NO_FILE};
 use pewtergap_time::{Moment, Span};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook_mio::v1_0::Signals;
-pub use sockets::keep;
+pub use sockets::write_atomically;
 use sockets::{Conn, Door, Taken};
 use std::collections::{BinaryHeap, HashMap, VecDeque};
 use std::io::{self, Write};
@@ -34,7 +34,7 @@
 
 /// Which of the reactor's nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Place(pub usize);
+pub struct NodeId(pub usize);
 
 /// One clock for a process: counted from its start by a clock that never goes back, and put on the scale of
 /// the calendar once, so that moments of processes on one machine can be compared.
@@ -58,28 +58,28 @@
 }
 
 enum Told {
-    Word(Place, String),
-    Synced(Place, u64, Result<(), String>),
+    Word(NodeId, String),
+    Synced(NodeId, u64, Result<(), String>),
     /// A connection from another reactor of the house, and the door it came in at.
-    Link(Place, std::net::TcpStream, u32),
+    Link(NodeId, std::net::TcpStream, u32),
     End,
 }
 
 /// Who of several reactors has which seat.
 #[derive(Clone, Default)]
-pub struct House {
-    seats: Arc<Mutex<HashMap<Seat, Resident>>>,
+pub struct ReactorGroup {
+    seats: Arc<Mutex<HashMap<ReactorId, Resident>>>,
 }
 
 #[derive(Clone)]
 struct Resident {
     handle: Handle,
-    place: Place,
+    place: NodeId,
     knocked: Arc<AtomicBool>,
 }
 
-impl House {
-    fn resident(&self, seat: Seat) -> Option<Resident> {
+impl ReactorGroup {
+    fn resident(&self, seat: ReactorId) -> Option<Resident> {
         self.seats.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).get(&seat).cloned()
     }
 }
@@ -93,12 +93,12 @@
 
 impl Handle {
     /// False when the reactor has ended.
-    pub fn tell(&self, place: Place, word: impl Into<String>) -> bool {
+    pub fn send_command(&self, place: NodeId, word: impl Into<String>) -> bool {
         self.words.send(Told::Word(place, word.into())).is_ok() && self.waker.wake().is_ok()
     }
 
     /// A reactor that does not keep up is not waited for: the connection goes back to whoever had it.
-    fn hand(&self, place: Place, stream: std::net::TcpStream, door: u32) -> Result<(), std::net::TcpStream> {
+    fn hand(&self, place: NodeId, stream: std::net::TcpStream, door: u32) -> Result<(), std::net::TcpStream> {
         match self.words.try_send(Told::Link(place, stream, door)) {
             Ok(()) => {
                 let _ = self.waker.wake();
@@ -110,7 +110,7 @@
         }
     }
 
-    pub fn end(&self) {
+    pub fn shut_down(&self) {
         let _ = self.words.send(Told::End);
         let _ = self.waker.wake();
     }
@@ -140,7 +140,7 @@
     NotListening(u32, String),
     File(String, Result<Vec<u8>, String>),
     Synced(u64, Result<(), String>),
-    HandedBack(Link, Seat),
+    HandedBack(Link, ReactorId),
     Start,
     Stop,
     Reload,
@@ -152,9 +152,9 @@
     signals: Option<Signals>,
     words: Receiver<Told>,
     handle: Handle,
-    house: House,
+    house: ReactorGroup,
     /// Nodes here that have a seat in the house, and whether somebody knocked.
-    seated: Vec<(Place, Arc<AtomicBool>)>,
+    seated: Vec<(NodeId, Arc<AtomicBool>)>,
     slots: Vec<Slot>,
     sources: HashMap<Token, Source>,
     next_token: usize,
@@ -185,7 +185,7 @@
             signals: None,
             words,
             handle: Handle { words: sender, waker },
-            house: House::default(),
+            house: ReactorGroup::default(),
             seated: Vec::new(),
             slots: Vec::new(),
             sources: HashMap::new(),
@@ -222,16 +222,16 @@
         self.handle.clone()
     }
 
-    pub fn add(&mut self, node: Box<dyn Node>) -> Place {
+    pub fn add(&mut self, node: Box<dyn Node>) -> NodeId {
         let out = Outbox::default();
         self.slots.push(Slot { node, out, doors: HashMap::new(), links: HashMap::new() });
         self.pending.push_back((self.slots.len() - 1, Pending::Start));
-        Place(self.slots.len() - 1)
+        NodeId(self.slots.len() - 1)
     }
 
     /// Gives a node a seat among those of other reactors; all seats are taken before any of them runs. A
     /// reactor belongs to one house.
-    pub fn seat(&mut self, house: &House, seat: Seat, place: Place) {
+    pub fn join_group(&mut self, house: &ReactorGroup, seat: ReactorId, place: NodeId) {
         let knocked = Arc::new(AtomicBool::new(false));
         self.house = house.clone();
         self.seated.push((place, knocked.clone()));
@@ -309,17 +309,17 @@
                 _ => return,
             }
             let Some(Alarm(_, place, timer)) = self.alarms.pop() else { return };
-            self.give(place, Input::Due { timer });
+            self.give(place, Input::TimerFired { timer });
             self.settle();
         }
     }
 
     fn hear_words(&mut self) {
         // The flag falls before the node looks, so that what is left meanwhile rings anew.
-        let knocked = |seated: &&(Place, Arc<AtomicBool>)| seated.1.swap(false, Ordering::AcqRel);
-        let knocked: Vec<Place> = self.seated.iter().filter(knocked).map(|seated| seated.0).collect();
+        let knocked = |seated: &&(NodeId, Arc<AtomicBool>)| seated.1.swap(false, Ordering::AcqRel);
+        let knocked: Vec<NodeId> = self.seated.iter().filter(knocked).map(|seated| seated.0).collect();
         for place in knocked {
-            self.give(place.0, Input::Knocked);
+            self.give(place.0, Input::Notified);
             self.settle();
         }
         while self.exit.is_none() {
@@ -332,7 +332,7 @@
                     let from = stream.peer_addr().unwrap_or(nowhere);
                     let link = self.slots[place.0].out.link();
                     self.admit(place.0, link, Conn::taken_over(stream));
-                    self.give(place.0, Input::Accepted { link, door, from });
+                    self.give(place.0, Input::Accepted { link, listener: door, from });
                     self.settle();
                 }
                 Told::Synced(place, ticket, result) => {
@@ -340,7 +340,7 @@
                     self.settle();
                 }
                 Told::Word(place, word) => {
-                    self.give(place.0, Input::Word(&word));
+                    self.give(place.0, Input::Command(&word));
                     self.settle();
                 }
             }
@@ -371,14 +371,16 @@
             match what {
                 Pending::Opened(link) => self.give(place, Input::Opened { link }),
                 Pending::Closed(link, why) => self.give(place, Input::Closed { link, why }),
-                Pending::Listening(door, at) => self.give(place, Input::Listening { door, at }),
-                Pending::NotListening(door, why) => self.give(place, Input::NotListening { door, why }),
+                Pending::Listening(door, at) => self.give(place, Input::Listening { listener: door, at }),
+                Pending::NotListening(door, why) => {
+                    self.give(place, Input::NotListening { listener: door, why })
+                }
                 Pending::File(name, bytes) => {
                     let bytes = bytes.as_deref().map_err(|why| why.clone());
                     self.give(place, Input::File { name: &name, bytes });
                 }
                 Pending::Synced(ticket, result) => self.give(place, Input::Synced { ticket, result }),
-                Pending::HandedBack(link, to) => self.give(place, Input::HandedBack { link, to }),
+                Pending::HandedBack(link, to) => self.give(place, Input::TransferFailed { link, to }),
                 Pending::Start => self.give(place, Input::Start),
                 Pending::Stop => self.give(place, Input::Stop),
                 Pending::Reload => self.give(place, Input::Reload),
@@ -388,8 +390,8 @@
 
     fn carry_out(&mut self, place: usize, effect: Effect) {
         match effect {
-            Effect::Listen { door, at } => self.listen(place, door, at),
-            Effect::Unlisten { door } => {
+            Effect::Listen { listener: door, at } => self.listen(place, door, at),
+            Effect::Unlisten { listener: door } => {
                 if let Some((token, mut open)) = self.slots[place].doors.remove(&door) {
                     let _ = self.poll.registry().deregister(&mut open.listener);
                     self.sources.remove(&token);
@@ -427,8 +429,8 @@
                     self.drop_link(place, link, Ended::Ours);
                 }
             }
-            Effect::Hand { link, to, door } => self.hand(place, link, to, door),
-            Effect::Knock { seat } => {
+            Effect::Transfer { link, to, listener: door } => self.hand(place, link, to, door),
+            Effect::Notify { reactor: seat } => {
                 if let Some(resident) = self.house.resident(seat) {
                     if !resident.knocked.swap(true, Ordering::AcqRel) {
                         let _ = resident.handle.waker.wake();
@@ -446,11 +448,11 @@
                     self.again.push_back((place, link));
                 }
             }
-            Effect::Wake { timer, at } => {
+            Effect::SetTimer { timer, at } => {
                 self.alarms_set += 1;
                 self.alarms.push(Alarm(std::cmp::Reverse((at, self.alarms_set)), place, timer));
             }
-            Effect::Fetch { name } => {
+            Effect::ReadFile { name } => {
                 let told = |e: io::Error| match e.kind() {
                     io::ErrorKind::NotFound => NO_FILE.to_string(),
                     _ => e.to_string(),
@@ -458,15 +460,15 @@
                 let bytes = std::fs::read(self.dir.join(&name)).map_err(told);
                 self.pending.push_back((place, Pending::File(name, bytes)));
             }
-            Effect::Keep { name, bytes } => {
-                if let Err(e) = sockets::keep(&self.dir.join(&name), &bytes) {
+            Effect::SaveFile { name, bytes } => {
+                if let Err(e) = sockets::write_atomically(&self.dir.join(&name), &bytes) {
                     tracing::error!(file = %name, error = %e, "not_kept");
                 }
             }
             Effect::Append { name, at, bytes, ticket } => {
                 self.write(place, ticket, disk::Job { name, at: Some(at), bytes });
             }
-            Effect::Replace { name, bytes, ticket } => {
+            Effect::ReplaceFile { name, bytes, ticket } => {
                 self.write(place, ticket, disk::Job { name, at: None, bytes });
             }
             Effect::Log(line) => {
@@ -485,7 +487,7 @@
     fn write(&mut self, place: usize, ticket: u64, job: disk::Job) {
         let (dir, handle) = (&self.dir, &self.handle);
         let disk = self.disk.get_or_insert_with(|| disk::Disk::new(dir.clone(), handle.clone()));
-        if let Err(why) = disk.write(Place(place), ticket, job) {
+        if let Err(why) = disk.write(NodeId(place), ticket, job) {
             self.pending.push_back((place, Pending::Synced(ticket, Err(why))));
         }
     }
@@ -507,7 +509,7 @@
         }
     }
 
-    fn hand(&mut self, place: usize, link: Link, to: Seat, door: u32) {
+    fn hand(&mut self, place: usize, link: Link, to: ReactorId, door: u32) {
         let Some((token, mut conn)) = self.slots[place].links.remove(&link) else { return };
         let _ = self.poll.registry().deregister(&mut conn.stream);
         self.sources.remove(&token);
@@ -603,7 +605,7 @@
                 Ok(Some((conn, from))) => {
                     let link = self.slots[place].out.link();
                     self.admit(place, link, conn);
-                    self.give(place, Input::Accepted { link, door, from });
+                    self.give(place, Input::Accepted { link, listener: door, from });
                     self.settle();
                 }
                 Ok(None) => return,
@@ -661,7 +663,7 @@
     matches!(e.raw_os_error(), Some(EMFILE | ENFILE | ENOBUFS | ENOMEM | EADDRNOTAVAIL))
 }
 
-fn log(line: &Line) {
+fn log(line: &LogRecord) {
     let fields: Vec<String> = line.fields.iter().map(|(name, value)| format!("{name}={value}")).collect();
     let (event, fields) = (line.event, fields.join(" "));
     match line.level {
--- a/crates/reactor/src/sockets.rs
+++ b/crates/reactor/src/sockets.rs
@@ -171,7 +171,7 @@
 }
 
 /// Writes beside the file, syncs and renames: a reader finds the old file or the new one, never a part.
-pub fn keep(path: &Path, bytes: &[u8]) -> io::Result<()> {
+pub fn write_atomically(path: &Path, bytes: &[u8]) -> io::Result<()> {
     let beside = path.with_extension("new");
     let mut file = File::create(&beside)?;
     file.write_all(bytes)?;
--- a/crates/reactor/tests/house.rs
+++ b/crates/reactor/tests/house.rs
@@ -1,7 +1,7 @@
 //! Nodes of several reactors, each on a thread of its own, that work together.
 
-use pewtergap_node::{Effect, Input, Link, Node, Outbox, Seat};
-use pewtergap_reactor::{Clock, Handle, House, Place, Reactor};
+use pewtergap_node::{Effect, Input, Link, Node, Outbox, ReactorId};
+use pewtergap_reactor::{Clock, Handle, NodeId, Reactor, ReactorGroup};
 use pewtergap_time::Moment;
 use std::any::Any;
 use std::io::{Read, Write};
@@ -17,7 +17,7 @@
 /// Lets peers in and hands each to the next seat.
 struct Porter {
     heard: Sender<String>,
-    seats: Vec<Seat>,
+    seats: Vec<ReactorId>,
     next: usize,
     left: Arc<AtomicU64>,
 }
@@ -27,24 +27,24 @@
         let told = match input {
             Input::Start => {
                 let at = SocketAddr::from(([127, 0, 0, 1], 0));
-                return out.push(Effect::Listen { door: 7, at });
+                return out.push(Effect::Listen { listener: 7, at });
             }
             Input::Listening { at, .. } => at.to_string(),
-            Input::Accepted { link, door, .. } => {
+            Input::Accepted { link, listener: door, .. } => {
                 let to = self.seats[self.next % self.seats.len()];
                 self.next += 1;
-                return out.push(Effect::Hand { link, to, door });
+                return out.push(Effect::Transfer { link, to, listener: door });
             }
-            Input::Word("leave") => {
+            Input::Command("leave") => {
                 for _ in 0..1_000 {
                     self.left.fetch_add(1, Ordering::AcqRel);
-                    out.push(Effect::Knock { seat: self.seats[0] });
+                    out.push(Effect::Notify { reactor: self.seats[0] });
                 }
                 return;
             }
-            Input::Word(word) => word.into(),
+            Input::Command(word) => word.into(),
             Input::Closed { why, .. } => format!("{why:?}"),
-            Input::HandedBack { link, .. } => {
+            Input::TransferFailed { link, .. } => {
                 out.finish(link);
                 "handed back".into()
             }
@@ -69,12 +69,12 @@
 impl Node for Clerk {
     fn handle(&mut self, _: Moment, input: Input<'_>, out: &mut Outbox) {
         match input {
-            Input::Accepted { link, door, .. } => self.door = Some((link, door)),
+            Input::Accepted { link, listener: door, .. } => self.door = Some((link, door)),
             Input::Bytes { link, .. } => {
                 let door = self.door.filter(|known| known.0 == link).map_or(0, |known| known.1 as u8);
                 out.send(link, vec![self.seat, door]);
             }
-            Input::Knocked => {
+            Input::Notified => {
                 let _ = self.heard.send(self.left.load(Ordering::Acquire).to_string());
             }
             _ => {}
@@ -90,7 +90,7 @@
     /// Clerks whose threads have not begun.
     asleep: Vec<Reactor>,
     handles: Vec<Handle>,
-    porter: Place,
+    porter: NodeId,
     heard: Receiver<String>,
     knocks: Receiver<String>,
     at: SocketAddr,
@@ -102,7 +102,7 @@
 
 /// A porter, and two clerks on reactors of their own; it hands to the seats named.
 fn stage(seats: &[u32]) -> Stage {
-    let (house, left) = (House::default(), Arc::new(AtomicU64::new(0)));
+    let (house, left) = (ReactorGroup::default(), Arc::new(AtomicU64::new(0)));
     let ((sender, heard), (knocked, knocks)) = (channel(), channel());
     let mut handles = Vec::new();
     let mut clerks = Vec::new();
@@ -110,13 +110,13 @@
         let mut own = reactor();
         let clerk = Clerk { seat, heard: knocked.clone(), left: left.clone(), door: None };
         let place = own.add(Box::new(clerk));
-        own.seat(&house, Seat(seat.into()), place);
+        own.join_group(&house, ReactorId(seat.into()), place);
         clerks.push(own);
     }
     let mut front = reactor();
-    let seats = seats.iter().map(|seat| Seat(*seat)).collect();
+    let seats = seats.iter().map(|seat| ReactorId(*seat)).collect();
     let porter = front.add(Box::new(Porter { heard: sender, seats, next: 0, left }));
-    front.seat(&house, Seat(0), porter);
+    front.join_group(&house, ReactorId(0), porter);
     handles.extend(clerks.iter().chain([&front]).map(Reactor::handle));
     std::thread::spawn(move || front.run().unwrap());
     let at = heard.recv_timeout(CEILING).unwrap().parse().unwrap();
@@ -131,16 +131,16 @@
     }
 
     fn leave(&self) {
-        assert!(self.handles[2].tell(self.porter, "leave"));
+        assert!(self.handles[2].send_command(self.porter, "leave"));
         // Heard once all knocks are out.
-        assert!(self.handles[2].tell(self.porter, "left"));
+        assert!(self.handles[2].send_command(self.porter, "left"));
         assert_eq!(self.heard.recv_timeout(CEILING).unwrap(), "left");
     }
 }
 
 impl Drop for Stage {
     fn drop(&mut self) {
-        self.handles.iter().for_each(Handle::end);
+        self.handles.iter().for_each(Handle::shut_down);
     }
 }
 
--- a/crates/reactor/tests/signals.rs
+++ b/crates/reactor/tests/signals.rs
@@ -24,7 +24,7 @@
     fn handle(&mut self, _: Moment, input: Input<'_>, out: &mut Outbox) {
         let told = match input {
             Input::Start => {
-                return out.push(Effect::Listen { door: 1, at: SocketAddr::from(([127, 0, 0, 1], 0)) })
+                return out.push(Effect::Listen { listener: 1, at: SocketAddr::from(([127, 0, 0, 1], 0)) })
             }
             Input::Listening { at, .. } => at.to_string(),
             Input::Bytes { link, bytes } => {
--- a/crates/reactor/tests/sockets.rs
+++ b/crates/reactor/tests/sockets.rs
@@ -27,7 +27,7 @@
     fn handle(&mut self, now: Moment, input: Input<'_>, out: &mut Outbox) {
         let told = match input {
             Input::Start => {
-                out.push(Effect::Listen { door: 1, at: SocketAddr::from(([127, 0, 0, 1], 0)) });
+                out.push(Effect::Listen { listener: 1, at: SocketAddr::from(([127, 0, 0, 1], 0)) });
                 return;
             }
             Input::Listening { at, .. } => {
@@ -43,59 +43,59 @@
                 format!("{} bytes", bytes.len())
             }
             Input::Closed { why, .. } => format!("closed {why:?}"),
-            Input::Due { timer } => format!("due {timer}"),
+            Input::TimerFired { timer } => format!("due {timer}"),
             Input::File { name, bytes } => {
                 format!("{name}: {:?}", bytes.map(|b| b.len()).map_err(|_| "missing"))
             }
             Input::NotListening { .. } => "not listening".into(),
-            Input::Word("flood") => {
+            Input::Command("flood") => {
                 self.links.iter().for_each(|link| (0..64).for_each(|_| out.send(*link, vec![7; 1 << 20])));
                 return;
             }
-            Input::Word("hold") => {
+            Input::Command("hold") => {
                 let _ = self.heard.send("holding".into());
                 drop(self.held.lock());
                 return;
             }
-            Input::Word("finish") => {
+            Input::Command("finish") => {
                 self.links.iter().for_each(|link| {
                     out.send(*link, b"last words".to_vec());
                     out.finish(*link);
                 });
                 return;
             }
-            Input::Word("timers") => {
+            Input::Command("timers") => {
                 for (timer, ms) in [(3, 30), (1, 10), (2, 10), (4, 0)] {
-                    out.wake(timer, now + Span::millis(ms));
+                    out.set_timer(timer, now + Span::millis(ms));
                 }
                 return;
             }
-            Input::Word("end") => {
+            Input::Command("end") => {
                 out.push(Effect::Exit { code: 7 });
                 "asked to end".into()
             }
-            Input::Word("say") => {
+            Input::Command("say") => {
                 self.links.iter().for_each(|link| out.send(*link, b"late".to_vec()));
                 return;
             }
-            Input::Word("strange") => {
+            Input::Command("strange") => {
                 // An address of documentation: no machine has it.
                 out.connect("127.0.0.1:1".parse().unwrap(), Some("192.0.2.1".parse().unwrap()));
                 return;
             }
-            Input::Word("taken") => {
-                out.push(Effect::Listen { door: 2, at: self.at.unwrap() });
+            Input::Command("taken") => {
+                out.push(Effect::Listen { listener: 2, at: self.at.unwrap() });
                 return;
             }
-            Input::Word("nobody") => {
+            Input::Command("nobody") => {
                 out.connect("127.0.0.1:1".parse().unwrap(), Some("127.0.0.9".parse().unwrap()));
                 return;
             }
-            Input::Word("files") => {
-                out.push(Effect::Fetch { name: "none".into() });
-                out.push(Effect::Keep { name: "kept".into(), bytes: vec![1; 5] });
-                out.push(Effect::Keep { name: "kept".into(), bytes: vec![2; 9] });
-                out.push(Effect::Fetch { name: "kept".into() });
+            Input::Command("files") => {
+                out.push(Effect::ReadFile { name: "none".into() });
+                out.push(Effect::SaveFile { name: "kept".into(), bytes: vec![1; 5] });
+                out.push(Effect::SaveFile { name: "kept".into(), bytes: vec![2; 9] });
+                out.push(Effect::ReadFile { name: "kept".into() });
                 return;
             }
             other => format!("{other:?}"),
@@ -110,7 +110,7 @@
 
 struct Stage {
     handle: Handle,
-    place: pewtergap_reactor::Place,
+    place: pewtergap_reactor::NodeId,
     heard: Receiver<String>,
     at: SocketAddr,
     held: Arc<Mutex<()>>,
@@ -131,7 +131,7 @@
 
 impl Stage {
     fn tell(&self, word: &str) {
-        assert!(self.handle.tell(self.place, word));
+        assert!(self.handle.send_command(self.place, word));
     }
 
     fn hear(&self) -> String {
@@ -147,7 +147,7 @@
 
 impl Drop for Stage {
     fn drop(&mut self) {
-        self.handle.end();
+        self.handle.shut_down();
     }
 }
 
@@ -286,7 +286,7 @@
                     ticket,
                 };
                 let (name, bytes) = ("kept".to_string(), b"head".to_vec());
-                out.push(Effect::Replace { name, bytes, ticket: 1 });
+                out.push(Effect::ReplaceFile { name, bytes, ticket: 1 });
                 out.push(file("kept", 4, b"torn", 2));
                 out.push(file("kept", 4, b"one", 3));
                 out.push(file("kept", 7, b"two", 4));
--- a/crates/scale/src/deaf.rs
+++ b/crates/scale/src/deaf.rs
@@ -30,7 +30,7 @@
 impl Node for Deaf {
     fn handle(&mut self, now: Moment, input: Input<'_>, out: &mut Outbox) {
         match input {
-            Input::Word(word) => {
+            Input::Command(word) => {
                 let (what, at) = word.split_once(' ').unwrap_or((word, ""));
                 let Ok(at) = at.parse::<SocketAddr>() else { return };
                 self.leaves = what == "leave";
@@ -56,13 +56,13 @@
                     out.finish(link);
                 } else {
                     out.push(Effect::Pause { link });
-                    out.wake(0, now + LIFE);
+                    out.set_timer(0, now + LIFE);
                 }
             }
-            Input::Due { .. } if self.link.is_some() && !self.leaves => {
+            Input::TimerFired { .. } if self.link.is_some() && !self.leaves => {
                 self.token += 1;
                 self.say(Kind::Ping(Ping { token: self.token, applied: 0, echo: 0 }), out);
-                out.wake(0, now + LIFE);
+                out.set_timer(0, now + LIFE);
             }
             Input::Closed { link, .. } if self.link == Some(link) => self.link = None,
             _ => {}
--- a/crates/scale/src/hollow.rs
+++ b/crates/scale/src/hollow.rs
@@ -7,7 +7,7 @@
 use crate::track::{answer, Answer, Ask, Track};
 use crate::wire::{Cut, Wire};
 use pewtergap_node::{Input, Node, Outbox};
-use pewtergap_reactor::{Clock, Handle, Place, Reactor};
+use pewtergap_reactor::{Clock, Handle, NodeId, Reactor};
 use pewtergap_record::{ActiveOrder, OrderAction};
 use pewtergap_time::{Moment, Span};
 use pewtergap_watch::{ClientConfig, SavedState, Scope, WatchClient, WatchConfig, WatchEvent};
@@ -156,7 +156,7 @@
             }
             Ask::Heal => self.wire.cut(now, Cut::None, out),
             Ask::Restart { within_ms } => {
-                out.wake(RESTART, now + Span::micros(self.rng.u64(0..=within_ms * 1_000)));
+                out.set_timer(RESTART, now + Span::micros(self.rng.u64(0..=within_ms * 1_000)));
             }
             Ask::Holds { weights } => drop(self.holds.send(self.wire.inner.holds(&weights))),
             _ => {}
@@ -168,12 +168,12 @@
     fn handle(&mut self, now: Moment, input: Input<'_>, out: &mut Outbox) {
         let before = self.wire.passed;
         match input {
-            Input::Word(word) => {
+            Input::Command(word) => {
                 if let Ok(ask) = serde_json::from_str(word) {
                     self.told(now, ask, out);
                 }
             }
-            Input::Due { timer: RESTART } => {
+            Input::TimerFired { timer: RESTART } => {
                 self.wire.drop_all(now, out);
                 self.wire.inner.restart(now);
                 self.wire.handle(now, Input::Start, out);
@@ -198,7 +198,7 @@
 struct Front {
     tracks: Tracks,
     handle: Handle,
-    places: Vec<Place>,
+    places: Vec<NodeId>,
     holds: Receiver<(u64, Vec<String>)>,
 }
 
@@ -207,7 +207,7 @@
         let tell = |ask: &Ask| {
             let word = serde_json::to_string(ask).unwrap_or_default();
             for place in &self.places {
-                self.handle.tell(*place, word.clone());
+                self.handle.send_command(*place, word.clone());
             }
         };
         match ask {
@@ -282,6 +282,6 @@
             break;
         }
     }
-    front.handle.end();
+    front.handle.shut_down();
     thread.join().map_err(|_| "the reactor failed")?.map_err(told)
 }
--- a/crates/scale/src/parties.rs
+++ b/crates/scale/src/parties.rs
@@ -13,7 +13,7 @@
 use pewtergap_lab::list::List;
 use pewtergap_lab::process::Process;
 use pewtergap_lab::server::{Machine as Hardware, Server};
-use pewtergap_reactor::{Clock, Handle, Place, Reactor};
+use pewtergap_reactor::{Clock, Handle, NodeId, Reactor};
 use pewtergap_time::Span;
 use rustix::process::Signal;
 use serde_json::Value;
@@ -70,14 +70,14 @@
     reals: Vec<Real>,
     proxies: Vec<Process>,
     pub crowds: Crowds,
-    relay: (Handle, Place),
+    relay: (Handle, NodeId),
     /// Between real planners and control machines, and what passed there.
-    watches: Place,
+    watches: NodeId,
     passed: Passed,
     /// What passed between control machines.
     between: Passed,
-    list: Place,
-    deaf: Place,
+    list: NodeId,
+    deaf: NodeId,
     listens: HashMap<String, SocketAddr>,
     rungs: Receiver<Rung>,
     thread: Option<JoinHandle<()>>,
@@ -86,7 +86,7 @@
 impl Drop for Parties<'_> {
     fn drop(&mut self) {
         self.machines.iter().for_each(|machine| machine.signal(Signal::CONT));
-        self.relay.0.end();
+        self.relay.0.shut_down();
         self.thread.take().map(JoinHandle::join);
     }
 }
@@ -234,12 +234,12 @@
 
     /// To the relay between control machines.
     pub fn say(&self, word: String) {
-        self.relay.0.tell(self.relay.1, word);
+        self.relay.0.send_command(self.relay.1, word);
     }
 
     /// To the relay between real planners and control machines.
     pub fn say_watches(&self, word: String) {
-        self.relay.0.tell(self.watches, word);
+        self.relay.0.send_command(self.watches, word);
     }
 
     /// Bytes of the real planners' watches so far: to control machines, and from them.
@@ -350,7 +350,7 @@
     pub fn start_real(&mut self) -> Result<(), String> {
         for nth in 0..SERVERS {
             let at = self.listens[&format!("server {nth}")];
-            self.relay.0.tell(self.list, format!("put {at} north running 1 0"));
+            self.relay.0.send_command(self.list, format!("put {at} north running 1 0"));
         }
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         for nth in 0..self.size.real {
@@ -413,7 +413,7 @@
 
     /// The watcher that reads nothing: `dial` or `leave`, at a machine.
     pub fn deaf(&self, what: &str, at: SocketAddr) {
-        self.relay.0.tell(self.deaf, format!("{what} {at}"));
+        self.relay.0.send_command(self.deaf, format!("{what} {at}"));
     }
 }
 
--- a/crates/scale/src/wire.rs
+++ b/crates/scale/src/wire.rs
@@ -181,7 +181,7 @@
                     held.closed = true;
                     self.peers.remove(&link);
                     self.ends.push_back(link);
-                    out.wake(LATER, now);
+                    out.set_timer(LATER, now);
                 }
             }
             effect => out.push(effect),
@@ -196,7 +196,7 @@
 impl<N: Node> Node for Wire<N> {
     fn handle(&mut self, now: Moment, input: Input<'_>, out: &mut Outbox) {
         let (link, came) = match &input {
-            Input::Due { timer: LATER } => {
+            Input::TimerFired { timer: LATER } => {
                 while let Some(link) = self.ends.pop_front() {
                     self.give(now, Input::Closed { link, why: Ended::Ours }, out);
                 }
--- a/crates/scale/tests/wire.rs
+++ b/crates/scale/tests/wire.rs
@@ -20,9 +20,9 @@
 impl Node for Peer {
     fn handle(&mut self, _: Moment, input: Input<'_>, out: &mut Outbox) {
         match input {
-            Input::Word("dial") => self.link = Some(out.connect(machine(), None)),
-            Input::Word("close") => self.link.take().into_iter().for_each(|link| out.cut(link)),
-            Input::Word(word) => self.link.iter().for_each(|link| out.send(*link, word.into())),
+            Input::Command("dial") => self.link = Some(out.connect(machine(), None)),
+            Input::Command("close") => self.link.take().into_iter().for_each(|link| out.cut(link)),
+            Input::Command(word) => self.link.iter().for_each(|link| out.send(*link, word.into())),
             Input::Opened { .. } => self.heard.push("opened".into()),
             Input::Bytes { bytes, .. } => self.heard.push(String::from_utf8_lossy(bytes).into_owned()),
             Input::Closed { why, .. } => self.heard.push(format!("{why:?}")),
@@ -58,7 +58,7 @@
     }
 
     fn open(&mut self) -> Link {
-        let dialled = self.tell(Input::Word("dial"));
+        let dialled = self.tell(Input::Command("dial"));
         let Some(Effect::Connect { link, .. }) = dialled.first() else { panic!("{dialled:?}") };
         self.tell(Input::Opened { link: *link });
         *link
@@ -74,7 +74,7 @@
     let mut stage = Stage::new();
     let link = stage.open();
     assert_eq!(stage.cut(Cut::All), [Effect::Pause { link }]);
-    assert_eq!(stage.tell(Input::Word("ping")), []);
+    assert_eq!(stage.tell(Input::Command("ping")), []);
     stage.tell(Input::Bytes { link, bytes: b"late" });
     assert_eq!(stage.heard(), ["opened"]);
     let healed = stage.cut(Cut::None);
@@ -88,10 +88,10 @@
     let mut stage = Stage::new();
     let link = stage.open();
     stage.cut(Cut::All);
-    let closed = stage.tell(Input::Word("close"));
-    let Some(Effect::Wake { timer, .. }) = closed.first() else { panic!("{closed:?}") };
+    let closed = stage.tell(Input::Command("close"));
+    let Some(Effect::SetTimer { timer, .. }) = closed.first() else { panic!("{closed:?}") };
     assert_eq!(closed.len(), 1);
-    stage.tell(Input::Due { timer: *timer });
+    stage.tell(Input::TimerFired { timer: *timer });
     assert_eq!(stage.heard(), ["opened", "Ours"]);
     assert_eq!(stage.cut(Cut::None), [Effect::Cut { link }]);
     // Its second end is not the node's business.
@@ -103,9 +103,9 @@
 fn a_dial_behind_a_cut_leaves_when_it_heals_unless_it_was_given_up() {
     let mut stage = Stage::new();
     stage.cut(Cut::Some([machine()].into()));
-    assert_eq!(stage.tell(Input::Word("dial")), []);
-    stage.tell(Input::Word("close"));
-    assert_eq!(stage.tell(Input::Word("dial")), []);
+    assert_eq!(stage.tell(Input::Command("dial")), []);
+    stage.tell(Input::Command("close"));
+    assert_eq!(stage.tell(Input::Command("dial")), []);
     let healed = stage.cut(Cut::None);
     assert!(matches!(healed.as_slice(), [Effect::Connect { .. }]), "{healed:?}");
 }
@@ -115,7 +115,7 @@
     let mut stage = Stage::new();
     let link = stage.open();
     assert_eq!(stage.cut(Cut::Some([SocketAddr::from(([127, 0, 0, 2], 7))].into())), []);
-    assert_eq!(stage.tell(Input::Word("ping")), [Effect::Send { link, bytes: b"ping".to_vec() }]);
+    assert_eq!(stage.tell(Input::Command("ping")), [Effect::Send { link, bytes: b"ping".to_vec() }]);
 }
 
 #[test]
--- a/crates/settings/src/files.rs
+++ b/crates/settings/src/files.rs
@@ -1,6 +1,6 @@
 //! The two files of the program: a planner's service and a proxy.
 
-use crate::read::{Faults, Section, Share};
+use crate::read::{Faults, Fraction, Section};
 use crate::script::Script;
 use pewtergap_control::channel::Channel as Queue;
 use pewtergap_control::{ListSource, ListenConfig, ProbeConfig, ReportConfig, Service, ServiceConfig};
@@ -14,7 +14,7 @@
 use pewtergap_planner::{
     Capabilities, ChannelLimits, Contract, Fleet, KeyScope, Planner, RetrySafety, Route, Slicing, Throttle,
 };
-use pewtergap_proxy::{Front, Home, Proxy, Shunning};
+use pewtergap_proxy::{EjectionConfig, FrontConfig, Proxy, ProxyConfig};
 use pewtergap_raft::RaftConfig;
 use pewtergap_record::{ACCOUNTING_DUTY, CLEANING_DUTY, OBSERVERS_FORMAT, RELEASE_DUTY};
 use pewtergap_shares::BudgetConfig;
@@ -29,8 +29,8 @@
 
 /// What `pewtergap run` starts from.
 pub struct ServiceFile {
-    pub charge: ServiceConfig,
-    pub doors: ListenConfig,
+    pub service: ServiceConfig,
+    pub listen: ListenConfig,
     pub source: ListSource,
     pub fleet: Fleet,
     pub routes: Vec<Route>,
@@ -39,9 +39,9 @@
     pub capabilities: Capabilities,
     pub slicing: Slicing,
     pub reports: ReportConfig,
-    pub probing: ProbeConfig,
+    pub probes: ProbeConfig,
     /// Who agrees with this planner on what it holds for others; alone unless others are named.
-    pub post: MemberConfig,
+    pub member: MemberConfig,
     /// Whom it watches instead of being a member.
     pub watch: Option<WatchTargetConfig>,
     pub seed: Option<u64>,
@@ -50,17 +50,17 @@
 
 /// What `pewtergap control` starts from.
 pub struct ControlFile {
-    pub home: ControlMachineConfig,
+    pub config: ControlMachineConfig,
     pub seed: Option<u64>,
     pub dir: PathBuf,
 }
 
 /// What `pewtergap proxy` starts from.
 pub struct ProxyFile {
-    pub home: Home,
-    pub front: Front,
+    pub proxy: ProxyConfig,
+    pub front: FrontConfig,
     pub routes: Vec<pewtergap_proxy::Route>,
-    pub shunning: Shunning,
+    pub shunning: EjectionConfig,
     pub standing: Vec<String>,
     pub seed: Option<u64>,
     pub dir: PathBuf,
@@ -75,42 +75,42 @@
 }
 
 fn route(part: &Section) -> RouteFile {
-    let name: String = part.need("name");
+    let name: String = part.required("name");
     if name.contains(['/', ' ', '?']) {
-        part.fault("name", "a route is the first part of a path, without / or ?");
+        part.error("name", "a route is the first part of a path, without / or ?");
     }
-    let (slo_time, time_limit): (Span, Span) = (part.need("slo_time"), part.need("time_limit"));
+    let (slo_time, time_limit): (Span, Span) = (part.required("slo_time"), part.required("time_limit"));
     if slo_time > time_limit {
-        part.clash("slo_time", format!("{slo_time} is beyond the time limit of {time_limit}"));
+        part.conflict("slo_time", format!("{slo_time} is beyond the time limit of {time_limit}"));
     }
-    let window: Option<Span> = part.maybe("window");
-    let scope =
-        part.word("key_scope", &[("all", KeyScope::All), ("zone", KeyScope::Zone), ("cell", KeyScope::Cell)]);
-    let retry_safety = match part.word("repeats", &[("mutating", 0), ("repeatable", 1), ("keyed", 2)]) {
+    let window: Option<Span> = part.optional("window");
+    let scope = part
+        .choice("key_scope", &[("all", KeyScope::All), ("zone", KeyScope::Zone), ("cell", KeyScope::Cell)]);
+    let retry_safety = match part.choice("repeats", &[("mutating", 0), ("repeatable", 1), ("keyed", 2)]) {
         0 => RetrySafety::Mutating,
         1 => RetrySafety::Repeatable,
         _ => {
             if window.is_none() {
-                part.fault("window", "is missing: how long are repeats of a keyed call dropped?");
+                part.error("window", "is missing: how long are repeats of a keyed call dropped?");
             }
             RetrySafety::Keyed { scope, window: window.unwrap_or_default() }
         }
     };
-    let resend = part.word("retries", &[("never", 0), ("on proof", 1), ("once", 2)]);
+    let resend = part.choice("retries", &[("never", 0), ("on proof", 1), ("once", 2)]);
     let mutating = retry_safety != RetrySafety::Repeatable;
     if resend == 2 && mutating {
-        part.fault(
+        part.error(
             "retries",
             "a route that is not repeatable may only be tried again \"on proof\" that it never ran",
         );
     }
     let planned = Route {
-        importance: part.or("importance", 1.0),
+        importance: part.or_default("importance", 1.0),
         slo_time,
         time_limit,
         retry_safety,
-        zone_bound: part.or("zone_bound", false),
-        writes: part.or("writes", retry_safety == RetrySafety::Mutating),
+        zone_bound: part.or_default("zone_bound", false),
+        writes: part.or_default("writes", retry_safety == RetrySafety::Mutating),
     };
     let served = pewtergap_proxy::Route { name: name.clone(), time_limit, mutating, resend };
     RouteFile { name, planned, served }
@@ -120,14 +120,14 @@
 pub fn routes(part: &Section) -> Vec<RouteFile> {
     let routes = part.parts("routes", "route", route);
     if routes.is_empty() {
-        part.fault("routes", "at least one route() was expected");
+        part.error("routes", "at least one route() was expected");
     }
     if routes.len() > 60 {
-        part.fault("routes", "60 routes at most");
+        part.error("routes", "60 routes at most");
     }
     for (at, route) in routes.iter().enumerate() {
         if routes[..at].iter().any(|other| other.name == route.name) {
-            part.fault("routes", format!("route \"{}\" is there twice", route.name));
+            part.error("routes", format!("route \"{}\" is there twice", route.name));
         }
     }
     routes
@@ -136,46 +136,46 @@
 fn source(part: &Section) -> ListSource {
     match part.kind() {
         "list_watch" => ListSource::Watch {
-            address: part.need("address"),
-            path: part.or("path", "/apis/discovery.k8s.io/v1/endpointslices".to_string()),
+            address: part.required("address"),
+            path: part.or_default("path", "/apis/discovery.k8s.io/v1/endpointslices".to_string()),
         },
-        _ => ListSource::File { name: part.need("name") },
+        _ => ListSource::File { name: part.required("name") },
     }
 }
 
 /// The figures of the rules, and the time for which a proxy may lack a line.
 pub fn rules(part: &Section) -> (Contract, Span) {
     let contract = Contract {
-        drain_grace: part.need("drain_grace"),
-        removal_is_binding: part.or("removal_binds", true),
-        cold_capacity: part.or("cold_from", Share(0.2)).0,
-        warmup: part.need("cold_for"),
-        overload_factor: part.or("overload", 3.0),
-        overload_time: part.or("fall", Span::millis(2_000)),
+        drain_grace: part.required("drain_grace"),
+        removal_is_binding: part.or_default("removal_binds", true),
+        cold_capacity: part.or_default("cold_from", Fraction(0.2)).0,
+        warmup: part.required("cold_for"),
+        overload_factor: part.or_default("overload", 3.0),
+        overload_time: part.or_default("fall", Span::millis(2_000)),
     };
     if contract.overload_factor < 1.0 {
-        part.fault("overload", "a server is not pushed over by less than it can do, 1 or more was expected");
+        part.error("overload", "a server is not pushed over by less than it can do, 1 or more was expected");
     }
-    (contract, part.or("no_line", Span::millis(2_000)))
+    (contract, part.or_default("no_line", Span::millis(2_000)))
 }
 
 pub fn channel(part: &Section) -> ChannelLimits {
     ChannelLimits {
-        message_overhead: part.or("head", 3.0),
-        max_queued_lines: part.need("most_waiting"),
-        max_messages: part.or("messages", usize::MAX),
-        message_window: part.or("messages_over", Span::millis(10_000)),
-        lines_per_s: part.need("lines_per_s"),
-        max_transit: part.or("longest_way", Span::millis(250)),
+        message_overhead: part.or_default("head", 3.0),
+        max_queued_lines: part.required("most_waiting"),
+        max_messages: part.or_default("messages", usize::MAX),
+        message_window: part.or_default("messages_over", Span::millis(10_000)),
+        lines_per_s: part.required("lines_per_s"),
+        max_transit: part.or_default("longest_way", Span::millis(250)),
     }
 }
 
 /// Names and where each is found, each name once.
 fn found_at(part: &Section, list: &str, kind: &str) -> Vec<(String, SocketAddr)> {
-    let all = part.parts(list, kind, |part| (part.need::<String>("name"), part.need("address")));
+    let all = part.parts(list, kind, |part| (part.required::<String>("name"), part.required("address")));
     for (at, one) in all.iter().enumerate() {
         if all[..at].iter().any(|other| other.0 == one.0) {
-            part.fault(list, format!("{kind} \"{}\" is there twice", one.0));
+            part.error(list, format!("{kind} \"{}\" is there twice", one.0));
         }
     }
     all
@@ -186,40 +186,40 @@
     let founders = found_at(part, "members", "member");
     let observers = found_at(part, "observers", "member");
     if let Some(both) = observers.iter().find(|one| founders.iter().any(|other| other.0 == one.0)) {
-        part.fault("observers", format!("\"{}\" is among the members, who vote", both.0));
+        part.error("observers", format!("\"{}\" is among the members, who vote", both.0));
     }
     if observers.len() > MAX_OBSERVERS {
-        part.fault(
+        part.error(
             "observers",
             format!("{} observers: {MAX_OBSERVERS} at most were expected", observers.len()),
         );
     }
     if founders.is_empty() && !observers.is_empty() {
-        part.fault("observers", "members is missing: whom do they observe?");
+        part.error("observers", "members is missing: whom do they observe?");
     }
     if founders.len() > MAX_MEMBERS || !founders.is_empty() && founders.len().is_multiple_of(2) {
-        part.fault("members", format!("{} members: 1, 3, 5 or 7 were expected", founders.len()));
+        part.error("members", format!("{} members: 1, 3, 5 or 7 were expected", founders.len()));
     }
     let raft = RaftConfig {
-        heartbeat_interval: part.or("beat", Span::millis(50)),
-        election_timeout: part.or("election", Span::millis(500)),
+        heartbeat_interval: part.or_default("beat", Span::millis(50)),
+        election_timeout: part.or_default("election", Span::millis(500)),
     };
     if raft.heartbeat_interval.times(4.0) > raft.election_timeout {
-        part.clash(
+        part.conflict(
             "election",
             format!("{} is less than four beats of {}", raft.election_timeout, raft.heartbeat_interval),
         );
     }
-    let request_timeout = part.or("patience", Span::millis(3_000));
-    let listen = part.maybe("listen");
-    let max_format = part.or("format", SUPPORTED_FORMATS.1 as usize) as u32;
+    let request_timeout = part.or_default("patience", Span::millis(3_000));
+    let listen = part.optional("listen");
+    let max_format = part.or_default("format", SUPPORTED_FORMATS.1 as usize) as u32;
     if !(SUPPORTED_FORMATS.0..=SUPPORTED_FORMATS.1).contains(&max_format) {
-        part.fault(
+        part.error(
             "format",
             format!("{max_format}: this build speaks {} to {}", SUPPORTED_FORMATS.0, SUPPORTED_FORMATS.1),
         );
     } else if max_format < OBSERVERS_FORMAT && !observers.is_empty() {
-        part.fault("format", format!("{max_format}: observers need {OBSERVERS_FORMAT}"));
+        part.error("format", format!("{max_format}: observers need {OBSERVERS_FORMAT}"));
     }
     MemberConfig {
         name: String::new(),
@@ -242,19 +242,19 @@
 /// Duties that one planner holds at a time; left out, there are none and each does all for itself.
 fn duties(part: &Section) -> (LeaseConfig, Span, usize) {
     let lease = LeaseConfig {
-        duration: part.or("lease", Span::millis(3_000)),
-        renew_interval: part.or("renew", Span::millis(500)),
-        max_pause: part.or("pause", Span::millis(500)),
-        max_clock_drift: part.or("drift", Share(0.02)).0,
+        duration: part.or_default("lease", Span::millis(3_000)),
+        renew_interval: part.or_default("renew", Span::millis(500)),
+        max_pause: part.or_default("pause", Span::millis(500)),
+        max_clock_drift: part.or_default("drift", Fraction(0.02)).0,
     };
     if let Err(why) = lease.validate() {
-        part.clash("lease", why);
+        part.conflict("lease", why);
     }
-    let slices = part.or("slices", 1);
+    let slices = part.or_default("slices", 1);
     if slices > 200 {
-        part.fault("slices", format!("{slices} of each zone: 0 to 200 were expected"));
+        part.error("slices", format!("{slices} of each zone: 0 to 200 were expected"));
     }
-    (lease, part.or("steady", Span::millis(5_000)), slices)
+    (lease, part.or_default("steady", Span::millis(5_000)), slices)
 }
 
 /// What planners share; left out, they share nothing.
@@ -265,19 +265,19 @@
     contract: &Contract,
     drift: f64,
 ) -> SharingConfig {
-    let interval = part.or("every", Span::millis(500));
-    let max_age = part.or("fresh", Span::millis(3_000));
+    let interval = part.or_default("every", Span::millis(500));
+    let max_age = part.or_default("fresh", Span::millis(3_000));
     if interval < Span::millis(50) {
-        part.fault("every", "at least 50ms were expected");
+        part.error("every", "at least 50ms were expected");
     }
     if max_age < interval.times(2.0) {
-        part.clash(
+        part.conflict(
             "fresh",
             format!("{max_age} is less than twice what passes between two tellings, {interval}"),
         );
     }
     let budget = BudgetConfig {
-        share_validity: part.or("holds", Span::millis(30_000)),
+        share_validity: part.or_default("holds", Span::millis(30_000)),
         // A server that was cold under a planner's last tables is warm by then, wherever these still are.
         effect_timeout: contract.warmup + contract.drain_grace,
         max_clock_drift: drift,
@@ -288,10 +288,12 @@
 }
 
 fn books(part: &Section) -> AccountingConfig {
-    let accounting =
-        AccountingConfig { address: part.need("receiver"), period: part.or("period", Span::millis(60_000)) };
+    let accounting = AccountingConfig {
+        address: part.required("receiver"),
+        period: part.or_default("period", Span::millis(60_000)),
+    };
     if accounting.period < Span::millis(100) {
-        part.fault("period", "at least 100ms were expected");
+        part.error("period", "at least 100ms were expected");
     }
     accounting
 }
@@ -300,10 +302,11 @@
 fn watch(part: &Section) -> WatchTargetConfig {
     let machines = found_at(part, "machines", "machine");
     if machines.is_empty() || machines.len() > MOST_MACHINES {
-        part.fault("machines", format!("{} machines: 1 to {MOST_MACHINES} were expected", machines.len()));
+        part.error("machines", format!("{} machines: 1 to {MOST_MACHINES} were expected", machines.len()));
     }
     let usual = WatchConfig::default();
-    let watch_config = WatchConfig { connect_timeout: part.or("dial", usual.connect_timeout), ..usual };
+    let watch_config =
+        WatchConfig { connect_timeout: part.or_default("dial", usual.connect_timeout), ..usual };
     WatchTargetConfig { planner: String::new(), machines, source_ip: None, watch_config, seed: 0 }
 }
 
@@ -311,31 +314,31 @@
 fn watches(part: &Section) -> (SocketAddr, WatchConfig) {
     let usual = WatchConfig::default();
     let watch_config = WatchConfig {
-        max_watches: part.or("most", usual.max_watches),
-        max_snapshots: part.or("snapshots", usual.max_snapshots),
-        batch_interval: part.or("pace", usual.batch_interval),
+        max_watches: part.or_default("most", usual.max_watches),
+        max_snapshots: part.or_default("snapshots", usual.max_snapshots),
+        batch_interval: part.or_default("pace", usual.batch_interval),
         ..usual
     };
     if watch_config.max_watches > 16_384 {
-        part.fault("most", format!("{}: 16384 watches at most were expected", watch_config.max_watches));
+        part.error("most", format!("{}: 16384 watches at most were expected", watch_config.max_watches));
     }
     if watch_config.max_snapshots > watch_config.max_watches {
-        part.clash(
+        part.conflict(
             "snapshots",
             format!("{} of {} watches", watch_config.max_snapshots, watch_config.max_watches),
         );
     }
     if watch_config.batch_interval < Span::millis(10) || watch_config.batch_interval > Span::millis(2_000) {
-        part.fault("pace", format!("{}: 10ms to 2s were expected", watch_config.batch_interval));
+        part.error("pace", format!("{}: 10ms to 2s were expected", watch_config.batch_interval));
     }
-    (part.need("listen"), watch_config)
+    (part.required("listen"), watch_config)
 }
 
 /// Names that name files.
 fn file_name(part: &Section) -> String {
-    let name: String = part.need("name");
+    let name: String = part.required("name");
     if !name.chars().all(|c| c.is_ascii_alphanumeric() || c == '-' || c == '_') {
-        part.fault("name", "letters, digits, - and _ only: it names files");
+        part.error("name", "letters, digits, - and _ only: it names files");
     }
     name
 }
@@ -343,49 +346,56 @@
 pub fn control_file(script: &Script) -> Result<ControlFile, Faults> {
     script.as_kind("control_machine", |part| {
         let name = file_name(part);
-        let from = part.maybe("source_address");
-        let post = part.within("cluster", "cluster", cluster);
+        let from = part.optional("source_address");
+        let post = part.part_or_default("cluster", "cluster", cluster);
         if !post.founders.is_empty() && post.listen.is_none() {
-            part.fault("cluster", "listen is missing: where do the other members come in?");
+            part.error("cluster", "listen is missing: where do the other members come in?");
         }
         let mut belong = post.founders.iter().chain(&post.observers);
         if !post.founders.is_empty() && !belong.any(|one| one.0 == name) {
-            part.clash("cluster", format!("\"{name}\" is neither among the members nor among the observers"));
+            part.conflict(
+                "cluster",
+                format!("\"{name}\" is neither among the members nor among the observers"),
+            );
         }
         let (listen, terms) = part
-            .need_part("watches", &["watches"], watches)
+            .required_part("watches", &["watches"], watches)
             .unwrap_or((SocketAddr::from(([127, 0, 0, 1], 0)), WatchConfig::default()));
         let home = ControlMachineConfig {
             member: MemberConfig { name, source_ip: from, ..post },
             watches: listen,
-            admin: part.maybe("admin"),
+            admin: part.optional("admin"),
             watch_config: terms,
             seed: 0,
         };
-        ControlFile { home, seed: part.maybe("seed"), dir: part.or("state_dir", ".".to_string()).into() }
+        ControlFile {
+            config: home,
+            seed: part.optional("seed"),
+            dir: part.or_default("state_dir", ".".to_string()).into(),
+        }
     })
 }
 
 pub fn service_file(script: &Script) -> Result<ServiceFile, Faults> {
     script.as_kind("service", |part| {
         let name = file_name(part);
-        let zones: Vec<String> = part.need("zones");
+        let zones: Vec<String> = part.required("zones");
         if zones.is_empty() {
-            part.fault("zones", "at least one zone was expected");
+            part.error("zones", "at least one zone was expected");
         }
         let routes = routes(part);
-        let fleet = part.within("fleet", "fleet", |part| Fleet {
+        let fleet = part.part_or_default("fleet", "fleet", |part| Fleet {
             zones: zones.len(),
-            proxies: part.need("proxies"),
-            planners: part.or("planners", 1),
+            proxies: part.required("proxies"),
+            planners: part.or_default("planners", 1),
             list_on_request: false,
             list_request_interval: Span::millis(0),
-            cross_zone_cost: part.or("crossing_price", Share(0.05)).0,
-            min_server_connections: part.or("smallest_connections", f64::INFINITY),
-            keep_alive: part.or("keep_alive", Span::millis(15_000)),
+            cross_zone_cost: part.or_default("crossing_price", Fraction(0.05)).0,
+            min_server_connections: part.or_default("smallest_connections", f64::INFINITY),
+            keep_alive: part.or_default("keep_alive", Span::millis(15_000)),
         });
-        let channel = part.within("channel", "channel", channel);
-        let contract = part.within("rules", "rules", rules).0;
+        let channel = part.part_or_default("channel", "channel", channel);
+        let contract = part.part_or_default("rules", "rules", rules).0;
         // One removal has to reach all proxies of the fleet, should the other planners be gone.
         let leaves = fleet.proxies as f64 * (channel.message_overhead + 2.0) / channel.lines_per_s.max(1e-9);
         let removal = Span::of_seconds(channel.max_transit.seconds() + leaves);
@@ -394,48 +404,48 @@
                 "a removal to {} proxies takes {removal}, the drain grace is {}",
                 fleet.proxies, contract.drain_grace
             );
-            part.clash("channel", what);
+            part.conflict("channel", what);
         }
         if channel.max_queued_lines < fleet.proxies as f64 * (channel.message_overhead + 2.0) {
             let what = format!(
                 "{} waiting lines do not hold a removal to {} proxies",
                 channel.max_queued_lines, fleet.proxies
             );
-            part.clash("channel", what);
+            part.conflict("channel", what);
         }
-        let probing = part.within("probes", "probes", |part| {
+        let probing = part.part_or_default("probes", "probes", |part| {
             let probing = ProbeConfig {
-                path: part.or("path", "/healthz".to_string()),
-                timeout: part.or("within", Span::millis(500)),
-                max_open: part.or("most_open", 64),
+                path: part.or_default("path", "/healthz".to_string()),
+                timeout: part.or_default("within", Span::millis(500)),
+                max_open: part.or_default("most_open", 64),
                 body_fields: None,
             };
-            (part.or("on", true), part.or("carry_load", false), probing)
+            (part.or_default("on", true), part.or_default("carry_load", false), probing)
         });
         let capabilities = Capabilities {
-            throttle: part.word("levels", &[("fraction", Throttle::Fraction), ("off", Throttle::Off)]),
+            throttle: part.choice("levels", &[("fraction", Throttle::Fraction), ("off", Throttle::Off)]),
             probes: probing.0,
             load_on_probe: probing.1,
-            ejects_servers: part.or("proxies_shun", false),
+            ejects_servers: part.or_default("proxies_shun", false),
             resend_wait_factor: 0.0,
         };
-        let reports = part.within("reports", "reports", |part| ReportConfig {
-            interval: part.or("every", Span::millis(1_000)),
-            lines_per_s: part.or("intake_per_s", 1_000.0),
-            max_streams: part.or("most_streams", 16_384),
+        let reports = part.part_or_default("reports", "reports", |part| ReportConfig {
+            interval: part.or_default("every", Span::millis(1_000)),
+            lines_per_s: part.or_default("intake_per_s", 1_000.0),
+            max_streams: part.or_default("most_streams", 16_384),
         });
         let doors = ListenConfig {
-            proxies: part.need("listen"),
-            admin: part.maybe("admin"),
-            source_ip: part.maybe("source_address"),
+            proxies: part.required("listen"),
+            admin: part.optional("admin"),
+            source_ip: part.optional("source_address"),
         };
-        let post = part.within("cluster", "cluster", cluster);
+        let post = part.part_or_default("cluster", "cluster", cluster);
         if !post.founders.is_empty() && post.listen.is_none() {
-            part.fault("cluster", "listen is missing: where do the other members come in?");
+            part.error("cluster", "listen is missing: where do the other members come in?");
         }
-        let watch = part.maybe_part("watch", "watch", watch);
-        let receiver = part.maybe_part("books", "books", books);
-        let duties = part.maybe_part("duties", "duties", duties).map(|(lease, steady, slices)| {
+        let watch = part.optional_part("watch", "watch", watch);
+        let receiver = part.optional_part("books", "books", books);
+        let duties = part.optional_part("duties", "duties", duties).map(|(lease, steady, slices)| {
             let names = [Some(CLEANING_DUTY), Some(RELEASE_DUTY), receiver.map(|_| ACCOUNTING_DUTY)];
             let names = names.into_iter().flatten().map(str::to_string);
             let names = names.chain(probe_duty_names(&zones, slices)).collect();
@@ -443,9 +453,9 @@
         });
         let drift = duties.as_ref().map_or(0.0, |duties| duties.0.lease.max_clock_drift);
         let shares =
-            part.maybe_part("sharing", "sharing", |part| sharing(part, &fleet, &reports, &contract, drift));
+            part.optional_part("sharing", "sharing", |part| sharing(part, &fleet, &reports, &contract, drift));
         if shares.is_some() && duties.is_none() {
-            part.fault("sharing", "duties() is missing: its leases say who may use which part of a budget");
+            part.error("sharing", "duties() is missing: its leases say who may use which part of a budget");
         }
         if shares.is_some() && post.founders.len() > fleet.planners {
             let what = format!(
@@ -453,30 +463,30 @@
                 post.founders.len(),
                 fleet.planners
             );
-            part.clash("sharing", what);
+            part.conflict("sharing", what);
         }
         let slices = (duties.as_ref().map_or(0, |duties| duties.1), probing.2.timeout);
         let duties = duties.map(|duties| duties.0);
         if receiver.is_some() && duties.is_none() {
-            part.fault("books", "duties() is missing: one planner at a time keeps them");
+            part.error("books", "duties() is missing: one planner at a time keeps them");
         }
         let member = !post.founders.is_empty() || duties.is_some() || shares.is_some() || receiver.is_some();
         if watch.is_some() && member {
             let what = "a planner that watches is no member: cluster(), duties(), sharing() and books() are for those that are";
-            part.fault("watch", what);
+            part.error("watch", what);
         }
         let watch = watch.map(|watch| WatchTargetConfig { planner: name.clone(), source_ip: doors.source_ip, ..watch });
         let unresponsive_after = Span(contract.drain_grace.0.saturating_mul(4).max(Span::millis(5_000).0));
         ServiceFile {
-            charge: ServiceConfig {
+            service: ServiceConfig {
                 name: name.clone(),
                 zones,
                 routes: routes.iter().map(|r| r.name.clone()).collect(),
                 unresponsive_after,
             },
-            doors,
+            listen: doors,
             source: part
-                .need_part("list", &["list_watch", "list_file"], source)
+                .required_part("list", &["list_watch", "list_file"], source)
                 .unwrap_or(ListSource::File { name: String::new() }),
             fleet,
             routes: routes.into_iter().map(|route| route.planned).collect(),
@@ -485,11 +495,11 @@
             capabilities,
             slicing: Slicing { slices: 0, exclusive: false, write_stop_delay: Span(0), write_linger: Span(0) },
             reports,
-            probing: probing.2,
-            post: MemberConfig { name: name.clone(), source_ip: doors.source_ip, duties, accounting: receiver, sharing: shares, probe_slices: slices, ..post },
+            probes: probing.2,
+            member: MemberConfig { name: name.clone(), source_ip: doors.source_ip, duties, accounting: receiver, sharing: shares, probe_slices: slices, ..post },
             watch,
-            seed: part.maybe("seed"),
-            dir: part.or("state_dir", ".".to_string()).into(),
+            seed: part.optional("seed"),
+            dir: part.or_default("state_dir", ".".to_string()).into(),
         }
     })
 }
@@ -497,31 +507,31 @@
 pub fn proxy_file(script: &Script) -> Result<ProxyFile, Faults> {
     script.as_kind("proxy", |part| {
         let routes = routes(part);
-        let home = Home {
-            name: part.need("name"),
-            zone: part.need("zone"),
-            planners: part.need("planners"),
-            calls_per_s: part.or("calls_per_s", 0.0),
+        let home = ProxyConfig {
+            name: part.required("name"),
+            zone: part.required("zone"),
+            planners: part.required("planners"),
+            calls_per_s: part.or_default("calls_per_s", 0.0),
         };
-        let front = Front {
-            listen: part.need("listen"),
-            from: part.maybe("source_address"),
-            most_calls: part.or("most_calls", 4_096),
-            keep_alive: part.or("keep_alive", Span::millis(15_000)),
+        let front = FrontConfig {
+            listen: part.required("listen"),
+            source_ip: part.optional("source_address"),
+            max_calls: part.or_default("most_calls", 4_096),
+            keep_alive: part.or_default("keep_alive", Span::millis(15_000)),
         };
-        let shunning = part.within("shunning", "shunning", |part| Shunning {
-            after: part.or("after", 0u64).min(u64::from(u32::MAX)) as u32,
-            rest: part.or("rest", Span::millis(5_000)),
+        let shunning = part.part_or_default("shunning", "shunning", |part| EjectionConfig {
+            consecutive_failures: part.or_default("after", 0u64).min(u64::from(u32::MAX)) as u32,
+            ejection_time: part.or_default("rest", Span::millis(5_000)),
         });
-        let standing: Vec<SocketAddr> = part.or("standing", Vec::new());
+        let standing: Vec<SocketAddr> = part.or_default("standing", Vec::new());
         ProxyFile {
-            home,
+            proxy: home,
             front,
             routes: routes.into_iter().map(|route| route.served).collect(),
             shunning,
             standing: standing.iter().map(SocketAddr::to_string).collect(),
-            seed: part.maybe("seed"),
-            dir: part.or("state_dir", ".".to_string()).into(),
+            seed: part.optional("seed"),
+            dir: part.or_default("state_dir", ".".to_string()).into(),
         }
     })
 }
@@ -529,7 +539,7 @@
 impl ServiceFile {
     /// The planner that this file describes: the service and the member beside it.
     pub fn planner(self, now: Moment, seed: u64) -> PlannerNode {
-        let (grace, post) = (self.contract.drain_grace, MemberConfig { seed, ..self.post.clone() });
+        let (grace, post) = (self.contract.drain_grace, MemberConfig { seed, ..self.member.clone() });
         PlannerNode::new(self.service(now, seed), post, grace)
     }
 
@@ -555,7 +565,7 @@
         let (fleet, routes, channel) = (self.fleet, self.routes, self.channel);
         let planner =
             Planner::new(now, seed, fleet, routes, channel, self.contract, self.capabilities, self.slicing);
-        Service::new(now, self.charge, self.doors, self.source, planner, queue, self.reports, self.probing)
+        Service::new(now, self.service, self.listen, self.source, planner, queue, self.reports, self.probes)
     }
 }
 
@@ -563,7 +573,7 @@
     /// The control machine that this file describes.
     pub fn machine(self, seed: u64) -> ControlMachine {
         let seed = self.seed.unwrap_or(seed);
-        ControlMachine::new(ControlMachineConfig { seed, ..self.home })
+        ControlMachine::new(ControlMachineConfig { seed, ..self.config })
     }
 }
 
@@ -571,6 +581,6 @@
     /// The proxy that this file describes.
     pub fn proxy(self, seed: u64) -> Proxy {
         let seed = self.seed.unwrap_or(seed);
-        Proxy::new(self.home, self.front, self.routes, self.shunning, &self.standing, seed)
+        Proxy::new(self.proxy, self.front, self.routes, self.shunning, &self.standing, seed)
     }
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -13,5 +13,5 @@
     channel, control_file, proxy_file, routes, rules, service_file, ControlFile, ProxyFile, RouteFile,
     ServiceFile,
 };
-pub use read::{Fault, Faults, Read, Section, Share};
+pub use read::{Fault, Faults, Fraction, Section, Setting};
 pub use script::{run, Script};
--- a/crates/settings/src/read.rs
+++ b/crates/settings/src/read.rs
@@ -26,17 +26,17 @@
 }
 
 /// What a setting can be.
-pub trait Read: Sized {
+pub trait Setting: Sized {
     /// What is expected, for messages.
-    const WHAT: &'static str;
-    fn read(value: &Json) -> Option<Self>;
+    const EXPECTED: &'static str;
+    fn parse(value: &Json) -> Option<Self>;
     /// Stands in for a value that is at fault, until all faults are told.
-    fn stand_in() -> Self;
+    fn placeholder() -> Self;
 }
 
-impl Read for Span {
-    const WHAT: &'static str = "a span like \"250ms\", \"2s\" or \"1m\"";
-    fn read(value: &Json) -> Option<Span> {
+impl Setting for Span {
+    const EXPECTED: &'static str = "a span like \"250ms\", \"2s\" or \"1m\"";
+    fn parse(value: &Json) -> Option<Span> {
         let text = value.as_str()?;
         let at = text.find(|c: char| !c.is_ascii_digit() && c != '.')?;
         let number: f64 = text[..at].parse().ok()?;
@@ -50,101 +50,101 @@
         };
         Some(Span::of_seconds(number * unit)).filter(|span| number == 0.0 || span.0 > 0)
     }
-    fn stand_in() -> Span {
+    fn placeholder() -> Span {
         Span::millis(1)
     }
 }
 
-impl Read for f64 {
-    const WHAT: &'static str = "a number of 0 or more";
-    fn read(value: &Json) -> Option<f64> {
+impl Setting for f64 {
+    const EXPECTED: &'static str = "a number of 0 or more";
+    fn parse(value: &Json) -> Option<f64> {
         value.as_f64().filter(|n| n.is_finite() && *n >= 0.0)
     }
-    fn stand_in() -> f64 {
+    fn placeholder() -> f64 {
         1.0
     }
 }
 
 /// A part of a whole.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Share(pub f64);
+pub struct Fraction(pub f64);
 
-impl Read for Share {
-    const WHAT: &'static str = "a part between 0 and 1";
-    fn read(value: &Json) -> Option<Share> {
-        value.as_f64().filter(|n| (0.0..=1.0).contains(n)).map(Share)
+impl Setting for Fraction {
+    const EXPECTED: &'static str = "a part between 0 and 1";
+    fn parse(value: &Json) -> Option<Fraction> {
+        value.as_f64().filter(|n| (0.0..=1.0).contains(n)).map(Fraction)
     }
-    fn stand_in() -> Share {
-        Share(1.0)
+    fn placeholder() -> Fraction {
+        Fraction(1.0)
     }
 }
 
-impl Read for u64 {
-    const WHAT: &'static str = "a whole number of 0 or more";
-    fn read(value: &Json) -> Option<u64> {
+impl Setting for u64 {
+    const EXPECTED: &'static str = "a whole number of 0 or more";
+    fn parse(value: &Json) -> Option<u64> {
         value.as_u64()
     }
-    fn stand_in() -> u64 {
+    fn placeholder() -> u64 {
         1
     }
 }
 
-impl Read for usize {
-    const WHAT: &'static str = "a whole number of 1 or more";
-    fn read(value: &Json) -> Option<usize> {
+impl Setting for usize {
+    const EXPECTED: &'static str = "a whole number of 1 or more";
+    fn parse(value: &Json) -> Option<usize> {
         value.as_u64().filter(|n| *n > 0).map(|n| n as usize)
     }
-    fn stand_in() -> usize {
+    fn placeholder() -> usize {
         1
     }
 }
 
-impl Read for bool {
-    const WHAT: &'static str = "True or False";
-    fn read(value: &Json) -> Option<bool> {
+impl Setting for bool {
+    const EXPECTED: &'static str = "True or False";
+    fn parse(value: &Json) -> Option<bool> {
         value.as_bool()
     }
-    fn stand_in() -> bool {
+    fn placeholder() -> bool {
         false
     }
 }
 
-impl Read for String {
-    const WHAT: &'static str = "a text of 1 to 200 characters";
-    fn read(value: &Json) -> Option<String> {
+impl Setting for String {
+    const EXPECTED: &'static str = "a text of 1 to 200 characters";
+    fn parse(value: &Json) -> Option<String> {
         value.as_str().filter(|text| !text.is_empty() && text.len() <= 200).map(str::to_string)
     }
-    fn stand_in() -> String {
+    fn placeholder() -> String {
         "?".into()
     }
 }
 
-impl Read for SocketAddr {
-    const WHAT: &'static str = "an address and port like \"127.0.0.1:8080\"";
-    fn read(value: &Json) -> Option<SocketAddr> {
+impl Setting for SocketAddr {
+    const EXPECTED: &'static str = "an address and port like \"127.0.0.1:8080\"";
+    fn parse(value: &Json) -> Option<SocketAddr> {
         value.as_str()?.parse().ok()
     }
-    fn stand_in() -> SocketAddr {
+    fn placeholder() -> SocketAddr {
         SocketAddr::from(([127, 0, 0, 1], 0))
     }
 }
 
-impl Read for IpAddr {
-    const WHAT: &'static str = "an address like \"127.0.0.1\"";
-    fn read(value: &Json) -> Option<IpAddr> {
+impl Setting for IpAddr {
+    const EXPECTED: &'static str = "an address like \"127.0.0.1\"";
+    fn parse(value: &Json) -> Option<IpAddr> {
         value.as_str()?.parse().ok()
     }
-    fn stand_in() -> IpAddr {
+    fn placeholder() -> IpAddr {
         IpAddr::from([127, 0, 0, 1])
     }
 }
 
-impl<T: Read> Read for Vec<T> {
-    const WHAT: &'static str = T::WHAT;
-    fn read(value: &Json) -> Option<Vec<T>> {
-        value.as_array()?.iter().map(T::read).collect()
+impl<T: Setting> Setting for Vec<T> {
+    const EXPECTED: &'static str = T::EXPECTED;
+    fn parse(value: &Json) -> Option<Vec<T>> {
+        value.as_array()?.iter().map(T::parse).collect()
     }
-    fn stand_in() -> Vec<T> {
+    fn placeholder() -> Vec<T> {
         Vec::new()
     }
 }
@@ -171,16 +171,16 @@
     }
 
     /// Something is wrong with a setting.
-    pub fn fault(&self, name: &str, what: impl fmt::Display) {
+    pub fn error(&self, name: &str, what: impl fmt::Display) {
         let what = format!("{}(): {name}: {what}", self.kind());
         self.faults.borrow_mut().push(Fault { at: self.at(name), what });
     }
 
     /// Settings that are fine each by itself do not go together. Told only when nothing else is at fault:
     /// stand-ins would clash for no reason.
-    pub fn clash(&self, name: &str, what: impl fmt::Display) {
+    pub fn conflict(&self, name: &str, what: impl fmt::Display) {
         if self.faults.borrow().is_empty() {
-            self.fault(name, what);
+            self.error(name, what);
         }
     }
 
@@ -189,36 +189,36 @@
         self.map.get(name).filter(|value| !value.is_null())
     }
 
-    pub fn maybe<T: Read>(&self, name: &str) -> Option<T> {
+    pub fn optional<T: Setting>(&self, name: &str) -> Option<T> {
         let value = self.find(name)?;
-        let read = T::read(value);
+        let read = T::parse(value);
         if read.is_none() {
             let many = if value.is_array() { "a list, each " } else { "" };
-            self.fault(name, format!("expected {many}{}, found {}", T::WHAT, shown(value)));
+            self.error(name, format!("expected {many}{}, found {}", T::EXPECTED, shown(value)));
         }
-        Some(read.unwrap_or_else(T::stand_in))
+        Some(read.unwrap_or_else(T::placeholder))
     }
 
-    pub fn or<T: Read>(&self, name: &str, usual: T) -> T {
-        self.maybe(name).unwrap_or(usual)
+    pub fn or_default<T: Setting>(&self, name: &str, usual: T) -> T {
+        self.optional(name).unwrap_or(usual)
     }
 
-    pub fn need<T: Read>(&self, name: &str) -> T {
-        self.maybe(name).unwrap_or_else(|| {
-            self.fault(name, format!("is missing, expected {}", T::WHAT));
-            T::stand_in()
+    pub fn required<T: Setting>(&self, name: &str) -> T {
+        self.optional(name).unwrap_or_else(|| {
+            self.error(name, format!("is missing, expected {}", T::EXPECTED));
+            T::placeholder()
         })
     }
 
     /// One of some words; the first is the usual one.
-    pub fn word<T: Copy>(&self, name: &str, words: &[(&str, T)]) -> T {
+    pub fn choice<T: Copy>(&self, name: &str, words: &[(&str, T)]) -> T {
         let usual = words[0].1;
         let Some(value) = self.find(name) else { return usual };
         let found = words.iter().find(|word| value.as_str() == Some(word.0));
         found.map_or_else(
             || {
                 let names: Vec<String> = words.iter().map(|word| format!("\"{}\"", word.0)).collect();
-                self.fault(name, format!("expected one of {}, found {}", names.join(", "), shown(value)));
+                self.error(name, format!("expected one of {}, found {}", names.join(", "), shown(value)));
                 usual
             },
             |word| word.1,
@@ -232,13 +232,13 @@
         });
         if map.is_none() {
             let calls: Vec<String> = kinds.iter().map(|kind| format!("{kind}()")).collect();
-            self.fault(name, format!("expected {}, found {}", calls.join(" or "), shown(value)));
+            self.error(name, format!("expected {}, found {}", calls.join(" or "), shown(value)));
         }
         map.map(|map| Section::new(map, self.faults))
     }
 
     /// A part that may be left out; `read` then gets an empty one.
-    pub fn within<T>(&self, name: &str, kind: &str, read: impl FnOnce(&Section) -> T) -> T {
+    pub fn part_or_default<T>(&self, name: &str, kind: &str, read: impl FnOnce(&Section) -> T) -> T {
         let empty = Map::from_iter([
             ("$kind".to_string(), Json::from(kind)),
             ("$at".to_string(), Json::from(self.at(name))),
@@ -251,16 +251,21 @@
     }
 
     /// A part that may be left out.
-    pub fn maybe_part<T>(&self, name: &str, kind: &str, read: impl FnOnce(&Section) -> T) -> Option<T> {
+    pub fn optional_part<T>(&self, name: &str, kind: &str, read: impl FnOnce(&Section) -> T) -> Option<T> {
         self.find(name)?;
-        Some(self.within(name, kind, read))
+        Some(self.part_or_default(name, kind, read))
     }
 
     /// A part that must be there, of one of some kinds.
-    pub fn need_part<T>(&self, name: &str, kinds: &[&str], read: impl FnOnce(&Section) -> T) -> Option<T> {
+    pub fn required_part<T>(
+        &self,
+        name: &str,
+        kinds: &[&str],
+        read: impl FnOnce(&Section) -> T,
+    ) -> Option<T> {
         let Some(value) = self.find(name) else {
             let calls: Vec<String> = kinds.iter().map(|kind| format!("{kind}()")).collect();
-            self.fault(name, format!("is missing, expected {}", calls.join(" or ")));
+            self.error(name, format!("is missing, expected {}", calls.join(" or ")));
             return None;
         };
         let section = self.part(name, kinds, value)?;
@@ -273,7 +278,7 @@
     pub fn parts<T>(&self, name: &str, kind: &str, mut read: impl FnMut(&Section) -> T) -> Vec<T> {
         let Some(value) = self.find(name) else { return Vec::new() };
         let Some(list) = value.as_array() else {
-            self.fault(name, format!("expected a list of {kind}(), found {}", shown(value)));
+            self.error(name, format!("expected a list of {kind}(), found {}", shown(value)));
             return Vec::new();
         };
         let mut parts = Vec::new();
@@ -292,7 +297,7 @@
             let hint = near.filter(|near| near.0 <= 2).map(|near| format!(", is \"{}\" meant?", near.1));
             let names: Vec<&str> = known.iter().map(String::as_str).collect();
             let rest = hint.unwrap_or_else(|| format!(", known are {}", names.join(", ")));
-            self.fault(name, format!("there is no such setting{rest}"));
+            self.error(name, format!("there is no such setting{rest}"));
         }
     }
 }
--- a/crates/settings/tests/faults.rs
+++ b/crates/settings/tests/faults.rs
@@ -22,7 +22,7 @@
 
 fn service(text: &str) -> String {
     match run("planner.star", text).and_then(|script| service_file(&script)) {
-        Ok(file) => format!("fine: {} routes {:?}", file.charge.name, file.charge.routes),
+        Ok(file) => format!("fine: {} routes {:?}", file.service.name, file.service.routes),
         Err(faults) => faults.to_string(),
     }
 }
@@ -80,7 +80,7 @@
 fn machine(text: &str) -> String {
     match run("machine.star", text).and_then(|script| control_file(&script)) {
         Ok(file) => {
-            let (post, terms) = (&file.home.member, &file.home.watch_config);
+            let (post, terms) = (&file.config.member, &file.config.watch_config);
             format!(
                 "fine: {}, {} vote, {} observe; {} watches, {} snapshots, each {}",
                 post.name,
--- a/crates/tier/src/control_machine.rs
+++ b/crates/tier/src/control_machine.rs
@@ -101,11 +101,11 @@
     fn start(&mut self, now: Moment, out: &mut Outbox) {
         self.member.handle(now, Input::Start, out);
         if let Some(at) = self.config.admin {
-            out.push(Effect::Listen { door: ADMIN_LISTENER, at });
+            out.push(Effect::Listen { listener: ADMIN_LISTENER, at });
         }
-        out.push(Effect::Listen { door: WATCH_LISTENER, at: self.config.watches });
-        out.wake(timer::FRESH_READ, now + FRESH_READ_INTERVAL);
-        out.wake(timer::ROSTER_UPDATE, now + ROSTER_INTERVAL);
+        out.push(Effect::Listen { listener: WATCH_LISTENER, at: self.config.watches });
+        out.set_timer(timer::FRESH_READ, now + FRESH_READ_INTERVAL);
+        out.set_timer(timer::ROSTER_UPDATE, now + ROSTER_INTERVAL);
     }
 
     // ---- the record
@@ -145,7 +145,7 @@
 
     /// Requests a confirmed read, which bounds the age of the applied state.
     fn request_fresh_read(&mut self, now: Moment, out: &mut Outbox) {
-        out.wake(timer::FRESH_READ, now + FRESH_READ_INTERVAL);
+        out.set_timer(timer::FRESH_READ, now + FRESH_READ_INTERVAL);
         let pending_reads =
             self.pending_requests.values().filter(|purpose| matches!(purpose, Purpose::Freshness(_))).count();
         if pending_reads < MAX_PENDING_READS && self.member.raft().is_some() {
@@ -154,7 +154,7 @@
     }
 
     fn send_roster_updates(&mut self, now: Moment, out: &mut Outbox) {
-        out.wake(timer::ROSTER_UPDATE, now + ROSTER_INTERVAL);
+        out.set_timer(timer::ROSTER_UPDATE, now + ROSTER_INTERVAL);
         for (id, name) in self.member.control_machines() {
             for update in self.watch_server.roster.updates_for(now, &name) {
                 self.member.send_roster(id, update, out);
@@ -323,8 +323,8 @@
             timer::FRESH_READ => self.request_fresh_read(now, out),
             timer::ROSTER_UPDATE => self.send_roster_updates(now, out),
             timer::EXIT => out.push(Effect::Exit { code: 0 }),
-            timer::WATCH_SERVER => self.watch_server.handle(now, Input::Due { timer: due }, out),
-            due if due >= FIRST_TIMER => self.member.handle(now, Input::Due { timer: due }, out),
+            timer::WATCH_SERVER => self.watch_server.handle(now, Input::TimerFired { timer: due }, out),
+            due if due >= FIRST_TIMER => self.member.handle(now, Input::TimerFired { timer: due }, out),
             _ => {}
         }
     }
@@ -338,8 +338,8 @@
         self.stopping = true;
         self.member.stop(now, out);
         self.watch_server.stop(now, out);
-        out.push(Effect::Unlisten { door: WATCH_LISTENER });
-        out.wake(timer::EXIT, now + HANDOVER_TIME);
+        out.push(Effect::Unlisten { listener: WATCH_LISTENER });
+        out.set_timer(timer::EXIT, now + HANDOVER_TIME);
     }
 }
 
@@ -347,17 +347,17 @@
     fn handle(&mut self, now: Moment, input: Input<'_>, out: &mut Outbox) {
         match input {
             Input::Start => self.start(now, out),
-            Input::Due { timer } => self.handle_timer(now, timer, out),
+            Input::TimerFired { timer } => self.handle_timer(now, timer, out),
             Input::File { .. } | Input::Synced { .. } => self.member.handle(now, input, out),
-            Input::Listening { door: MEMBER_LISTENER, .. }
-            | Input::NotListening { door: MEMBER_LISTENER, .. }
-            | Input::Accepted { door: MEMBER_LISTENER, .. } => self.member.handle(now, input, out),
-            Input::Listening { door, at } => self.listening(door, at, out),
+            Input::Listening { listener: MEMBER_LISTENER, .. }
+            | Input::NotListening { listener: MEMBER_LISTENER, .. }
+            | Input::Accepted { listener: MEMBER_LISTENER, .. } => self.member.handle(now, input, out),
+            Input::Listening { listener: door, at } => self.listening(door, at, out),
             Input::NotListening { why, .. } => {
                 out.log(Level::Error, "not_listening", vec![("why", why)]);
                 out.push(Effect::Exit { code: 3 });
             }
-            Input::Accepted { link, door: ADMIN_LISTENER, .. } => self.admin.accepted(link, out),
+            Input::Accepted { link, listener: ADMIN_LISTENER, .. } => self.admin.accepted(link, out),
             Input::Accepted { link, .. } if self.stopping => out.cut(link),
             Input::Accepted { link, .. } => self.watch_server.accepted(now, link, out),
             Input::Bytes { link, bytes } if self.admin.owns_link(link) => {
--- a/crates/tier/src/watching_planner.rs
+++ b/crates/tier/src/watching_planner.rs
@@ -110,7 +110,7 @@
                 let backup_name = format!("{}.damaged-{:08x}", self.file_name(), now.0 as u32);
                 let fields = vec![("why", why), ("kept_as", backup_name.clone())];
                 out.log(Level::Error, "watched_damaged", fields);
-                out.push(Effect::Keep { name: backup_name, bytes: bytes.to_vec() });
+                out.push(Effect::SaveFile { name: backup_name, bytes: bytes.to_vec() });
                 PlannerFile::default()
             }),
             Err(why) => {
@@ -137,7 +137,7 @@
         self.last_ticket += 1;
         let ticket = self.last_ticket;
         self.pending_write = Some(PendingWrite { ticket, index });
-        out.push(Effect::Replace { name: self.file_name(), bytes, ticket });
+        out.push(Effect::ReplaceFile { name: self.file_name(), bytes, ticket });
     }
 
     /// Writes the state to disk, one write at a time.
@@ -197,7 +197,7 @@
         self.service.handle(now, Input::Start, out);
         self.apply_orders(now, None, out);
         self.handle_watch(now, Input::Start, out);
-        out.wake(TICK_TIMER, now + CHECK_INTERVAL);
+        out.set_timer(TICK_TIMER, now + CHECK_INTERVAL);
     }
 
     /// Applies entries to the record and returns their subjects. Entries that this build cannot read are
@@ -289,7 +289,7 @@
     }
 
     fn tick(&mut self, now: Moment, out: &mut Outbox) {
-        out.wake(TICK_TIMER, now + CHECK_INTERVAL);
+        out.set_timer(TICK_TIMER, now + CHECK_INTERVAL);
         self.update_scope(now, out);
         // An order may have expired.
         self.apply_orders(now, None, out);
@@ -330,11 +330,11 @@
 impl Node for WatchingPlanner {
     fn handle(&mut self, now: Moment, input: Input<'_>, out: &mut Outbox) {
         match input {
-            Input::Start => out.push(Effect::Fetch { name: self.file_name() }),
+            Input::Start => out.push(Effect::ReadFile { name: self.file_name() }),
             Input::File { name, bytes } if name == self.file_name() => self.handle_file(now, bytes, out),
             Input::Synced { ticket, result } => self.handle_synced(now, ticket, result, out),
-            Input::Due { timer: TICK_TIMER } => self.tick(now, out),
-            Input::Due { timer: WATCH_TIMER } => self.handle_watch(now, input, out),
+            Input::TimerFired { timer: TICK_TIMER } => self.tick(now, out),
+            Input::TimerFired { timer: WATCH_TIMER } => self.handle_watch(now, input, out),
             Input::Opened { link } | Input::Bytes { link, .. } | Input::Closed { link, .. }
                 if self.owns_link(link) =>
             {
--- a/crates/tier/tests/planner.rs
+++ b/crates/tier/tests/planner.rs
@@ -1,7 +1,7 @@
 //! A watching planner driven by hand: what it reports as applied is on its disk.
 
 use pewtergap_node::{Effect, Input, Link, Node, Outbox, NO_FILE};
-use pewtergap_protocol::{encode, Frames};
+use pewtergap_protocol::{encode, FrameReader};
 use pewtergap_record::{ActiveOrder, Order, OrderAction};
 use pewtergap_time::{Moment, Span};
 use pewtergap_watch::messages::{Changes, EntryMessage, Kind, WatchMessage, Welcome};
@@ -48,13 +48,13 @@
         for effect in out.effects {
             match effect {
                 Effect::Connect { link, .. } => self.link = Some(link),
-                Effect::Wake { timer, at } => self.due.push((at, timer)),
-                Effect::Replace { bytes, ticket, .. } => self.writes.push((ticket, bytes)),
+                Effect::SetTimer { timer, at } => self.due.push((at, timer)),
+                Effect::ReplaceFile { bytes, ticket, .. } => self.writes.push((ticket, bytes)),
                 Effect::Log(line) => self.logged.push(line.event),
                 Effect::Send { bytes, .. } => {
-                    let mut frames = Frames::<WatchMessage>::default();
+                    let mut frames = FrameReader::<WatchMessage>::default();
                     frames.push(&bytes);
-                    match frames.take().expect("a message").and_then(|message| message.kind) {
+                    match frames.next_message().expect("a message").and_then(|message| message.kind) {
                         Some(Kind::Hello(hello)) => self.scope = hello.scope.number,
                         Some(Kind::Ack(ack)) => self.reported_index = self.reported_index.max(ack.applied),
                         Some(Kind::Ping(ping)) => self.reported_index = self.reported_index.max(ping.applied),
@@ -73,7 +73,7 @@
         {
             let (when, timer) = self.due.remove(at);
             self.now = self.now.max(when);
-            self.handle(Input::Due { timer });
+            self.handle(Input::TimerFired { timer });
         }
         self.now = end;
     }
--- a/crates/virtual/src/lib.rs
+++ b/crates/virtual/src/lib.rs
@@ -14,7 +14,7 @@
 mod wire;
 
 use disk::Disk;
-use pewtergap_node::{Effect, Ended, Input, Line, Link, Node, Outbox};
+use pewtergap_node::{Effect, Ended, Input, Link, LogRecord, Node, Outbox};
 use pewtergap_time::{Moment, Span};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -83,7 +83,7 @@
 pub struct Logged {
     pub place: Place,
     pub at: Moment,
-    pub line: Line,
+    pub line: LogRecord,
 }
 
 pub struct World {
@@ -283,8 +283,8 @@
         self.trace = xxh3_64_with_seed(format!("{at} {place} {what:?}").as_bytes(), self.trace);
         match what {
             What::Start => self.give(place, Input::Start),
-            What::Due(timer) => self.give(place, Input::Due { timer }),
-            What::Listening(door, at) => self.give(place, Input::Listening { door, at }),
+            What::Due(timer) => self.give(place, Input::TimerFired { timer }),
+            What::Listening(door, at) => self.give(place, Input::Listening { listener: door, at }),
             What::Stands(wire, end) => self.stands(wire, end),
             What::Flow(wire, way) => self.flow(wire, way),
             What::Closed(link, why) => {
@@ -303,7 +303,7 @@
                 }
                 self.give(place, Input::Synced { ticket, result: Ok(()) });
             }
-            What::Word(word) => self.give(place, Input::Word(&word)),
+            What::Word(word) => self.give(place, Input::Command(&word)),
             What::Stop => self.give(place, Input::Stop),
         }
         true
@@ -343,8 +343,8 @@
 
     fn carry_out(&mut self, place: usize, effect: Effect) {
         match effect {
-            Effect::Listen { door, at } => self.listen(place, door, at),
-            Effect::Unlisten { door } => {
+            Effect::Listen { listener: door, at } => self.listen(place, door, at),
+            Effect::Unlisten { listener: door } => {
                 if let Some(at) = self.machines[place].doors.remove(&door) {
                     self.listeners.remove(&at);
                 }
@@ -353,21 +353,21 @@
             Effect::Send { link, bytes } => self.send(place, link, bytes),
             Effect::Finish { link } => self.close(place, link, true),
             Effect::Cut { link } => self.close(place, link, false),
-            Effect::Wake { timer, at } => {
+            Effect::SetTimer { timer, at } => {
                 let at = self.true_time(place, at);
                 // Never early, by whatever rounding.
                 self.at(at + Span(1_000), place, What::Due(timer));
             }
-            Effect::Fetch { name } => {
+            Effect::ReadFile { name } => {
                 let takes = self.span(self.nature.sync);
                 self.at(self.now + takes, place, What::File(name));
             }
-            Effect::Keep { name, bytes } => self.machines[place].disk.put(&name, Some(bytes)),
+            Effect::SaveFile { name, bytes } => self.machines[place].disk.put(&name, Some(bytes)),
             Effect::Append { name, at, bytes, ticket } => {
                 self.machines[place].disk.append(name, at, bytes, ticket);
                 self.sync(place, ticket);
             }
-            Effect::Replace { name, bytes, ticket } => {
+            Effect::ReplaceFile { name, bytes, ticket } => {
                 self.machines[place].disk.replace(name, bytes, ticket);
                 self.sync(place, ticket);
             }
@@ -379,8 +379,8 @@
             Effect::Log(_)
             | Effect::Pause { .. }
             | Effect::Resume { .. }
-            | Effect::Hand { .. }
-            | Effect::Knock { .. } => {}
+            | Effect::Transfer { .. }
+            | Effect::Notify { .. } => {}
         }
     }
 
@@ -434,7 +434,7 @@
                 wire.ends[1].link = Some(link);
             }
             let from = SocketAddr::from(([127, 0, 0, 1], 9));
-            self.give(far, Input::Accepted { link, door, from });
+            self.give(far, Input::Accepted { link, listener: door, from });
             let way = self.span(self.nature.way);
             return self.at(self.now + way, near, What::Stands(at, 0));
         }
--- a/crates/virtual/tests/world.rs
+++ b/crates/virtual/tests/world.rs
@@ -35,7 +35,7 @@
         };
         match input {
             Input::Start if self.dials => drop(out.connect(door(), None)),
-            Input::Start => out.push(Effect::Listen { door: 0, at: door() }),
+            Input::Start => out.push(Effect::Listen { listener: 0, at: door() }),
             Input::Accepted { link, .. } | Input::Opened { link } => {
                 told("stands".into());
                 self.link = Some(link);
@@ -52,9 +52,9 @@
                     told(format!("{} bytes", self.heard.len()));
                 }
             }
-            Input::Due { timer } => told(format!("due {timer}")),
-            Input::Word("later") => out.wake(5, now + Span::millis(100)),
-            Input::Word(word) => {
+            Input::TimerFired { timer } => told(format!("due {timer}")),
+            Input::Command("later") => out.set_timer(5, now + Span::millis(100)),
+            Input::Command(word) => {
                 let (link, count) = (self.link, word.parse().unwrap_or(0));
                 let bytes = (0..count).map(|at: usize| at as u8).collect();
                 link.into_iter().for_each(|link| out.send(link, Vec::clone(&bytes)));
--- a/crates/watch/src/messages.rs
+++ b/crates/watch/src/messages.rs
@@ -5,7 +5,7 @@
 //! sends `Changes` in chunks, of which at most [`MAX_CHUNKS_IN_FLIGHT`] may lack their `Ack`, so that a pong
 //! never waits behind more than these.
 
-use pewtergap_protocol::Checked;
+use pewtergap_protocol::Validate;
 use prost::{Message, Oneof};
 
 /// Protocol versions that this build supports, lowest and highest.
@@ -339,10 +339,10 @@
     }
 }
 
-impl Checked for WatchMessage {
-    const MOST: usize = MAX_MESSAGE_BYTES;
+impl Validate for WatchMessage {
+    const MAX_LEN: usize = MAX_MESSAGE_BYTES;
 
-    fn check(&self) -> Result<(), String> {
+    fn validate(&self) -> Result<(), String> {
         match self.kind.as_ref().ok_or("message without a kind")? {
             Kind::Hello(hello) => {
                 check_name("planner", &hello.planner, MAX_NAME_BYTES)?;
--- a/crates/watch/src/watch_client.rs
+++ b/crates/watch/src/watch_client.rs
@@ -5,7 +5,7 @@
 use crate::scope::Scope;
 use crate::state::SavedState;
 use pewtergap_node::{Ended, Input, Link, Outbox};
-use pewtergap_protocol::{encode, Frames};
+use pewtergap_protocol::{encode, FrameReader};
 use pewtergap_time::{Moment, Span};
 use std::collections::BTreeSet;
 use std::net::IpAddr;
@@ -17,7 +17,7 @@
     link: Option<Link>,
     /// Links closed by this end whose `Closed` has not arrived yet.
     closing: BTreeSet<Link>,
-    frames: Frames<WatchMessage>,
+    frames: FrameReader<WatchMessage>,
     next_wake: Option<Moment>,
 }
 
@@ -30,7 +30,7 @@
             client: Client::new(client_config, saved),
             link: None,
             closing: BTreeSet::new(),
-            frames: Frames::default(),
+            frames: FrameReader::default(),
             next_wake: None,
         }
     }
@@ -62,7 +62,7 @@
                 }
                 self.closing.remove(&link);
             }
-            Input::Due { timer } if timer == self.timer => {
+            Input::TimerFired { timer } if timer == self.timer => {
                 if let Some(wake) = self.next_wake.take_if(|wake| *wake <= now) {
                     self.client.tick(now, wake, &mut actions);
                 }
@@ -78,7 +78,7 @@
         // Until all messages are handled, or one of them made it give up the link.
         while self.link == link {
             let mut actions = Vec::new();
-            match self.frames.take() {
+            match self.frames.next_message() {
                 Ok(Some(WatchMessage { kind: Some(kind) })) => {
                     self.client.handle_message(now, kind, &mut actions)
                 }
@@ -96,7 +96,7 @@
             match action {
                 Action::Dial(to) => {
                     self.link = Some(out.connect(to, self.source_ip));
-                    self.frames = Frames::default();
+                    self.frames = FrameReader::default();
                 }
                 Action::Send(kind) => {
                     if let Some(link) = self.link {
@@ -117,7 +117,7 @@
         }
         if let Some(due) = self.client.due(now).filter(|due| self.next_wake.is_none_or(|wake| *due < wake)) {
             self.next_wake = Some(due);
-            out.wake(self.timer, due);
+            out.set_timer(self.timer, due);
         }
         events
     }
--- a/crates/watch/src/watch_server.rs
+++ b/crates/watch/src/watch_server.rs
@@ -5,7 +5,7 @@
 use crate::roster::Roster;
 use crate::server::{Action, Server, WatchServerStats};
 use pewtergap_node::{Input, Level, Link, Outbox};
-use pewtergap_protocol::{encode, Frames};
+use pewtergap_protocol::{encode, FrameReader};
 use pewtergap_time::{Moment, Span};
 use std::collections::BTreeMap;
 
@@ -13,7 +13,7 @@
     server: Server,
     pub roster: Roster,
     timer: u64,
-    frames: BTreeMap<Link, Frames<WatchMessage>>,
+    frames: BTreeMap<Link, FrameReader<WatchMessage>>,
     next_wake: Option<Moment>,
     bytes_sent: u64,
     bytes_received: u64,
@@ -89,7 +89,7 @@
 
     pub fn accepted(&mut self, now: Moment, link: Link, out: &mut Outbox) {
         let mut actions = Vec::new();
-        self.frames.insert(link, Frames::default());
+        self.frames.insert(link, FrameReader::default());
         self.server.accepted(now, link, &mut actions);
         self.execute(actions, out);
     }
@@ -103,14 +103,14 @@
                 self.bytes_received += bytes.len() as u64;
                 frames.push(bytes);
                 loop {
-                    match frames.take() {
+                    match frames.next_message() {
                         Ok(Some(WatchMessage { kind: Some(kind) })) => {
                             self.server.handle_message(now, link, kind, &mut actions)
                         }
                         Ok(_) => break,
                         Err(error) => {
                             self.server.protocol_error(now, link, &error.to_string(), &mut actions);
-                            *frames = Frames::default();
+                            *frames = FrameReader::default();
                             break;
                         }
                     }
@@ -119,7 +119,9 @@
             Input::Closed { link, .. } if self.frames.remove(&link).is_some() => {
                 self.server.closed(now, link, &mut actions);
             }
-            Input::Due { timer } if timer == self.timer && self.next_wake.is_some_and(|wake| wake <= now) => {
+            Input::TimerFired { timer }
+                if timer == self.timer && self.next_wake.is_some_and(|wake| wake <= now) =>
+            {
                 self.next_wake = None;
                 self.server.tick(now, &mut actions);
             }
@@ -160,7 +162,7 @@
         }
         if let Some(due) = self.server.due().filter(|due| self.next_wake.is_none_or(|wake| *due < wake)) {
             self.next_wake = Some(due);
-            out.wake(self.timer, due);
+            out.set_timer(self.timer, due);
         }
     }
 }
--- a/crates/watch/tests/cache.rs
+++ b/crates/watch/tests/cache.rs
@@ -69,9 +69,9 @@
 }
 
 fn decode(frame: &[u8]) -> Changes {
-    let mut frames = pewtergap_protocol::Frames::<WatchMessage>::default();
+    let mut frames = pewtergap_protocol::FrameReader::<WatchMessage>::default();
     frames.push(frame);
-    match frames.take().expect("a valid frame").expect("a complete frame").kind {
+    match frames.next_message().expect("a valid frame").expect("a complete frame").kind {
         Some(Kind::Changes(changes)) => changes,
         other => panic!("{other:?}"),
     }
--- a/crates/watch/tests/common/mod.rs
+++ b/crates/watch/tests/common/mod.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code)]
 
 use pewtergap_node::Link;
-use pewtergap_protocol::Frames;
+use pewtergap_protocol::FrameReader;
 use pewtergap_time::{Moment, Span};
 use pewtergap_watch::client::{Action as ClientAction, Client};
 use pewtergap_watch::messages::{Changes, Hello, Kind, Ping, ScopeMessage, WatchMessage};
@@ -20,9 +20,14 @@
 }
 
 pub fn decode(frame: &[u8]) -> Kind {
-    let mut frames = Frames::<WatchMessage>::default();
+    let mut frames = FrameReader::<WatchMessage>::default();
     frames.push(frame);
-    frames.take().expect("a valid frame").expect("a complete frame").kind.expect("a message with a kind")
+    frames
+        .next_message()
+        .expect("a valid frame")
+        .expect("a complete frame")
+        .kind
+        .expect("a message with a kind")
 }
 
 pub fn set(key: &str, value: &str) -> (String, Option<Vec<u8>>) {
