--- a/crates/tier/src/watching_planner.rs
+++ b/crates/tier/src/watching_planner.rs
@@ -3,10 +3,10 @@
 //! | state | input | next | effect |
 //! | --- | --- | --- | --- |
 //! | opening | its file, or that there is none | saving start | write the number of this start to disk, with the saved state |
-//! | saving start | the write ended, successfully or not | up | start the service with the saved state, dial a machine |
-//! | up | changes received | up | apply them to the service at once, write them to disk, then report them as applied |
-//! | up | the list names servers out of scope | up | request another scope |
-//! | up | stop | up, until the service has ended | leave the watch: this planner is no longer expected |
+//! | saving start | the write ended, successfully or not | running | start the service with the saved state, dial a machine |
+//! | running | changes received | running | apply them to the service at once, write them to disk, then report them as applied |
+//! | running | the list names servers out of scope | running | request another scope |
+//! | running | stop | running, until the service has ended | leave the watch: this planner is no longer expected |
 //!
 //! Tables never wait: without a control machine, or before one answers, the service uses the saved state.
 
--- a/crates/watch/src/cache.rs
+++ b/crates/watch/src/cache.rs
@@ -65,8 +65,8 @@
 
     /// Number of live keys, and the bytes of these keys and their values.
     pub fn live_size(&self) -> (usize, usize) {
-        let standing = self.entries.iter().filter_map(|(key, entry)| Some((key, entry.value.as_ref()?)));
-        standing.fold((0, 0), |(keys, bytes), (key, value)| (keys + 1, bytes + key.len() + value.len()))
+        let live = self.entries.iter().filter_map(|(key, entry)| Some((key, entry.value.as_ref()?)));
+        live.fold((0, 0), |(keys, bytes), (key, value)| (keys + 1, bytes + key.len() + value.len()))
     }
 
     /// Applies the changes of all commands up to `index`; an index at or below the head is ignored. Several
@@ -127,8 +127,7 @@
         self.entries.insert(key, Entry { position: at, value });
     }
 
-    /// Changes after an index, or after the first `sub_index` keys within it, in order; deletions have no
-    /// value.
+    /// Changes after key number `sub_index` of an index, in order; deletions have no value.
     pub fn changes_after(&self, index: u64, sub_index: u32) -> impl Iterator<Item = (u32, CacheEntry)> + '_ {
         self.by_position.range((Excluded((index, sub_index)), Unbounded)).filter_map(|(at, key)| {
             let value = self.entries.get(key)?.value.clone();
--- a/crates/watch/src/chunks.rs
+++ b/crates/watch/src/chunks.rs
@@ -20,8 +20,7 @@
 pub enum Position {
     /// Within a snapshot that began at index `base`: all keys up to `after`.
     SnapshotKey { base: u64, after: Option<Arc<str>> },
-    /// All changes before `index` and the first `sub_index` keys changed at it; `through` is the last index
-    /// known to be complete.
+    /// All changes up to key number `sub_index` of `index`; `through` is the last index known to be complete.
     Change { index: u64, sub_index: u32, through: u64 },
 }
 
--- a/crates/watch/src/client.rs
+++ b/crates/watch/src/client.rs
@@ -220,18 +220,18 @@
         actions.push(Action::Send(Kind::Hello(hello)));
     }
 
-    pub fn closed(&mut self, now: Moment, why: &str, actions: &mut Vec<Action>) {
+    pub fn closed(&mut self, now: Moment, detail: &str, actions: &mut Vec<Action>) {
         if !matches!(self.state, State::Idle | State::Left) {
-            self.disconnect(now, None, why, actions);
+            self.disconnect(now, None, detail, actions);
         }
     }
 
     /// A message is malformed or not allowed.
-    pub fn protocol_error(&mut self, now: Moment, why: &str, actions: &mut Vec<Action>) {
+    pub fn protocol_error(&mut self, now: Moment, detail: &str, actions: &mut Vec<Action>) {
         if matches!(self.state, State::Handshaking | State::Watching) {
             actions.push(Action::Abort);
             self.pending = PendingChanges::default();
-            self.disconnect(now, Some(PROTOCOL_ERROR_BACKOFF), why, actions);
+            self.disconnect(now, Some(PROTOCOL_ERROR_BACKOFF), detail, actions);
         }
     }
 
@@ -266,8 +266,8 @@
         }
         if welcome.head < own_index {
             actions.push(Action::Abort);
-            let why = format!("the machine has applied index {}, the planner {own_index}", welcome.head);
-            return self.disconnect(now, None, &why, actions);
+            let detail = format!("the machine has applied index {}, the planner {own_index}", welcome.head);
+            return self.disconnect(now, None, &detail, actions);
         }
         // A saved state with index 0 belongs to no record yet.
         self.saved.record_id = welcome.record_id;
@@ -310,8 +310,8 @@
         if (self.scope_outdated || changes.after.is_some()) && !snapshot_begun {
             return self.protocol_error(now, "snapshot without its beginning", actions);
         }
-        if let Err(why) = self.pending.add(changes) {
-            return self.protocol_error(now, &why, actions);
+        if let Err(detail) = self.pending.add(changes) {
+            return self.protocol_error(now, &detail, actions);
         }
         self.send(now, Kind::Ack(Ack { number, applied: self.applied }), actions);
         if done {
@@ -505,7 +505,13 @@
         actions.push(Action::Send(message));
     }
 
-    fn disconnect(&mut self, now: Moment, retry_after: Option<Span>, why: &str, actions: &mut Vec<Action>) {
+    fn disconnect(
+        &mut self,
+        now: Moment,
+        retry_after: Option<Span>,
+        detail: &str,
+        actions: &mut Vec<Action>,
+    ) {
         if self.state == State::Watching && now >= self.since + STABLE_AFTER {
             self.selector.record_success(self.machine_index);
         }
@@ -517,7 +523,7 @@
         self.reported = 0;
         self.selector.record_failure(now, self.machine_index, retry_after);
         actions.push(Action::Notify(WatchEvent::Lost(format!(
-            "{}: {why}",
+            "{}: {detail}",
             self.selector.name(self.machine_index)
         ))));
     }
--- a/crates/watch/src/messages.rs
+++ b/crates/watch/src/messages.rs
@@ -173,6 +173,7 @@
 pub struct Rejection {
     #[prost(enumeration = "Reason", tag = "1")]
     pub reason: i32,
+    /// For people. Its length changes the bytes on the wire, on which the simulation's fixed seeds depend.
     #[prost(string, tag = "2")]
     pub detail: String,
     /// When this machine may be tried again.
@@ -315,8 +316,8 @@
 fn check_name(field: &str, text: &str, max: usize) -> Result<(), String> {
     match text {
         "" => Err(format!("{field} is missing")),
-        text if text.len() > max => Err(format!("{field} has {} bytes, limit {max}", text.len())),
-        text if text.chars().any(char::is_control) => Err(format!("{field} contains control characters")),
+        text if text.len() > max => Err(format!("{field} has {} bytes, {max} at most", text.len())),
+        text if text.chars().any(char::is_control) => Err(format!("{field} has control characters")),
         _ => Ok(()),
     }
 }
@@ -325,7 +326,7 @@
     pub fn check(&self) -> Result<(), String> {
         for (field, names) in [("servers", &self.servers), ("routes", &self.routes)] {
             if names.len() > MAX_SCOPE_NAMES {
-                return Err(format!("{field} has {} names, limit {MAX_SCOPE_NAMES}", names.len()));
+                return Err(format!("{field}: {} of {MAX_SCOPE_NAMES} at most", names.len()));
             }
             names.iter().try_for_each(|text| check_name(field, text, MAX_NAME_BYTES))?;
         }
@@ -343,25 +344,25 @@
     const MAX_LEN: usize = MAX_MESSAGE_BYTES;
 
     fn validate(&self) -> Result<(), String> {
-        match self.kind.as_ref().ok_or("message without a kind")? {
+        match self.kind.as_ref().ok_or("no word")? {
             Kind::Hello(hello) => {
                 check_name("planner", &hello.planner, MAX_NAME_BYTES)?;
                 let after = hello.partial_snapshot.as_ref().map_or("", |partial| &partial.after);
                 if after.len() > MAX_KEY_BYTES {
-                    return Err(format!("after has {} bytes, limit {MAX_KEY_BYTES}", after.len()));
+                    return Err(format!("after has {} bytes, {MAX_KEY_BYTES} at most", after.len()));
                 }
                 hello.scope.check()
             }
             Kind::Welcome(welcome) => check_name("machine", &welcome.machine, MAX_NAME_BYTES),
             Kind::Changes(changes) => {
                 if changes.entries.len() > MAX_ENTRIES {
-                    return Err(format!("{} entries, limit {MAX_ENTRIES}", changes.entries.len()));
+                    return Err(format!("entries: {} of {MAX_ENTRIES} at most", changes.entries.len()));
                 }
                 for entry in &changes.entries {
                     check_name("key", &entry.key, MAX_KEY_BYTES)?;
                     let bytes = entry.value.as_ref().map_or(0, Vec::len);
                     if bytes > MAX_VALUE_BYTES {
-                        return Err(format!("value has {bytes} bytes, limit {MAX_VALUE_BYTES}"));
+                        return Err(format!("value has {bytes} bytes, {MAX_VALUE_BYTES} at most"));
                     }
                 }
                 Ok(())
@@ -376,7 +377,7 @@
 impl RosterUpdate {
     pub fn check(&self) -> Result<(), String> {
         if self.rows.len() > MAX_ROWS {
-            return Err(format!("{} rows, limit {MAX_ROWS}", self.rows.len()));
+            return Err(format!("rows: {} of {MAX_ROWS} at most", self.rows.len()));
         }
         self.rows.iter().try_for_each(|row| check_name("planner", &row.planner, MAX_NAME_BYTES))
     }
--- a/crates/watch/src/server.rs
+++ b/crates/watch/src/server.rs
@@ -191,13 +191,13 @@
     }
 
     /// Everything committed at this moment is applied here.
-    pub fn confirm_fresh(&mut self, asked: Moment) {
-        self.fresh_as_of = Some(self.fresh_as_of.map_or(asked, |previous| previous.max(asked)));
+    pub fn confirm_fresh(&mut self, requested_at: Moment) {
+        self.fresh_as_of = Some(self.fresh_as_of.map_or(requested_at, |previous| previous.max(requested_at)));
     }
 
     /// Everything committed up to this long ago is applied here.
     pub fn age(&self, now: Moment) -> Option<Span> {
-        self.fresh_as_of.map(|asked| self.config.max_elapsed(now.since(asked)))
+        self.fresh_as_of.map(|as_of| self.config.max_elapsed(now.since(as_of)))
     }
 
     // ---- links
@@ -210,13 +210,7 @@
         self.sessions.insert(link, Session::new(now));
         self.reschedule(link);
         if self.stopping {
-            self.apply_event(
-                now,
-                link,
-                Event::Rejected(Reason::Stopping),
-                "the machine is shutting down",
-                actions,
-            );
+            self.apply_event(now, link, Event::Rejected(Reason::Stopping), "the machine ends", actions);
         }
     }
 
@@ -232,8 +226,8 @@
     }
 
     /// A message is malformed or not allowed.
-    pub fn protocol_error(&mut self, now: Moment, link: Link, why: &str, actions: &mut Vec<Action>) {
-        self.apply_event(now, link, Event::Rejected(Reason::Bad), why, actions);
+    pub fn protocol_error(&mut self, now: Moment, link: Link, detail: &str, actions: &mut Vec<Action>) {
+        self.apply_event(now, link, Event::Rejected(Reason::Bad), detail, actions);
     }
 
     pub fn handle_message(&mut self, now: Moment, link: Link, message: Kind, actions: &mut Vec<Action>) {
@@ -247,7 +241,7 @@
             (Kind::Ping(ping), _) if watching => self.handle_ping(now, link, ping, actions),
             (Kind::Rescope(scope), _) if watching => self.handle_rescope(now, link, scope, actions),
             (Kind::Leave(_), _) if watching => self.apply_event(now, link, Event::Left, "", actions),
-            _ => self.protocol_error(now, link, "unexpected message", actions),
+            _ => self.protocol_error(now, link, "a word that nobody may say here", actions),
         }
         self.reschedule(link);
     }
@@ -256,7 +250,7 @@
         let Some(session) = self.sessions.get_mut(&link) else { return };
         let Some((_, sent)) = session.in_flight.pop_front().filter(|(number, _)| *number == ack.number)
         else {
-            return self.protocol_error(now, link, "ack for a chunk that is not in flight", actions);
+            return self.protocol_error(now, link, "a piece was taken that is not on its way", actions);
         };
         self.record_report(now, link, ack.applied, sent, actions);
         self.send_chunks(now, link, actions);
@@ -290,7 +284,7 @@
         let head = self.cache.head();
         let Some(session) = self.sessions.get_mut(&link) else { return };
         if applied > head {
-            return self.protocol_error(now, link, "applied index above the head", actions);
+            return self.protocol_error(now, link, "more is in force than was told", actions);
         }
         session.applied = session.applied.max(applied);
         session.as_of = session.as_of.max(as_of);
@@ -341,7 +335,14 @@
 
     // ---- state transitions
 
-    fn apply_event(&mut self, now: Moment, link: Link, event: Event, why: &str, actions: &mut Vec<Action>) {
+    fn apply_event(
+        &mut self,
+        now: Moment,
+        link: Link,
+        event: Event,
+        detail: &str,
+        actions: &mut Vec<Action>,
+    ) {
         let Some(session) = self.sessions.get_mut(&link) else { return };
         let Some((next, effect)) = transition(session.state, event) else {
             debug_assert!(false, "{event:?} in {:?}", session.state);
@@ -365,7 +366,7 @@
         }
         match effect {
             Effect::Leave => actions.push(Action::Close(link)),
-            Effect::Reject(reason) => self.send_rejection(link, reason, why, actions),
+            Effect::Reject(reason) => self.send_rejection(link, reason, detail, actions),
             _ => {}
         }
         self.grant_slots(now, actions);
@@ -484,7 +485,7 @@
                     now,
                     link,
                     Event::Rejected(Reason::Deaf),
-                    "no hello within the time limit",
+                    "it does not say who it is",
                     actions,
                 );
             }
@@ -493,11 +494,11 @@
                 now,
                 link,
                 Event::Rejected(Reason::Deaf),
-                "no ack within the time limit",
+                "it takes nothing of what is sent",
                 actions,
             ),
             _ if silent => {
-                self.apply_event(now, link, Event::Rejected(Reason::Deaf), "the planner is silent", actions)
+                self.apply_event(now, link, Event::Rejected(Reason::Deaf), "it was not heard", actions)
             }
             _ => self.send_chunks(now, link, actions),
         }
@@ -512,12 +513,9 @@
     fn reject_all(&mut self, now: Moment, reason: Reason, actions: &mut Vec<Action>) {
         let links: Vec<Link> = self.sessions.keys().copied().collect();
         for link in links {
-            let why = if reason == Reason::Record {
-                "the machine serves another record"
-            } else {
-                "the machine is shutting down"
-            };
-            self.apply_event(now, link, Event::Rejected(reason), why, actions);
+            let detail =
+                if reason == Reason::Record { "another record stands here" } else { "the machine ends" };
+            self.apply_event(now, link, Event::Rejected(reason), detail, actions);
         }
     }
 }
--- a/crates/watch/src/server/admission.rs
+++ b/crates/watch/src/server/admission.rs
@@ -11,15 +11,15 @@
 
 impl Server {
     pub(super) fn handle_hello(&mut self, now: Moment, link: Link, hello: Hello, actions: &mut Vec<Action>) {
-        if let Err((reason, why)) = self.check_hello(&hello) {
-            return self.apply_event(now, link, Event::Rejected(reason), &why, actions);
+        if let Err((reason, detail)) = self.check_hello(&hello) {
+            return self.apply_event(now, link, Event::Rejected(reason), &detail, actions);
         }
         if let Some(old) = self.planners.get(&hello.planner).copied() {
             self.apply_event(
                 now,
                 old,
                 Event::Rejected(Reason::Replaced),
-                "replaced by a newer watch of the planner",
+                "a newer watch of the planner",
                 actions,
             );
         }
@@ -63,36 +63,33 @@
     }
 
     fn check_hello(&self, hello: &Hello) -> Result<(), (Reason, String)> {
-        let rejected = |reason, why: String| Err((reason, why));
+        let rejected = |reason, detail: String| Err((reason, detail));
         if hello.min_version > SUPPORTED_VERSIONS.1 || hello.max_version < SUPPORTED_VERSIONS.0 {
             let (min_version, max_version) = SUPPORTED_VERSIONS;
             return rejected(
                 Reason::Version,
-                format!("versions {min_version} to {max_version} are supported"),
+                format!("versions {min_version} to {max_version} are spoken here"),
             );
         }
         if self.stopping {
-            return rejected(Reason::Stopping, "the machine is shutting down".into());
+            return rejected(Reason::Stopping, "the machine ends".into());
         }
         let Some(record_id) = self.record_id else {
-            return rejected(Reason::Behind, "the machine has no record yet".into());
+            return rejected(Reason::Behind, "no record is known here yet".into());
         };
         if hello.record_id != 0 && hello.record_id != record_id {
-            return rejected(Reason::Record, format!("the machine serves record {record_id:016x}"));
+            return rejected(Reason::Record, format!("the record here is {record_id:016x}"));
         }
         let head = self.cache.head();
         if hello.index > head {
-            return rejected(
-                Reason::Behind,
-                format!("the machine has applied index {head}, the planner {}", hello.index),
-            );
+            return rejected(Reason::Behind, format!("{head} is applied here, {} there", hello.index));
         }
         match self.planners.get(&hello.planner).and_then(|link| self.sessions.get(link)) {
             Some(old) if (old.start, old.watch_number) >= (hello.start, hello.watch_number) => {
-                rejected(Reason::Replaced, "the planner has a newer watch here".into())
+                rejected(Reason::Replaced, "a newer watch of the planner stands here".into())
             }
             None if self.planners.len() >= self.config.max_watches => {
-                rejected(Reason::Full, format!("limit of {} watches reached", self.planners.len()))
+                rejected(Reason::Full, format!("{} watches stand here", self.planners.len()))
             }
             _ => Ok(()),
         }
@@ -102,7 +99,7 @@
         &mut self,
         link: Link,
         reason: Reason,
-        why: &str,
+        detail: &str,
         actions: &mut Vec<Action>,
     ) {
         *self.rejections.entry(reason).or_default() += 1;
@@ -114,7 +111,7 @@
             Reason::Version | Reason::Record => (15_000, 45_000),
         };
         let retry_after_ms = self.rng.u64(min_ms..=max_ms);
-        let rejection = Rejection { reason: reason as i32, detail: why.into(), retry_after_ms };
+        let rejection = Rejection { reason: reason as i32, detail: detail.into(), retry_after_ms };
         actions.push(Action::Send(link, Kind::Rejection(rejection)));
         actions.push(Action::Close(link));
     }
--- a/crates/watch/src/watch_client.rs
+++ b/crates/watch/src/watch_client.rs
@@ -83,7 +83,7 @@
                     self.client.handle_message(now, kind, &mut actions)
                 }
                 Ok(_) => break,
-                Err(wrong) => self.client.protocol_error(now, &wrong.to_string(), &mut actions),
+                Err(error) => self.client.protocol_error(now, &error.to_string(), &mut actions),
             }
             events.extend(self.execute(now, actions, out));
         }
@@ -122,7 +122,7 @@
         events
     }
 
-    /// The state as of this index is applied and saved to disk; the machine is told.
+    /// The state as of this index is applied and saved to disk; the machine is notified.
     pub fn applied(&mut self, now: Moment, index: u64, out: &mut Outbox) {
         let mut actions = Vec::new();
         self.client.applied(now, index, &mut actions);
--- a/crates/watch/src/watch_server.rs
+++ b/crates/watch/src/watch_server.rs
@@ -73,9 +73,9 @@
         self.execute(actions, out);
     }
 
-    /// Everything committed at `asked` is applied here; to be called after it was.
-    pub fn confirm_fresh(&mut self, asked: Moment) {
-        self.server.confirm_fresh(asked);
+    /// Everything committed at `requested_at` is applied here; to be called after it was.
+    pub fn confirm_fresh(&mut self, requested_at: Moment) {
+        self.server.confirm_fresh(requested_at);
     }
 
     /// Everything committed up to this long ago is applied here; `None` if it was never known.
--- a/crates/watch/tests/storms.rs
+++ b/crates/watch/tests/storms.rs
@@ -173,7 +173,7 @@
     assert_eq!((back.len(), within(1_000_000)), (before, 0));
 }
 
-/// All start at the same moment: those with a saved state watch at once, and a full machine refuses the
+/// All start at the same moment: those with a saved state watch at once, and a full machine rejects the
 /// rest, which find room elsewhere.
 #[test]
 fn planners_rejected_by_a_full_machine_find_room_at_others() {
