--- a/crates/member/src/accounting.rs
+++ b/crates/member/src/accounting.rs
@@ -1,157 +1,175 @@
-//! The books: what the record holds, sent period by period to a receiver outside, each once.
+//! The accounting export: sends the record's accounting data to an external receiver, each period once.
 //!
-//! A period is closed in the record first, so what it says is fixed there; then it is sent under its id and the number
-//! of the duty, and when the receiver has confirmed, the record is told. Whoever goes on after a lost confirmation sends
-//! the same bytes under the same id, and the receiver tells it for a repeat by that.
+//! A period is first closed in the record, which fixes its contents. The extract is then sent under the period
+//! number and the duty's fencing token, and once the receiver has confirmed, the delivery is written to the
+//! record. If a confirmation is lost, the next holder sends the same bytes under the same period number, by
+//! which the receiver detects the repeat.
 //!
 //! | state | input | next | effect |
 //! | --- | --- | --- | --- |
-//! | resting | a period is over, the last arrived | resting | close it |
-//! | resting | closed and not arrived | sending | dial and send |
-//! | sending | confirmed | resting | the record is told that it arrived |
-//! | sending | refused, no answer, link lost | resting | again after a pause |
+//! | idle | a period is over, the last one is delivered | idle | close it in the record |
+//! | idle | a period is closed and not delivered | sending | connect and send |
+//! | sending | confirmed | idle | write the delivery to the record |
+//! | sending | rejected, timed out, connection lost | idle | retry after a delay |
 
 use pewtergap_http::{request, Limits, Part, Reader, Side, StartLine};
 use pewtergap_node::{Link, Outbox};
-use pewtergap_record::{AccountingState as Kept, CallUsage, CommandKind, PeriodReport};
+use pewtergap_record::{AccountingState, CallUsage, CommandKind, PeriodReport};
 use pewtergap_time::{Moment, Span};
 use std::net::{IpAddr, SocketAddr};
 
-/// An answer that takes longer is none.
-const ANSWER: Span = Span::millis(2_000);
-const AGAIN: Span = Span::millis(500);
-const CLOSES: Span = Span::millis(100);
-const BOUNDS: Limits = Limits { head: 4 * 1024, body: 64 * 1024 };
+/// Time allowed for connecting and for the receiver's response.
+const RESPONSE_TIMEOUT: Span = Span::millis(2_000);
+const RETRY_DELAY: Span = Span::millis(500);
+const COMMIT_DELAY: Span = Span::millis(100);
+const HTTP_LIMITS: Limits = Limits { head: 4 * 1024, body: 64 * 1024 };
 
-/// Where the books go, and how long a period is.
+/// Address of the accounting receiver and the length of a period.
 #[derive(Clone, Copy, Debug)]
 pub struct AccountingConfig {
     pub address: SocketAddr,
     pub period: Span,
 }
 
-struct Sending {
+struct Delivery {
     link: Link,
     period: u64,
-    number: u64,
+    fencing_token: u64,
     reader: Reader,
     status: u16,
-    until: Moment,
+    deadline: Moment,
 }
 
 pub struct AccountingSender {
-    receiver: AccountingConfig,
-    from: Option<IpAddr>,
-    sending: Option<Sending>,
-    rests_until: Moment,
+    config: AccountingConfig,
+    source_ip: Option<IpAddr>,
+    delivery: Option<Delivery>,
+    idle_until: Moment,
     pub sent: u64,
-    pub refused: u64,
+    pub rejected: u64,
 }
 
 impl AccountingSender {
-    pub fn new(receiver: AccountingConfig, from: Option<IpAddr>) -> AccountingSender {
-        AccountingSender { receiver, from, sending: None, rests_until: Moment(0), sent: 0, refused: 0 }
+    pub fn new(config: AccountingConfig, source_ip: Option<IpAddr>) -> AccountingSender {
+        AccountingSender { config, source_ip, delivery: None, idle_until: Moment(0), sent: 0, rejected: 0 }
     }
 
-    pub fn has(&self, link: Link) -> bool {
-        self.sending.as_ref().is_some_and(|sending| sending.link == link)
+    pub fn owns_link(&self, link: Link) -> bool {
+        self.delivery.as_ref().is_some_and(|delivery| delivery.link == link)
     }
 
-    /// The duty is held under this number now: what the record is to be told, if anything.
-    pub fn keep(
+    /// Polled while the duty is held under this token; returns the command for the record, if any.
+    pub fn poll(
         &mut self,
         now: Moment,
-        number: u64,
-        kept: Kept,
-        used: Vec<CallUsage>,
+        fencing_token: u64,
+        state: AccountingState,
+        usage: Vec<CallUsage>,
         out: &mut Outbox,
     ) -> Option<CommandKind> {
-        if self.sending.as_ref().is_some_and(|sending| now >= sending.until || sending.number != number) {
-            self.give_up(now, out);
+        if self
+            .delivery
+            .as_ref()
+            .is_some_and(|delivery| now >= delivery.deadline || delivery.fencing_token != fencing_token)
+        {
+            self.abort(now, out);
         }
-        if self.sending.is_some() || now < self.rests_until {
+        if self.delivery.is_some() || now < self.idle_until {
             return None;
         }
-        if kept.delivered_period < kept.closed_period {
-            let link = out.connect(self.receiver.address, self.from);
-            let reader = Reader::new(Side::Responses, BOUNDS);
-            let until = now + ANSWER;
-            self.sending =
-                Some(Sending { link, period: kept.closed_period, number, reader, status: 0, until });
+        if state.delivered_period < state.closed_period {
+            let link = out.connect(self.config.address, self.source_ip);
+            let reader = Reader::new(Side::Responses, HTTP_LIMITS);
+            let deadline = now + RESPONSE_TIMEOUT;
+            self.delivery = Some(Delivery {
+                link,
+                period: state.closed_period,
+                fencing_token,
+                reader,
+                status: 0,
+                deadline,
+            });
             return None;
         }
-        // Periods that nobody closed are not made up for: one extract says all that is in force.
-        let over = now.0 / self.receiver.period.0.max(1);
-        if over <= kept.closed_period {
+        // Missed periods are not closed one by one: a single extract covers everything in force.
+        let current = now.0 / self.config.period.0.max(1);
+        if current <= state.closed_period {
             return None;
         }
-        // Until the record has it.
-        self.rests_until = now + CLOSES;
-        Some(CommandKind::ClosePeriod(PeriodReport { period: over, fencing_token: number, usage: used }))
+        // Time for the record to commit the command.
+        self.idle_until = now + COMMIT_DELAY;
+        Some(CommandKind::ClosePeriod(PeriodReport { period: current, fencing_token, usage }))
     }
 
-    pub fn give_up(&mut self, now: Moment, out: &mut Outbox) {
-        if let Some(sending) = self.sending.take() {
-            out.cut(sending.link);
-            self.rests_until = now + AGAIN;
+    pub fn abort(&mut self, now: Moment, out: &mut Outbox) {
+        if let Some(delivery) = self.delivery.take() {
+            out.cut(delivery.link);
+            self.idle_until = now + RETRY_DELAY;
         }
     }
 
-    /// The link stands: this is the effect. `may`: the number under which the duty is held at this very moment. Given
-    /// anew meanwhile, it would send what the record says of a later period under the old period's id.
-    pub fn opened(&mut self, now: Moment, may: Option<u64>, kept: (Kept, &str), out: &mut Outbox) {
-        let Some(sending) = &self.sending else { return };
-        let (books, extract) = kept;
-        if may != Some(sending.number) || books.closed_period != sending.period {
-            return self.give_up(now, out);
+    /// The connection is established; this is the fenced effect. `held_token` is the token under which the duty is
+    /// held now. If the duty was reassigned meanwhile, the record already holds a later period, which would
+    /// be sent under the old period's number.
+    pub fn on_opened(
+        &mut self,
+        now: Moment,
+        held_token: Option<u64>,
+        accounting: (AccountingState, &str),
+        out: &mut Outbox,
+    ) {
+        let Some(delivery) = &self.delivery else { return };
+        let (state, extract) = accounting;
+        if held_token != Some(delivery.fencing_token) || state.closed_period != delivery.period {
+            return self.abort(now, out);
         }
-        let (host, number) = (self.receiver.address.to_string(), sending.number.to_string());
+        let (host, token) = (self.config.address.to_string(), delivery.fencing_token.to_string());
         let headers = [
             ("host", host.as_str()),
             ("content-type", "application/json"),
-            ("x-fence", number.as_str()),
+            ("x-fence", token.as_str()),
             ("connection", "close"),
         ];
-        let target = format!("/books/{}", sending.period);
-        out.send(sending.link, request("POST", &target, &headers, Some(extract.as_bytes())));
+        let target = format!("/books/{}", delivery.period);
+        out.send(delivery.link, request("POST", &target, &headers, Some(extract.as_bytes())));
         self.sent += 1;
     }
 
-    pub fn bytes(&mut self, now: Moment, bytes: &[u8], out: &mut Outbox) -> Option<CommandKind> {
-        let sending = self.sending.as_mut()?;
-        sending.reader.push(bytes);
+    pub fn on_bytes(&mut self, now: Moment, bytes: &[u8], out: &mut Outbox) -> Option<CommandKind> {
+        let delivery = self.delivery.as_mut()?;
+        delivery.reader.push(bytes);
         loop {
-            match sending.reader.next_part() {
+            match delivery.reader.next_part() {
                 Ok(Some(Part::Head(head))) => {
                     if let StartLine::Response { status } = head.first {
-                        sending.status = status;
+                        delivery.status = status;
                     }
                 }
                 Ok(Some(Part::Data(_))) => {}
                 Ok(Some(Part::End)) => break,
                 Ok(None) => return None,
                 Err(_) => {
-                    self.give_up(now, out);
+                    self.abort(now, out);
                     return None;
                 }
             }
         }
-        let (status, period, number) = (sending.status, sending.period, sending.number);
-        self.give_up(now, out);
+        let (status, period, fencing_token) = (delivery.status, delivery.period, delivery.fencing_token);
+        self.abort(now, out);
         if (200..300).contains(&status) {
-            self.rests_until = now + CLOSES;
+            self.idle_until = now + COMMIT_DELAY;
             return Some(CommandKind::PeriodDelivered(PeriodReport {
                 period,
-                fencing_token: number,
+                fencing_token,
                 usage: Vec::new(),
             }));
         }
-        self.refused += 1;
+        self.rejected += 1;
         None
     }
 
-    pub fn closed(&mut self, now: Moment) {
-        self.sending = None;
-        self.rests_until = now + AGAIN;
+    pub fn on_closed(&mut self, now: Moment) {
+        self.delivery = None;
+        self.idle_until = now + RETRY_DELAY;
     }
 }
--- a/crates/member/src/admin.rs
+++ b/crates/member/src/admin.rs
@@ -1,5 +1,5 @@
-//! What is asked at an admin door of who keeps the record, and how it is answered: bytes to commands, and what is known to
-//! text. The doors themselves are elsewhere.
+//! Admin requests about the replicated record: parses request bodies into commands and renders the state as
+//! JSON. The HTTP listeners are in other crates.
 
 use crate::member::{Member, MemberView, Reply};
 use crate::messages::MemberChange;
@@ -10,13 +10,13 @@
 use serde::Deserialize;
 use serde_json::{json, Value};
 
-/// An order as it is given at the admin door.
+/// Body of `POST /orders`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Given {
-    /// 16 hexadecimal digits, drawn by who gives it and the same when it is given again.
+struct OrderRequest {
+    /// 16 hexadecimal digits, drawn by the sender and repeated when it resends the order.
     id: String,
-    /// When it was given first, milliseconds of the calendar.
+    /// Milliseconds since the epoch at the first submission.
     given: u64,
     who: String,
     why: String,
@@ -33,31 +33,31 @@
     level: f64,
     #[serde(default)]
     zone: String,
-    /// 0: it binds at once.
+    /// 0 applies the order at once.
     #[serde(default)]
     steps: u32,
     #[serde(default)]
     pause_ms: u64,
-    /// Steps are a share of the planners with their proxies.
+    /// Each step applies the order at a share of the planners, with all their proxies.
     #[serde(default)]
     by_proxies: bool,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Changed {
+struct MemberChangeRequest {
     name: String,
     #[serde(default)]
     at: String,
-    /// Another disk may come under the name.
+    /// Retires the current disk, so that another one may join under the name.
     #[serde(default)]
     replace: bool,
 }
 
-/// A duty that an operator wants at a planner; with no planner wherever it falls.
+/// Pins a duty to a planner; without a planner the pin is removed.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Handed {
+struct DutyPlacementRequest {
     id: String,
     given: u64,
     who: String,
@@ -67,22 +67,26 @@
     to: String,
 }
 
-impl Handed {
+impl DutyPlacementRequest {
     fn command(self) -> Result<Command, String> {
-        let hand = PinDuty { duty: self.duty, planner: self.to, issued_by: self.who, reason: self.why };
-        Ok(Command { id: id_of(&self.id)?, issued_at_ms: self.given, kind: Some(CommandKind::PinDuty(hand)) })
+        let pin = PinDuty { duty: self.duty, planner: self.to, issued_by: self.who, reason: self.why };
+        Ok(Command {
+            id: parse_id(&self.id)?,
+            issued_at_ms: self.given,
+            kind: Some(CommandKind::PinDuty(pin)),
+        })
     }
 }
 
-fn id_of(text: &str) -> Result<u64, String> {
+fn parse_id(text: &str) -> Result<u64, String> {
     u64::from_str_radix(text, 16).map_err(|_| format!("id: '{text}' is not 16 hexadecimal digits"))
 }
 
-impl Given {
+impl OrderRequest {
     fn command(self) -> Result<Command, String> {
-        let id = id_of(&self.id)?;
-        let nothing = Cleanup::default();
-        let wish = match self.order.as_str() {
+        let id = parse_id(&self.id)?;
+        let empty = Cleanup::default();
+        let action = match self.order.as_str() {
             "drain" => OrderAction::Drain(self.server),
             "take-back" => OrderAction::Undrain(self.server),
             "weight" => OrderAction::SetWeight(Weight { server: self.server, weight: self.weight }),
@@ -91,53 +95,54 @@
             "uncap" => OrderAction::ClearCap(self.route),
             "drain-zone" => OrderAction::DrainZone(self.zone),
             "take-back-zone" => OrderAction::UndrainZone(self.zone),
-            "hold-duties" => OrderAction::HoldDuties(nothing),
-            "let-duties" => OrderAction::ResumeDuties(nothing),
-            "hold-releases" => OrderAction::HoldReleases(nothing),
-            "let-releases" => OrderAction::ResumeReleases(nothing),
-            other => return Err(format!("order: '{other}' is none")),
+            "hold-duties" => OrderAction::HoldDuties(empty),
+            "let-duties" => OrderAction::ResumeDuties(empty),
+            "hold-releases" => OrderAction::HoldReleases(empty),
+            "let-releases" => OrderAction::ResumeReleases(empty),
+            other => return Err(format!("order: '{other}' is unknown")),
         };
-        let (steps, pause) = (self.steps, self.pause_ms);
-        let (who, why, until, by_proxies) = (self.who, self.why, self.until, self.by_proxies);
+        let (steps, step_pause_ms) = (self.steps, self.pause_ms);
+        let (issued_by, reason, expires_at_ms, by_proxies) =
+            (self.who, self.why, self.until, self.by_proxies);
         if by_proxies && steps == 0 {
             return Err("by_proxies: steps are missing".into());
         }
         let order = Order {
-            issued_by: who,
-            reason: why,
-            expires_at_ms: until,
-            action: Some(wish),
+            issued_by,
+            reason,
+            expires_at_ms,
+            action: Some(action),
             steps,
-            step_pause_ms: pause,
+            step_pause_ms,
             by_proxies,
         };
         Ok(Command { id, issued_at_ms: self.given, kind: Some(CommandKind::Order(order)) })
     }
 }
 
-/// The command of an order that was given.
+/// Parses an order from the body of `POST /orders`.
 pub fn parse_order(body: &[u8]) -> Result<Command, String> {
-    serde_json::from_slice::<Given>(body).map_err(|e| e.to_string())?.command()
+    serde_json::from_slice::<OrderRequest>(body).map_err(|e| e.to_string())?.command()
 }
 
-/// The command by which a duty is wanted somewhere.
+/// Parses the placement of a duty from the body of `POST /duties`.
 pub fn parse_duty_placement(body: &[u8]) -> Result<Command, String> {
-    serde_json::from_slice::<Handed>(body).map_err(|e| e.to_string())?.command()
+    serde_json::from_slice::<DutyPlacementRequest>(body).map_err(|e| e.to_string())?.command()
 }
 
-/// A change of members; `seats`: who belongs now.
-pub fn parse_member_change(body: &[u8], seats: &[MemberView]) -> Result<MemberChange, String> {
-    let changed: Changed = serde_json::from_slice(body).map_err(|e| e.to_string())?;
-    let seat = seats.iter().find(|seat| seat.name == changed.name);
-    let old = seat.filter(|_| changed.replace).map(|seat| u64::from_str_radix(&seat.id, 16));
+/// Parses a change of members; `members` are the current ones.
+pub fn parse_member_change(body: &[u8], members: &[MemberView]) -> Result<MemberChange, String> {
+    let request: MemberChangeRequest = serde_json::from_slice(body).map_err(|e| e.to_string())?;
+    let member = members.iter().find(|member| member.name == request.name);
+    let replaced = member.filter(|_| request.replace).map(|member| u64::from_str_radix(&member.id, 16));
     Ok(MemberChange {
-        name: changed.name,
-        address: changed.at,
-        replaced_id: old.and_then(Result::ok).unwrap_or(0),
+        name: request.name,
+        address: request.at,
+        replaced_id: replaced.and_then(Result::ok).unwrap_or(0),
     })
 }
 
-/// Status and body of the answer to what was asked for.
+/// HTTP status and body of a reply.
 pub fn render_reply(reply: &Reply) -> (u16, Value) {
     match reply {
         Reply::Committed(number) => (200, json!({ "answer": "kept", "number": number })),
@@ -151,14 +156,14 @@
     json!({ "name": name, "members": member.member_views(now) }).to_string()
 }
 
-/// Orders in force; `here`: which part of each is carried out where it is looked at.
+/// Orders in force; `here` is the share of each that this process applies.
 pub fn orders_view(record: &Record, here: impl Fn(&ActiveOrder) -> f64) -> Vec<Value> {
-    let orders = record.orders().filter_map(|(_, kept)| {
-        let order = kept.order.as_ref()?;
-        let words = order.action.as_ref()?.describe();
-        Some(json!({ "number": kept.index, "order": words, "who": order.issued_by, "why": order.reason,
-            "until": order.expires_at_ms, "given": kept.issued_at_ms, "steps": order.steps, "reached": kept.progress,
-            "back": kept.revert_reason, "here": here(kept) }))
+    let orders = record.orders().filter_map(|(_, active)| {
+        let order = active.order.as_ref()?;
+        let description = order.action.as_ref()?.describe();
+        Some(json!({ "number": active.index, "order": description, "who": order.issued_by, "why": order.reason,
+            "until": order.expires_at_ms, "given": active.issued_at_ms, "steps": order.steps, "reached": active.progress,
+            "back": active.revert_reason, "here": here(active) }))
     });
     orders.collect()
 }
@@ -168,11 +173,11 @@
     record.drains().map(view).collect()
 }
 
-/// What a member's record holds.
+/// The contents of a member's record.
 pub fn record_view(member: &Member, fresh: bool, age: Span, here: impl Fn(&ActiveOrder) -> f64) -> Value {
     let record = &member.record;
-    let (applied, term) = member.raft().map_or((0, 0), |agree| (agree.applied_index(), agree.term()));
-    json!({ "fresh": fresh, "age_ms": age.0 / 1_000_000, "index": applied, "term": term,
+    let (applied_index, term) = member.raft().map_or((0, 0), |raft| (raft.applied_index(), raft.term()));
+    json!({ "fresh": fresh, "age_ms": age.0 / 1_000_000, "index": applied_index, "term": term,
         "format": record.format(), "number": record.last_start_number(), "orders": orders_view(record, here),
         "drains": drains_view(record), "start": member.disk_starts(), "id": format!("{:016x}", member.id()) })
 }
--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -1,22 +1,23 @@
-//! One planner among others: links between members, its disk, the agreed record, and the service beside it.
+//! A planner as a member of a cluster: connections between members, its state file, the replicated record,
+//! and the planner service beside it.
 //!
-//! It decides nothing on calls, tables or health: orders that are kept reach the planner module as observations. With
-//! no other members named it is a cluster of one, the same code on its own disk.
+//! This crate decides nothing about calls, tables or health: committed orders reach the planner as input
+//! events. Without other members it is a cluster of one, running the same code on its own disk.
 #![forbid(unsafe_code)]
 
 pub mod accounting;
 pub mod admin;
-mod disk;
 mod member;
 pub mod messages;
 pub mod orders;
 mod peers;
 mod planner_node;
+mod probe_slices;
 mod recovery;
 pub mod rollout;
 mod sharing;
 pub mod sharing_messages;
-mod slices;
+mod state_file;
 
 pub use accounting::AccountingConfig;
 pub use member::{
@@ -25,6 +26,6 @@
 };
 pub use orders::PlannerSet;
 pub use planner_node::PlannerNode;
+pub use probe_slices::probe_duty_names;
 pub use recovery::{recover_single_member, Recovered};
 pub use sharing::{SharingConfig, COLD_BUDGET};
-pub use slices::probe_duty_names;
--- a/crates/member/src/member/duties.rs
+++ b/crates/member/src/member/duties.rs
@@ -1,92 +1,91 @@
-//! Duties round the record: a member renews its lease, acts on what it holds, and as the leader gives.
+//! Duties as the record assigns them: a member renews its lease and acts on the duties it holds, and the
+//! leader assigns them.
 //!
-//! A renewal is a read of the record that the leader confirms by a round; nothing is written for it. While a duty is on
-//! its way from a planner to another, the leader answers that planner no renewal: it would go on under a lease that is
-//! newer than the decision.
+//! A renewal is a read of the record that the leader confirms with a round; it writes nothing. While a duty
+//! is moving from one planner to another, the leader answers no renewals of the former holder, which would
+//! otherwise continue under a lease newer than the decision.
 
-use super::parted::Till;
+use super::budget::BudgetState;
 use super::*;
 use crate::messages::{HandoffRequest, LeaseRenewal};
-use pewtergap_duty::{
-    DutyAction as Done, DutyAssigner, DutyAssignment, HeldDuties, LeaseConfig, Move, Planner,
-};
+use pewtergap_duty::{DutyAction, DutyAssigner, DutyAssignment, HeldDuties, LeaseConfig, Move, Planner};
 use pewtergap_record::{AssignDuty, PinDuty, ReleaseDuty, CLEANING_DUTY};
 
-/// Renewals under way; older ones are given up.
-const MOST_RENEWALS: usize = 8;
+/// Renewals in flight; older ones are dropped.
+const MAX_RENEWALS: usize = 8;
 
-/// Which duties there are, and how they are held.
+/// The duties of a cluster and the terms under which they are held.
 #[derive(Clone, Debug)]
 pub struct DutyConfig {
     pub lease: LeaseConfig,
-    /// Whoever comes back gets none until it has been heard for so long without a gap.
+    /// A returning planner is assigned no duty before it has been heard without a gap for this time.
     pub rejoin_delay: Span,
     pub names: Vec<String>,
 }
 
 struct Renewal {
     token: u64,
-    asked: Moment,
-    read_at: Option<Index>,
+    sent_at: Moment,
+    read_index: Option<Index>,
 }
 
-/// What a member that has duties keeps of them.
-pub(super) struct Office {
-    duties: DutyConfig,
-    desk: HeldDuties,
-    giver: Option<(DutyAssigner, (Moment, u64))>,
+/// A member's state for duties.
+pub(super) struct DutyState {
+    config: DutyConfig,
+    held_duties: HeldDuties,
+    assigner: Option<(DutyAssigner, (Moment, u64))>,
     renewals: Vec<Renewal>,
-    renew_at: Moment,
-    /// Of whom the lease was renewed.
+    next_renewal: Moment,
+    /// The leader that renewed the lease last.
     leader: Option<Id>,
-    /// Duties on their way, by the command that gives them: from whom.
-    giving: BTreeMap<u64, Id>,
-    /// Commands that release, by duty: number, id, when it was given last.
+    /// Proposed assignments by command id, each with the former holder.
+    assigning: BTreeMap<u64, Id>,
+    /// Release commands by duty: fencing token, command id, and when it was last submitted.
     releasing: BTreeMap<String, (u64, u64, Moment)>,
-    /// Slow by its own measure: until then it takes no duties.
+    /// This member was slow by its own measurement and takes no duties until then.
     slow_until: Moment,
-    due: Moment,
-    lengthened: Moment,
-    /// Budgets, where they are parted.
-    pub(super) till: Option<Till>,
+    next_turn: Moment,
+    last_lease_change: Moment,
+    /// Budgets, if they are divided among planners.
+    pub(super) budget: Option<BudgetState>,
 }
 
-impl Office {
-    pub(super) fn new(duties: DutyConfig, till: Option<Till>) -> Office {
-        let desk = HeldDuties::new(duties.lease);
-        Office {
-            duties,
-            desk,
-            giver: None,
+impl DutyState {
+    pub(super) fn new(config: DutyConfig, budget: Option<BudgetState>) -> DutyState {
+        let held_duties = HeldDuties::new(config.lease);
+        DutyState {
+            config,
+            held_duties,
+            assigner: None,
             renewals: Vec::new(),
-            renew_at: Moment(0),
+            next_renewal: Moment(0),
             leader: None,
-            giving: BTreeMap::new(),
+            assigning: BTreeMap::new(),
             releasing: BTreeMap::new(),
             slow_until: Moment(0),
-            due: Moment(0),
-            lengthened: Moment(0),
-            till,
+            next_turn: Moment(0),
+            last_lease_change: Moment(0),
+            budget,
         }
     }
 
-    pub(super) fn read_at(&mut self, token: u64, index: Index) -> bool {
+    pub(super) fn on_read_index(&mut self, token: u64, index: Index) -> bool {
         let renewal = self.renewals.iter_mut().find(|renewal| renewal.token == token);
-        renewal.map(|renewal| renewal.read_at = Some(index)).is_some()
+        renewal.map(|renewal| renewal.read_index = Some(index)).is_some()
     }
 }
 
 impl Member {
-    /// The number under which this planner may do a duty at this very moment.
+    /// The fencing token under which this planner may act on a duty at this moment.
     pub fn fencing_token(&self, now: Moment, duty: &str) -> Option<u64> {
-        self.office.as_ref()?.desk.fencing_token(now, duty)
+        self.duty_state.as_ref()?.held_duties.fencing_token(now, duty)
     }
 
-    /// Who holds a duty by the record, and whether it can be told something now.
+    /// The holder of a duty according to the record, and whether it is connected.
     pub fn holder(&self, duty: &str) -> (Id, bool) {
         let Some(duty) = self.record.duties().get(duty) else { return (0, false) };
-        let linked = self.peers.welcome(&duty.holder_name).is_some_and(|hello| hello.id == duty.holder);
-        (duty.holder, duty.holder != 0 && linked)
+        let connected = self.peers.welcome(&duty.holder_name).is_some_and(|hello| hello.id == duty.holder);
+        (duty.holder, duty.holder != 0 && connected)
     }
 
     pub fn send_urgent(&self, to: Id, kind: peer_message::Kind, out: &mut Outbox) {
@@ -94,193 +93,200 @@
     }
 
     pub fn broadcast_urgent(&self, kind: &peer_message::Kind, out: &mut Outbox) {
-        let members = self.raft().map(|agree| agree.committed_members()).unwrap_or_default();
-        for member in members.list.iter().filter(|member| member.id != 0 && member.id != self.own.id) {
+        let members = self.raft().map(|raft| raft.committed_members()).unwrap_or_default();
+        for member in members.list.iter().filter(|member| member.id != 0 && member.id != self.identity.id) {
             self.peers.send(member.id, Lane::Urgent, kind.clone(), out);
         }
     }
 
-    /// What this planner holds by its own reckoning, and how long its lease lasts.
+    /// The duties this planner believes it holds: name, fencing token, and whether it may act on each now.
     pub fn held_duties(&self, now: Moment) -> Vec<(String, u64, bool)> {
-        let Some(office) = &self.office else { return Vec::new() };
-        let acts = |duty: &str| office.desk.fencing_token(now, duty).is_some();
-        office.desk.held().map(|(duty, number, _)| (duty.to_string(), number, acts(duty))).collect()
+        let Some(duty_state) = &self.duty_state else { return Vec::new() };
+        let acts = |duty: &str| duty_state.held_duties.fencing_token(now, duty).is_some();
+        duty_state
+            .held_duties
+            .held()
+            .map(|(duty, fencing_token, _)| (duty.to_string(), fencing_token, acts(duty)))
+            .collect()
     }
 
-    /// Every so often, and after each change of the record.
-    pub(super) fn tend(&mut self, now: Moment, out: &mut Outbox) {
-        let Some(mut office) = self.office.take() else { return };
-        if self.record.format() >= 2 && !matches!(self.stage, Stage::Opening | Stage::Ended) {
-            self.lengths(now, &mut office);
-            self.renew(now, &mut office, out);
-            self.hold(now, &mut office, out);
-            self.give_out(now, &mut office, out);
-            self.release(now, &mut office, out);
-            self.clean(now, &office, out);
-            if let Some(till) = &mut office.till {
-                self.hold_parts(now, till, out);
+    /// Runs at each housekeeping and after each change of the record.
+    pub(super) fn update_duties(&mut self, now: Moment, out: &mut Outbox) {
+        let Some(mut duty_state) = self.duty_state.take() else { return };
+        if self.record.format() >= 2 && !matches!(self.stage, Stage::ReadingFile | Stage::Failed) {
+            self.apply_lease_duration(now, &mut duty_state);
+            self.renew_lease(now, &mut duty_state, out);
+            self.update_held_duties(now, &mut duty_state, out);
+            self.assign_duties(now, &mut duty_state, out);
+            self.submit_releases(now, &mut duty_state, out);
+            self.submit_cleanup(now, &duty_state, out);
+            if let Some(budget) = &mut duty_state.budget {
+                self.update_budget(now, budget, out);
             }
         }
-        self.office = Some(office);
+        self.duty_state = Some(duty_state);
     }
 
-    /// A turn that comes late by more than the pause that is borne: whatever is done here is done late. It hands on.
-    pub(super) fn turn(&mut self, now: Moment, out: &mut Outbox) {
-        let Some(office) = &mut self.office else { return };
-        let late = now.since(office.due);
-        if office.due > Moment(0) && late > office.duties.lease.max_pause {
-            office.slow_until = now + office.duties.rejoin_delay;
-            office.renew_at = now;
-            office.desk.tick(now);
-            office.desk.release(None);
-            out.log(Level::Warn, "duties_given_up", vec![("late", late.to_string())]);
+    /// Detects a housekeeping turn that is late by more than the allowed pause. Other work of this process is
+    /// late as well, so it releases its duties.
+    pub(super) fn check_lateness(&mut self, now: Moment, out: &mut Outbox) {
+        let Some(duty_state) = &mut self.duty_state else { return };
+        let lateness = now.since(duty_state.next_turn);
+        if duty_state.next_turn > Moment(0) && lateness > duty_state.config.lease.max_pause {
+            duty_state.slow_until = now + duty_state.config.rejoin_delay;
+            duty_state.next_renewal = now;
+            duty_state.held_duties.tick(now);
+            duty_state.held_duties.release(None);
+            out.log(Level::Warn, "duties_given_up", vec![("late", lateness.to_string())]);
         }
-        office.due = now + HOUSEKEEPING;
+        duty_state.next_turn = now + HOUSEKEEPING_INTERVAL;
     }
 
-    /// Settings may differ while they are changed: a holder believes in the shorter of its own and the record's, a giver
-    /// waits for the longer. The record's rises with any leader's, and falls once nobody who belongs says more.
-    fn lengths(&mut self, now: Moment, office: &mut Office) {
-        let own = office.duties.lease.duration;
-        let known = Span::millis(self.record.lease_ms());
-        office.desk.set_lease_duration(own.min(known));
-        if let Some((giver, _)) = &mut office.giver {
-            giver.set_lease_duration(own.max(known));
+    /// Applies the lease duration. Settings may differ while they are being changed, so a holder uses the
+    /// shorter of its own and the record's duration, and the assigner the longer. The record's duration rises
+    /// with any leader's, and falls once no member has a longer one.
+    fn apply_lease_duration(&mut self, now: Moment, duty_state: &mut DutyState) {
+        let own = duty_state.config.lease.duration;
+        let recorded = Span::millis(self.record.lease_ms());
+        duty_state.held_duties.set_lease_duration(own.min(recorded));
+        if let Some((assigner, _)) = &mut duty_state.assigner {
+            assigner.set_lease_duration(own.max(recorded));
         }
-        let Some(agree) = self.raft().filter(|agree| agree.role() == Role::Leader) else { return };
-        let says = |member: &Seated| match member.id == self.own.id {
-            true => self.own.lease_ms,
-            // One not heard of may believe in whatever the record says.
+        let Some(raft) = self.raft().filter(|raft| raft.role() == Role::Leader) else { return };
+        let lease_of = |member: &RaftMember| match member.id == self.identity.id {
+            true => self.identity.lease_ms,
+            // A member that has not been heard may use the duration in the record.
             false => {
-                let seen = self.seen.get(&member.name).filter(|seen| seen.id == member.id);
-                seen.map_or(self.record.lease_ms(), |seen| seen.lease_ms)
+                let start = self.peer_starts.get(&member.name).filter(|start| start.id == member.id);
+                start.map_or(self.record.lease_ms(), |start| start.lease_ms)
             }
         };
-        let all = agree.members().list.iter().map(says).max().unwrap_or(0).max(self.own.lease_ms);
-        if all != self.record.lease_ms() && now.since(office.lengthened) >= AGAIN {
-            office.lengthened = now;
+        let longest = raft.members().list.iter().map(lease_of).max().unwrap_or(0).max(self.identity.lease_ms);
+        if longest != self.record.lease_ms() && now.since(duty_state.last_lease_change) >= RETRY_INTERVAL {
+            duty_state.last_lease_change = now;
             let id = self.rng.u64(1..);
             self.propose(&Command {
                 id,
                 issued_at_ms: now.0 / 1_000_000,
-                kind: Some(CommandKind::SetLease(all)),
+                kind: Some(CommandKind::SetLease(longest)),
             });
         }
     }
 
-    fn renew(&mut self, now: Moment, office: &mut Office, out: &mut Outbox) {
-        let Some(agree) = self.raft() else { return };
-        let (leads, leader, applied) = (agree.role() == Role::Leader, agree.leader(), agree.applied_index());
-        let belongs = agree.committed_members().find(self.own.id).is_some();
-        let (done, open): (Vec<_>, Vec<_>) = std::mem::take(&mut office.renewals)
+    fn renew_lease(&mut self, now: Moment, duty_state: &mut DutyState, out: &mut Outbox) {
+        let Some(raft) = self.raft() else { return };
+        let (is_leader, leader, applied) = (raft.role() == Role::Leader, raft.leader(), raft.applied_index());
+        let is_member = raft.committed_members().find(self.identity.id).is_some();
+        let (done, pending): (Vec<_>, Vec<_>) = std::mem::take(&mut duty_state.renewals)
             .into_iter()
-            .partition(|renewal| renewal.read_at.is_some_and(|at| at <= applied));
-        office.renewals = open;
+            .partition(|renewal| renewal.read_index.is_some_and(|at| at <= applied));
+        duty_state.renewals = pending;
         for renewal in done {
-            office.desk.on_renewed(now, renewal.asked);
-            office.till.iter_mut().for_each(|till| till.renewed(renewal.asked));
+            duty_state.held_duties.on_renewed(now, renewal.sent_at);
+            duty_state.budget.iter_mut().for_each(|budget| budget.on_renewed(renewal.sent_at));
         }
-        if leader != office.leader {
-            // Whoever leads now has heard of nobody yet.
-            (office.leader, office.renew_at) = (leader, now);
+        if leader != duty_state.leader {
+            // A new leader has not heard any renewals yet.
+            (duty_state.leader, duty_state.next_renewal) = (leader, now);
         }
-        if now < office.renew_at || !belongs || leader.is_none() {
+        if now < duty_state.next_renewal || !is_member || leader.is_none() {
             return;
         }
-        office.renew_at = now + office.duties.lease.renew_interval;
-        self.tokens += 1;
-        // From before the request leaves.
-        let (token, asked) = ((1 << 63) + self.tokens, now);
-        let leaves = self.stopping || now < office.slow_until;
-        let over = office.renewals.len().saturating_sub(MOST_RENEWALS - 1);
-        office.renewals.drain(..over);
-        office.renewals.push(Renewal { token, asked, read_at: None });
+        duty_state.next_renewal = now + duty_state.config.lease.renew_interval;
+        self.last_token += 1;
+        // The lease counts from before the request is sent.
+        let (token, sent_at) = ((1 << 63) + self.last_token, now);
+        let leaving = self.stopping || now < duty_state.slow_until;
+        let over = duty_state.renewals.len().saturating_sub(MAX_RENEWALS - 1);
+        duty_state.renewals.drain(..over);
+        duty_state.renewals.push(Renewal { token, sent_at, read_index: None });
         match leader {
-            _ if leads => self.renewed_by(now, self.own.id, LeaseRenewal { token, leaving: leaves }, office),
+            _ if is_leader => {
+                self.accept_renewal(now, self.identity.id, LeaseRenewal { token, leaving }, duty_state)
+            }
             Some(leader) => {
-                let word = peer_message::Kind::LeaseRenewal(LeaseRenewal { token, leaving: leaves });
-                self.peers.send(leader, Lane::Urgent, word, out);
+                let message = peer_message::Kind::LeaseRenewal(LeaseRenewal { token, leaving });
+                self.peers.send(leader, Lane::Urgent, message, out);
             }
             None => {}
         }
     }
 
-    /// As the leader: a member asks for its lease.
-    pub(super) fn renews(&mut self, now: Moment, from: Id, renew: LeaseRenewal) {
-        let Some(mut office) = self.office.take() else { return };
-        self.renewed_by(now, from, renew, &mut office);
-        self.office = Some(office);
+    /// Handles a lease renewal of a member, as the leader.
+    pub(super) fn on_lease_renewal(&mut self, now: Moment, from: Id, renewal: LeaseRenewal) {
+        let Some(mut duty_state) = self.duty_state.take() else { return };
+        self.accept_renewal(now, from, renewal, &mut duty_state);
+        self.duty_state = Some(duty_state);
     }
 
-    fn renewed_by(&mut self, now: Moment, from: Id, renew: LeaseRenewal, office: &mut Office) {
-        let taking = self.is_taking_from(from);
-        let Stage::Member(agree) = &mut self.stage else { return };
-        if office.giving.values().any(|holder| *holder == from) || taking {
+    fn accept_renewal(&mut self, now: Moment, from: Id, renewal: LeaseRenewal, duty_state: &mut DutyState) {
+        let is_debited = self.is_taking_from(from);
+        let Stage::Joined(raft) = &mut self.stage else { return };
+        if duty_state.assigning.values().any(|holder| *holder == from) || is_debited {
             return;
         }
-        let Some((giver, _)) = &mut office.giver else { return };
-        giver.on_renewal(now, from);
-        office.till.iter_mut().for_each(|till| till.renews(now, from));
-        if renew.leaving {
-            giver.on_leaving(from);
+        let Some((assigner, _)) = &mut duty_state.assigner else { return };
+        assigner.on_renewal(now, from);
+        duty_state.budget.iter_mut().for_each(|budget| budget.on_renewal(now, from));
+        if renewal.leaving {
+            assigner.on_leaving(from);
         }
-        self.tokens += 1;
-        if self.reads.len() < MOST_WAITING && agree.request_read(now, self.tokens).is_ok() {
-            self.reads.insert(self.tokens, (from, renew.token));
+        self.last_token += 1;
+        if self.reads.len() < MAX_PENDING_REQUESTS && raft.request_read(now, self.last_token).is_ok() {
+            self.reads.insert(self.last_token, (from, renewal.token));
         }
     }
 
-    /// What the record says that is ours, and what of it begins, rests and stops.
-    fn hold(&mut self, now: Moment, office: &mut Office, out: &mut Outbox) {
-        let own = self.own.id;
-        let ours = self.record.duties().iter().filter(|(_, duty)| duty.holder == own);
-        office.desk.update_assignments(now, ours.map(|(name, duty)| (name.as_str(), duty.fencing_token)));
-        for (duty, number, does) in office.desk.take_actions() {
-            let event = match does {
-                Done::Start => "duty_begun",
-                Done::Resume => "duty_goes_on",
-                Done::Pause => "duty_rests",
-                Done::Release => "duty_handed_on",
-                Done::Stop => "duty_stopped",
-                Done::Nothing => continue,
+    /// Applies the record's assignments to this planner, and logs the duties that start, pause and stop.
+    fn update_held_duties(&mut self, now: Moment, duty_state: &mut DutyState, out: &mut Outbox) {
+        let own = self.identity.id;
+        let assignments = self.record.duties().iter().filter(|(_, duty)| duty.holder == own);
+        duty_state
+            .held_duties
+            .update_assignments(now, assignments.map(|(name, duty)| (name.as_str(), duty.fencing_token)));
+        for (duty, fencing_token, action) in duty_state.held_duties.take_actions() {
+            let event = match action {
+                DutyAction::Start => "duty_begun",
+                DutyAction::Resume => "duty_goes_on",
+                DutyAction::Pause => "duty_rests",
+                DutyAction::Release => "duty_handed_on",
+                DutyAction::Stop => "duty_stopped",
+                DutyAction::Nothing => continue,
             };
-            let fields = vec![("duty", duty), ("number", number.to_string())];
-            out.log(if does == Done::Pause { Level::Warn } else { Level::Info }, event, fields);
+            let fields = vec![("duty", duty), ("number", fencing_token.to_string())];
+            out.log(if action == DutyAction::Pause { Level::Warn } else { Level::Info }, event, fields);
         }
     }
 
-    fn give_out(&mut self, now: Moment, office: &mut Office, out: &mut Outbox) {
+    fn assign_duties(&mut self, now: Moment, duty_state: &mut DutyState, out: &mut Outbox) {
         let proposed = &self.proposed;
-        office.giving.retain(|command, _| proposed.contains_key(command));
-        let Some(led) = self.raft().and_then(|agree| agree.leading_since()) else {
-            office.giver = None;
-            office.giving.clear();
+        duty_state.assigning.retain(|command, _| proposed.contains_key(command));
+        let Some(leader_since) = self.raft().and_then(|raft| raft.leading_since()) else {
+            duty_state.assigner = None;
+            duty_state.assigning.clear();
             return;
         };
-        if office.giver.as_ref().is_none_or(|giver| giver.1 != led) {
-            // From now, which is after it began to lead: nobody's lease is counted shorter by that.
-            let giver = DutyAssigner::new(now, office.duties.lease, office.duties.rejoin_delay);
-            office.giver = Some((giver, led));
-            office.giving.clear();
+        if duty_state.assigner.as_ref().is_none_or(|assigner| assigner.1 != leader_since) {
+            // Counts from now, which is after the election, so no holder's lease is taken to be shorter than
+            // it is.
+            let assigner = DutyAssigner::new(now, duty_state.config.lease, duty_state.config.rejoin_delay);
+            duty_state.assigner = Some((assigner, leader_since));
+            duty_state.assigning.clear();
         }
-        if !office.giving.is_empty() || self.stopping {
+        if !duty_state.assigning.is_empty() || self.stopping {
             return;
         }
-        let members = self.raft().map(|agree| agree.committed_members()).unwrap_or_default();
+        let members = self.raft().map(|raft| raft.committed_members()).unwrap_or_default();
         let id_of = |name: &str| members.find_by_name(name).map(|member| member.id).filter(|id| *id != 0);
         let held: BTreeMap<String, DutyAssignment> = self
             .record
             .duties()
             .iter()
             .map(|(name, duty)| {
-                let wanted = id_of(&duty.pinned_to);
+                let pinned_to = id_of(&duty.pinned_to);
                 (
                     name.clone(),
-                    DutyAssignment {
-                        holder: duty.holder,
-                        fencing_token: duty.fencing_token,
-                        pinned_to: wanted,
-                    },
+                    DutyAssignment { holder: duty.holder, fencing_token: duty.fencing_token, pinned_to },
                 )
             })
             .collect();
@@ -291,76 +297,82 @@
             .map(|member| Planner { id: member.id, name: member.name.clone() })
             .collect();
         let frozen = self.record.active_order(&Subject::Duties).is_some();
-        let Some((giver, _)) = &mut office.giver else { return };
-        for one in giver.plan(now, &office.duties.names, &held, &planners, frozen) {
-            match one {
-                Move::Assign { duty, to, expected_fencing_token: number } => {
+        let Some((assigner, _)) = &mut duty_state.assigner else { return };
+        for assignment in assigner.plan(now, &duty_state.config.names, &held, &planners, frozen) {
+            match assignment {
+                Move::Assign { duty, to: holder, expected_fencing_token } => {
                     let name =
-                        planners.iter().find(|p| p.id == to).map(|p| p.name.clone()).unwrap_or_default();
+                        planners.iter().find(|p| p.id == holder).map(|p| p.name.clone()).unwrap_or_default();
                     let from = held.get(&duty).map_or(0, |held| held.holder);
                     let id = self.rng.u64(1..);
-                    let what = Some(CommandKind::AssignDuty(AssignDuty {
+                    let kind = Some(CommandKind::AssignDuty(AssignDuty {
                         duty: duty.clone(),
-                        holder: to,
+                        holder,
                         holder_name: name.clone(),
-                        expected_fencing_token: number,
+                        expected_fencing_token,
                     }));
-                    if self.propose(&Command { id, issued_at_ms: now.0 / 1_000_000, kind: what }) {
-                        office.giving.insert(id, from);
+                    if self.propose(&Command { id, issued_at_ms: now.0 / 1_000_000, kind }) {
+                        duty_state.assigning.insert(id, from);
                         out.log(Level::Info, "duty_given", vec![("duty", duty), ("to", name)]);
                     }
                 }
-                Move::RequestRelease { duty, holder, .. } if holder == self.own.id => {
-                    office.desk.release(Some(&duty))
+                Move::RequestRelease { duty, holder, .. } if holder == self.identity.id => {
+                    duty_state.held_duties.release(Some(&duty))
                 }
-                Move::RequestRelease { duty, holder, fencing_token: number } => {
-                    let word = peer_message::Kind::HandoffRequest(HandoffRequest { duty, number });
-                    self.peers.send(holder, Lane::Urgent, word, out);
+                Move::RequestRelease { duty, holder, fencing_token } => {
+                    let message = peer_message::Kind::HandoffRequest(HandoffRequest { duty, fencing_token });
+                    self.peers.send(holder, Lane::Urgent, message, out);
                 }
             }
         }
     }
 
-    /// The leader asks for a duty.
-    pub(super) fn hand_on(&mut self, now: Moment, asked: &HandoffRequest, out: &mut Outbox) {
-        if let Some(office) = &mut self.office {
-            if office.desk.held().any(|held| held.0 == asked.duty && held.1 == asked.number) {
-                office.desk.release(Some(&asked.duty));
+    /// The leader requests that a duty be released.
+    pub(super) fn on_handoff_request(&mut self, now: Moment, request: &HandoffRequest, out: &mut Outbox) {
+        if let Some(duty_state) = &mut self.duty_state {
+            if duty_state
+                .held_duties
+                .held()
+                .any(|held| held.0 == request.duty && held.1 == request.fencing_token)
+            {
+                duty_state.held_duties.release(Some(&request.duty));
             }
         }
-        self.tend(now, out);
+        self.update_duties(now, out);
     }
 
-    /// All duties at the end; the record is told before leadership goes.
-    pub(super) fn hand_all(&mut self, now: Moment, out: &mut Outbox) {
-        if let Some(office) = &mut self.office {
-            office.desk.release(None);
-            office.renew_at = now;
+    /// Releases all duties on shutdown, written to the record before leadership is transferred.
+    pub(super) fn release_all_duties(&mut self, now: Moment, out: &mut Outbox) {
+        if let Some(duty_state) = &mut self.duty_state {
+            duty_state.held_duties.release(None);
+            duty_state.next_renewal = now;
         }
-        self.tend(now, out);
+        self.update_duties(now, out);
     }
 
-    fn release(&mut self, now: Moment, office: &mut Office, out: &mut Outbox) {
-        let handing = office.desk.releasing();
-        office.releasing.retain(|duty, kept| handing.iter().any(|h| h.0 == *duty && h.1 == kept.0));
-        for (duty, number) in handing {
+    fn submit_releases(&mut self, now: Moment, duty_state: &mut DutyState, out: &mut Outbox) {
+        let releasing = duty_state.held_duties.releasing();
+        duty_state
+            .releasing
+            .retain(|duty, release| releasing.iter().any(|held| held.0 == *duty && held.1 == release.0));
+        for (duty, fencing_token) in releasing {
             let id = self.rng.u64(1..);
-            let kept = office.releasing.entry(duty.clone()).or_insert((number, id, Moment(0)));
-            if now.since(kept.2) < AGAIN {
+            let release = duty_state.releasing.entry(duty.clone()).or_insert((fencing_token, id, Moment(0)));
+            if now.since(release.2) < RETRY_INTERVAL {
                 continue;
             }
-            kept.2 = now;
-            let what = Some(CommandKind::ReleaseDuty(ReleaseDuty { duty, fencing_token: number }));
-            let command = Command { id: kept.1, issued_at_ms: now.0 / 1_000_000, kind: what };
-            self.pass_on(&command, out);
+            release.2 = now;
+            let kind = Some(CommandKind::ReleaseDuty(ReleaseDuty { duty, fencing_token }));
+            let command = Command { id: release.1, issued_at_ms: now.0 / 1_000_000, kind };
+            self.submit_to_leader(&command, out);
         }
     }
 
-    /// To whoever leads; whether it is kept is seen in the record.
-    pub(super) fn pass_on(&mut self, command: &Command, out: &mut Outbox) {
+    /// Submits a command to the leader; the record shows whether it was committed.
+    pub(super) fn submit_to_leader(&mut self, command: &Command, out: &mut Outbox) {
         let leader = self.raft().and_then(RaftNode::leader);
-        if !self.propose_late(command) {
-            if let Some(leader) = leader.filter(|leader| *leader != self.own.id) {
+        if !self.propose_while_stopping(command) {
+            if let Some(leader) = leader.filter(|leader| *leader != self.identity.id) {
                 self.peers.send(
                     leader,
                     Lane::Bulk,
@@ -371,33 +383,34 @@
         }
     }
 
-    fn clean(&mut self, now: Moment, office: &Office, out: &mut Outbox) {
+    fn submit_cleanup(&mut self, now: Moment, duty_state: &DutyState, out: &mut Outbox) {
         let ms = now.0 / 1_000_000;
-        let due = now.since(self.cleaned) >= Span::millis(1_000);
-        let Some(number) = office.desk.fencing_token(now, CLEANING_DUTY).filter(|_| due) else { return };
-        self.cleaned = now;
-        let members = self.raft().map(|agree| agree.committed_members()).unwrap_or_default();
-        // What was wanted at a planner that left is wanted nowhere: it would be put there again if another took the name.
+        let due = now.since(self.last_cleanup) >= Span::millis(1_000);
+        let Some(fencing_token) = duty_state.held_duties.fencing_token(now, CLEANING_DUTY).filter(|_| due)
+        else {
+            return;
+        };
+        self.last_cleanup = now;
+        let members = self.raft().map(|raft| raft.committed_members()).unwrap_or_default();
+        // Removes pins to planners that left. Otherwise the duty would move to another member that takes the
+        // name later.
         for duty in self.record.duties_pinned_to_absent(|name| members.find_by_name(name).is_some()) {
-            let (who, why) = (CLEANING_DUTY.to_string(), "the planner it was wanted at left".to_string());
-            let what = Some(CommandKind::PinDuty(PinDuty {
-                duty,
-                planner: String::new(),
-                issued_by: who,
-                reason: why,
-            }));
-            let hand = Command { id: self.rng.u64(1..), issued_at_ms: ms, kind: what };
-            self.pass_on(&hand, out);
+            let (issued_by, reason) =
+                (CLEANING_DUTY.to_string(), "the planner it was wanted at left".to_string());
+            let kind =
+                Some(CommandKind::PinDuty(PinDuty { duty, planner: String::new(), issued_by, reason }));
+            let unpin = Command { id: self.rng.u64(1..), issued_at_ms: ms, kind };
+            self.submit_to_leader(&unpin, out);
         }
         if !self.record.needs_cleanup(ms) {
             return;
         }
         let id = self.rng.u64(1..);
-        let clean = Command {
+        let cleanup = Command {
             id,
             issued_at_ms: ms,
-            kind: Some(CommandKind::Cleanup(Cleanup { now_ms: ms, fencing_token: number })),
+            kind: Some(CommandKind::Cleanup(Cleanup { now_ms: ms, fencing_token })),
         };
-        self.pass_on(&clean, out);
+        self.submit_to_leader(&cleanup, out);
     }
 }
--- a/crates/member/src/member/requests.rs
+++ b/crates/member/src/member/requests.rs
@@ -1,37 +1,44 @@
-//! What is asked of a member, until it is answered.
+//! Requests to a member, from submission to reply.
 
-use super::leading::satisfied;
+use super::leader::is_satisfied;
 use super::*;
 
 impl Member {
-    pub fn request(&mut self, now: Moment, token: u64, what: Request, out: &mut Outbox) {
-        if let Request::Command(command) = &what {
-            if let Err(why) = command.check() {
-                return self.events.push(MemberEvent::Reply { token, reply: Reply::Rejected(why) });
+    pub fn request(&mut self, now: Moment, token: u64, request: Request, out: &mut Outbox) {
+        if let Request::Command(command) = &request {
+            if let Err(reason) = command.check() {
+                return self.events.push(MemberEvent::Reply { token, reply: Reply::Rejected(reason) });
             }
         }
-        if let Request::StaleRead = what {
+        if let Request::StaleRead = request {
             let reply = Reply::ReadReady { fresh: false, age: self.staleness(now) };
             return self.events.push(MemberEvent::Reply { token, reply });
         }
-        if self.waiting.len() >= MOST_WAITING {
-            let reply = Reply::Rejected(format!("{MOST_WAITING} requests wait, no more are taken"));
+        if self.pending.len() >= MAX_PENDING_REQUESTS {
+            let reply =
+                Reply::Rejected(format!("{MAX_PENDING_REQUESTS} requests are pending, no more are accepted"));
             return self.events.push(MemberEvent::Reply { token, reply });
         }
-        let until = now + self.home.request_timeout;
-        self.waiting.push_back(Waiting { token, what, until, given: None, read_at: None });
-        self.give_all(now, out);
-        self.carry_out(now, out);
+        let deadline = now + self.config.request_timeout;
+        self.pending.push_back(PendingRequest {
+            token,
+            request,
+            deadline,
+            submitted_at: None,
+            read_index: None,
+        });
+        self.submit_pending(now, out);
+        self.apply_actions(now, out);
     }
 
-    /// How old what is known here may be.
+    /// How old the state known here may be.
     pub fn staleness(&self, now: Moment) -> Span {
-        let heard = self.raft().and_then(|agree| agree.last_quorum_contact(now));
-        heard.map_or(Span(u64::MAX / 4), |heard| now.since(heard))
+        let last_contact = self.raft().and_then(|raft| raft.last_quorum_contact(now));
+        last_contact.map_or(Span(u64::MAX / 4), |last_contact| now.since(last_contact))
     }
 
-    /// Also by one that is about to end: what it hands on.
-    pub(super) fn propose_late(&mut self, command: &Command) -> bool {
+    /// Proposes even while this member is stopping, so that it can release its duties.
+    pub(super) fn propose_while_stopping(&mut self, command: &Command) -> bool {
         let stopping = std::mem::replace(&mut self.stopping, false);
         let proposed = self.propose(command);
         self.stopping = stopping;
@@ -39,56 +46,61 @@
     }
 
     pub(super) fn propose(&mut self, command: &Command) -> bool {
-        let Stage::Member(agree) = &mut self.stage else { return false };
-        if agree.role() != Role::Leader || self.stopping || self.proposed.len() >= 4 * MOST_WAITING {
+        let Stage::Joined(raft) = &mut self.stage else { return false };
+        if raft.role() != Role::Leader || self.stopping || self.proposed.len() >= 4 * MAX_PENDING_REQUESTS {
             return false;
         }
         if self.proposed.contains_key(&command.id) {
             return true;
         }
-        match agree.propose(command.encode_to_vec()) {
+        match raft.propose(command.encode_to_vec()) {
             Ok((_, index)) => {
                 self.proposed.insert(command.id, index);
-                let taken = match &command.kind {
-                    Some(CommandKind::BudgetShift(share)) => share.taken_from(),
+                let debited = match &command.kind {
+                    Some(CommandKind::BudgetShift(shift)) => shift.taken_from(),
                     _ => None,
                 };
-                self.taking.extend(taken.map(|from| (command.id, from)));
+                self.budget_debits.extend(debited.map(|from| (command.id, from)));
                 true
             }
             Err(_) => false,
         }
     }
 
-    /// Gives what waits to whoever leads.
-    pub(super) fn give_all(&mut self, now: Moment, out: &mut Outbox) {
-        let Some((leads, leader)) = self.raft().map(|agree| (agree.role() == Role::Leader, agree.leader()))
+    /// Submits pending requests to the leader.
+    pub(super) fn submit_pending(&mut self, now: Moment, out: &mut Outbox) {
+        let Some((is_leader, leader)) = self.raft().map(|raft| (raft.role() == Role::Leader, raft.leader()))
         else {
             return;
         };
-        for at in 0..self.waiting.len() {
-            let waiting = &self.waiting[at];
-            if waiting.given.is_some_and(|given| now.since(given) < AGAIN) || waiting.read_at.is_some() {
+        for position in 0..self.pending.len() {
+            let pending = &self.pending[position];
+            if pending.submitted_at.is_some_and(|at| now.since(at) < RETRY_INTERVAL)
+                || pending.read_index.is_some()
+            {
                 continue;
             }
-            let (token, what) = (waiting.token, waiting.what.clone());
-            let given = match (what, leader) {
-                (Request::Command(command), _) if leads => self.propose(&command),
-                (Request::MemberChange(change), _) if leads => self.change(now, &change).is_ok(),
-                (Request::LinearizableRead, _) if leads => {
-                    let Stage::Member(agree) = &mut self.stage else { return };
-                    self.tokens += 1;
-                    let own = self.own.id;
-                    // Asked once: its answer comes, or that it cannot be had.
-                    let asked = waiting.given.is_none() && agree.request_read(now, self.tokens).is_ok();
-                    if asked {
-                        self.reads.insert(self.tokens, (own, token));
+            let (token, request) = (pending.token, pending.request.clone());
+            let submitted = match (request, leader) {
+                (Request::Command(command), _) if is_leader => self.propose(&command),
+                (Request::MemberChange(change), _) if is_leader => {
+                    self.apply_member_change(now, &change).is_ok()
+                }
+                (Request::LinearizableRead, _) if is_leader => {
+                    let Stage::Joined(raft) = &mut self.stage else { return };
+                    self.last_token += 1;
+                    let own = self.identity.id;
+                    // Requested only once: the Raft node always reports a result or a failure.
+                    let requested =
+                        pending.submitted_at.is_none() && raft.request_read(now, self.last_token).is_ok();
+                    if requested {
+                        self.reads.insert(self.last_token, (own, token));
                     }
-                    asked
+                    requested
                 }
                 (Request::Command(command), Some(leader)) => {
-                    let word = peer_message::Kind::Command(command.encode_to_vec());
-                    self.peers.send(leader, Lane::Bulk, word, out)
+                    let message = peer_message::Kind::Command(command.encode_to_vec());
+                    self.peers.send(leader, Lane::Bulk, message, out)
                 }
                 (Request::MemberChange(change), Some(leader)) => {
                     self.peers.send(leader, Lane::Bulk, peer_message::Kind::MemberChange(change), out)
@@ -98,38 +110,38 @@
                 }
                 _ => false,
             };
-            if given {
-                self.waiting[at].given = Some(now);
+            if submitted {
+                self.pending[position].submitted_at = Some(now);
             }
         }
     }
 
-    /// Answers what can be answered, and what can no longer wait.
-    pub(super) fn answer(&mut self, now: Moment, until: Moment) {
+    /// Answers the requests whose outcome is known, and those whose deadline is not after `cutoff`.
+    pub(super) fn complete_requests(&mut self, now: Moment, cutoff: Moment) {
         let applied = self.raft().map_or(0, RaftNode::applied_index);
-        let members = self.raft().map(|agree| (agree.committed_members(), agree.commit_index()));
-        let mut waiting = std::mem::take(&mut self.waiting);
-        waiting.retain(|waiting| {
-            let known = match &waiting.what {
+        let members = self.raft().map(|raft| (raft.committed_members(), raft.commit_index()));
+        let mut pending = std::mem::take(&mut self.pending);
+        pending.retain(|pending| {
+            let outcome = match &pending.request {
                 Request::Command(command) => {
-                    self.record.past_outcome(command.id).map(|answer| match answer {
+                    self.record.past_outcome(command.id).map(|outcome| match outcome {
                         Outcome::Applied(number) => Reply::Committed(number),
-                        Outcome::Rejected(why) => Reply::Rejected(why),
+                        Outcome::Rejected(reason) => Reply::Rejected(reason),
                         Outcome::Unknown => Reply::Unknown,
                     })
                 }
                 Request::MemberChange(change) => {
-                    members.as_ref().filter(|m| satisfied(&m.0, change)).map(|m| Reply::Committed(m.1))
+                    members.as_ref().filter(|m| is_satisfied(&m.0, change)).map(|m| Reply::Committed(m.1))
                 }
-                Request::LinearizableRead => waiting
-                    .read_at
-                    .filter(|at| *at <= applied)
+                Request::LinearizableRead => pending
+                    .read_index
+                    .filter(|index| *index <= applied)
                     .map(|_| Reply::ReadReady { fresh: true, age: Span(0) }),
                 Request::StaleRead => None,
             };
-            let late = until >= waiting.until;
-            let reply = known.or_else(|| {
-                late.then(|| match (&waiting.what, waiting.given) {
+            let expired = cutoff >= pending.deadline;
+            let reply = outcome.or_else(|| {
+                expired.then(|| match (&pending.request, pending.submitted_at) {
                     (Request::LinearizableRead | Request::StaleRead, _) => {
                         Reply::ReadReady { fresh: false, age: self.staleness(now) }
                     }
@@ -138,9 +150,9 @@
                 })
             });
             let Some(reply) = reply else { return true };
-            self.events.push(MemberEvent::Reply { token: waiting.token, reply });
+            self.events.push(MemberEvent::Reply { token: pending.token, reply });
             false
         });
-        self.waiting = waiting;
+        self.pending = pending;
     }
 }
--- a/crates/member/src/messages.rs
+++ b/crates/member/src/messages.rs
@@ -1,19 +1,20 @@
-//! What members say to each other and what a member writes on its disk, as protobuf, and the way to and from the
-//! machine's own types.
+//! Messages between members and the records of a state file, as protobuf, with conversions from and to the
+//! types of the Raft crate.
 
 use pewtergap_protocol::Validate;
 use pewtergap_raft::{
-    Body, Entry, Id, Index, Member, Members, Message as Told, Payload, Snapshot, Term, WalRecord,
+    Body, Entry, Id, Index, Member, Members, Message as NodeMessage, Payload, Snapshot, Term, WalRecord,
 };
 use prost::{Message, Oneof};
 
-/// What this build speaks and understands. Words are the same in both; commands differ, and go by the record's format,
-/// which rises once all who belong speak it.
+/// The formats that this build supports. Messages are the same in all of them; commands differ, and follow
+/// the record's format, which rises once all members support it.
 pub const SUPPORTED_FORMATS: (u32, u32) = pewtergap_record::SUPPORTED_FORMATS;
-pub(crate) const MOST_NAME: usize = 256;
-const MAX_MEMBERS: usize = 64;
-/// A message: entries or a piece, and their heads.
-const MOST_WORD: usize = 4 * 1024 * 1024;
+pub(crate) const MAX_NAME_LEN: usize = 256;
+/// Founders or members in a hello.
+const MAX_LISTED_MEMBERS: usize = 64;
+/// Bounds a message with entries or a snapshot chunk, including headers.
+const MAX_MESSAGE_LEN: usize = 4 * 1024 * 1024;
 
 #[derive(Clone, PartialEq, Message)]
 pub struct PeerMessage {
@@ -27,17 +28,17 @@
 pub mod peer_message {
     #[derive(Clone, PartialEq, super::Oneof)]
     pub enum Kind {
-        /// First on each link, from who dialled.
+        /// First message on each connection, from the side that opened it.
         #[prost(message, tag = "1")]
         Hello(super::Hello),
-        /// The answer to it, and all that is said on the link in this direction.
+        /// The reply to it. Apart from a rejection, nothing else is sent in this direction.
         #[prost(message, tag = "2")]
         Welcome(super::Hello),
         #[prost(message, tag = "3")]
         Reject(super::Rejection),
         #[prost(message, tag = "4")]
         Raft(super::RaftMessage),
-        /// A command for the leader; said again until its answer is seen in the record.
+        /// A command for the leader, resent until its outcome appears in the record.
         #[prost(bytes, tag = "5")]
         Command(Vec<u8>),
         #[prost(message, tag = "6")]
@@ -46,20 +47,22 @@
         ReadIndexRequest(u64),
         #[prost(message, tag = "8")]
         ReadIndex(super::ReadIndex),
-        /// From format 2 on: a lease is asked for; answered by a read's place.
+        /// From format 2 on: requests a lease; answered by a read index.
         #[prost(message, tag = "9")]
         LeaseRenewal(super::LeaseRenewal),
-        /// The leader asks for a duty; answered by a command that releases it.
+        /// The leader requests that a duty be released; answered by a release command.
         #[prost(message, tag = "10")]
         HandoffRequest(super::HandoffRequest),
-        /// A server is to be asked how it is, by whoever holds its slice; that it takes it; what came.
+        /// Requests the holder of a slice to probe a server.
         #[prost(message, tag = "11")]
         ProbeRequest(super::ProbeRequest),
+        /// The holder accepts the request.
         #[prost(message, tag = "12")]
         ProbeAccepted(super::ProbeAccepted),
+        /// The result of a probe by the holder.
         #[prost(message, tag = "13")]
         ProbeResult(super::ProbeResult),
-        /// To those only whose hello says that they share.
+        /// Sent only to members whose hello says that they share.
         #[prost(message, tag = "14")]
         Gossip(crate::sharing_messages::GossipMessage),
         #[prost(message, tag = "15")]
@@ -68,7 +71,8 @@
         CountsResponse(crate::sharing_messages::CountsResponse),
         #[prost(message, tag = "17")]
         Evidence(crate::sharing_messages::EvidenceReport),
-        /// Whom a control machine serves, and what is in force there. To those only whose hello says that they serve watches.
+        /// The clients of a control machine and their state. Sent only to members whose hello says that they
+        /// serve watches.
         #[prost(message, tag = "18")]
         Roster(pewtergap_watch::messages::RosterUpdate),
     }
@@ -80,35 +84,35 @@
     pub min_format: u32,
     #[prost(uint32, tag = "2")]
     pub max_format: u32,
-    /// 0: belongs to none yet.
+    /// 0 if it belongs to none yet.
     #[prost(fixed64, tag = "3")]
     pub cluster_id: u64,
     #[prost(string, tag = "4")]
     pub name: String,
-    /// Drawn when its disk was made.
+    /// Drawn when its disk was created.
     #[prost(fixed64, tag = "5")]
     pub id: Id,
-    /// Starts from this disk, and a number drawn for this one.
+    /// Number of starts from this disk, and a number drawn for this start.
     #[prost(uint64, tag = "6")]
     pub start: u64,
     #[prost(fixed64, tag = "7")]
     pub nonce: u64,
-    /// Who founded the cluster.
+    /// The founders of the cluster.
     #[prost(message, repeated, tag = "8")]
     pub founders: Vec<MemberInfo>,
-    /// On the link for all that is long.
+    /// Set on the connection for long messages.
     #[prost(bool, tag = "9")]
     pub bulk: bool,
-    /// Who belongs now: one that joins knows the founders only, and the leader may be none of them.
+    /// The current members: a joining member knows only the founders, and the leader may be none of them.
     #[prost(message, repeated, tag = "10")]
     pub members: Vec<MemberInfo>,
-    /// How long this one's settings say that leases are, in milliseconds; 0: it has no duties.
+    /// Lease length in this member's settings, in milliseconds; 0 if it has no duties.
     #[prost(uint64, tag = "11")]
     pub lease_ms: u64,
-    /// It shares what it sees: whoever is older closes a link on words that it does not know.
+    /// An older build closes a connection on messages it does not know.
     #[prost(bool, tag = "12")]
-    pub shares: bool,
-    /// It serves watches, and wants to hear whom others serve.
+    pub supports_sharing: bool,
+    /// Serves watches and accepts the rosters of others.
     #[prost(bool, tag = "13")]
     pub serves_watches: bool,
 }
@@ -117,13 +121,13 @@
 pub struct Rejection {
     #[prost(string, tag = "1")]
     pub reason: String,
-    /// The disk is an older copy of what others have heard from.
+    /// The disk is an older copy of one that others have heard from.
     #[prost(bool, tag = "2")]
     pub old_copy: bool,
-    /// The place of this disk was given up, and a majority knows. Whoever is taken out hears it from nobody else: the
-    /// others stop dialling it.
+    /// The place of this disk was given up, and a majority knows. A removed member learns it only from this
+    /// message, since the others stop connecting to it.
     #[prost(bool, tag = "3")]
-    pub given_up: bool,
+    pub retired: bool,
 }
 
 #[derive(Clone, PartialEq, Message)]
@@ -136,12 +140,13 @@
     pub address: String,
     #[prost(bool, tag = "4")]
     pub is_voter: bool,
-    /// From format 4 on: a build that reads no such field takes an observer for one that learns, and gives it a vote.
+    /// From format 4 on: a build that does not read this field treats an observer as a learner and grants it
+    /// a vote.
     #[prost(bool, tag = "5")]
     pub is_observer: bool,
 }
 
-/// Who belongs.
+/// The members of a cluster.
 #[derive(Clone, PartialEq, Message)]
 pub struct Membership {
     #[prost(message, repeated, tag = "1")]
@@ -155,10 +160,10 @@
 pub struct MemberChange {
     #[prost(string, tag = "1")]
     pub name: String,
-    /// Empty: remove it.
+    /// Empty to remove the member.
     #[prost(string, tag = "2")]
     pub address: String,
-    /// The disk that is given up: another one may come under the name. 0: none is.
+    /// The disk id that is given up, so that another disk may join under the name; 0 for none.
     #[prost(fixed64, tag = "3")]
     pub replaced_id: Id,
 }
@@ -177,7 +182,7 @@
     #[prost(string, tag = "1")]
     pub duty: String,
     #[prost(uint64, tag = "2")]
-    pub number: u64,
+    pub fencing_token: u64,
 }
 
 #[derive(Clone, PartialEq, Message)]
@@ -193,7 +198,7 @@
     #[prost(string, tag = "1")]
     pub duty: String,
     #[prost(uint64, tag = "2")]
-    pub number: u64,
+    pub fencing_token: u64,
     #[prost(string, tag = "3")]
     pub server: String,
 }
@@ -203,10 +208,10 @@
     #[prost(string, tag = "1")]
     pub duty: String,
     #[prost(uint64, tag = "2")]
-    pub number: u64,
+    pub fencing_token: u64,
     #[prost(string, tag = "3")]
     pub server: String,
-    /// 0 answered, 1 refused, 2 an error, 3 silent, 4 dead.
+    /// 0 answered, 1 rejected, 2 an error, 3 timed out, 4 unreachable.
     #[prost(uint32, tag = "4")]
     pub outcome: u32,
     #[prost(double, optional, tag = "5")]
@@ -255,7 +260,7 @@
     TimeoutNow(bool),
 }
 
-/// A term and an index; for `Got` bytes and the snapshot's index.
+/// A term and an index; for `SnapshotChunkAck` the received bytes and the snapshot's index.
 #[derive(Clone, PartialEq, Message)]
 pub struct LogPosition {
     #[prost(uint64, tag = "1")]
@@ -323,7 +328,7 @@
     pub term: Term,
     #[prost(oneof = "EntryBody", tags = "2, 3, 4")]
     pub body: Option<EntryBody>,
-    /// On disk; on links the place tells.
+    /// Set on disk; in messages the position follows from the request.
     #[prost(uint64, tag = "5")]
     pub index: Index,
 }
@@ -338,17 +343,17 @@
     Members(Membership),
 }
 
-// ---- on disk
+// State file
 
 #[derive(Clone, PartialEq, Message)]
 pub struct DiskRecord {
     #[prost(oneof = "DiskRecordKind", tags = "1, 2, 3, 4, 5, 6, 7")]
-    pub row: Option<DiskRecordKind>,
+    pub record: Option<DiskRecordKind>,
 }
 
 #[derive(Clone, PartialEq, Oneof)]
 pub enum DiskRecordKind {
-    /// Who this is; the last one counts.
+    /// The identity of this member; the last one counts.
     #[prost(message, tag = "1")]
     Identity(Hello),
     #[prost(message, tag = "2")]
@@ -357,30 +362,31 @@
     Entry(LogEntry),
     #[prost(message, tag = "4")]
     Snapshot(StoredSnapshot),
-    /// What was heard of another member's starts.
+    /// The last known start of another member.
     #[prost(message, tag = "5")]
-    PeerSeen(Hello),
-    /// The highest number of a start that this planner was given, and the one it has used.
+    PeerStart(Hello),
+    /// The highest start number allocated to this planner, which is the one it used.
     #[prost(message, tag = "6")]
     StartNumber(LogPosition),
-    /// Up to here entries were known to be committed. Without it a start that hears nobody would go by no order.
+    /// Entries up to this index were known to be committed. Without it, a start that reaches no other member
+    /// would apply no orders.
     #[prost(uint64, tag = "7")]
     Committed(Index),
 }
 
 impl Validate for PeerMessage {
-    const MAX_LEN: usize = MOST_WORD;
+    const MAX_LEN: usize = MAX_MESSAGE_LEN;
     fn validate(&self) -> Result<(), String> {
-        let named = |name: &str| match name.len() {
+        let check_name = |name: &str| match name.len() {
             0 => Err("name: is missing".to_string()),
-            n if n > MOST_NAME => Err(format!("name: {n} bytes, {MOST_NAME} at most")),
+            n if n > MAX_NAME_LEN => Err(format!("name: {n} bytes, {MAX_NAME_LEN} at most")),
             _ => Ok(()),
         };
-        match self.kind.as_ref().ok_or("no word of this format")? {
+        match self.kind.as_ref().ok_or("message kind is missing or unknown")? {
             peer_message::Kind::Hello(hello) | peer_message::Kind::Welcome(hello) => {
-                named(&hello.name)?;
-                if hello.founders.len().max(hello.members.len()) > MAX_MEMBERS {
-                    return Err(format!("founders or seats: more than {MAX_MEMBERS}"));
+                check_name(&hello.name)?;
+                if hello.founders.len().max(hello.members.len()) > MAX_LISTED_MEMBERS {
+                    return Err(format!("founders or members: more than {MAX_LISTED_MEMBERS}"));
                 }
                 if hello.id == 0 {
                     return Err("id: is missing".into());
@@ -388,21 +394,27 @@
                 Ok(())
             }
             peer_message::Kind::MemberChange(change) => {
-                named(&change.name)?;
-                if change.address.len() > MOST_NAME {
-                    return Err(format!("at: {} bytes, {MOST_NAME} at most", change.address.len()));
+                check_name(&change.name)?;
+                if change.address.len() > MAX_NAME_LEN {
+                    return Err(format!("address: {} bytes, {MAX_NAME_LEN} at most", change.address.len()));
                 }
                 Ok(())
             }
-            peer_message::Kind::HandoffRequest(asked) => named(&asked.duty),
-            peer_message::Kind::ProbeRequest(asked) => named(&asked.duty).and(named(&asked.server)),
-            peer_message::Kind::ProbeAccepted(taken) => named(&taken.duty).and(named(&taken.server)),
-            peer_message::Kind::ProbeResult(told) => named(&told.duty).and(named(&told.server)),
-            peer_message::Kind::Raft(agreeing) => decode_raft(agreeing.clone()).map(drop),
-            peer_message::Kind::Gossip(gossiped) => gossiped.check(),
+            peer_message::Kind::HandoffRequest(request) => check_name(&request.duty),
+            peer_message::Kind::ProbeRequest(request) => {
+                check_name(&request.duty).and(check_name(&request.server))
+            }
+            peer_message::Kind::ProbeAccepted(accepted) => {
+                check_name(&accepted.duty).and(check_name(&accepted.server))
+            }
+            peer_message::Kind::ProbeResult(result) => {
+                check_name(&result.duty).and(check_name(&result.server))
+            }
+            peer_message::Kind::Raft(message) => decode_raft(message.clone()).map(drop),
+            peer_message::Kind::Gossip(message) => message.check(),
             peer_message::Kind::CountsResponse(counts) => counts.check(),
-            peer_message::Kind::Evidence(told) => told.check(),
-            peer_message::Kind::Roster(told) => told.check(),
+            peer_message::Kind::Evidence(report) => report.check(),
+            peer_message::Kind::Roster(update) => update.check(),
             _ => Ok(()),
         }
     }
@@ -427,25 +439,25 @@
 }
 
 pub fn encode_membership(members: &Members) -> Membership {
-    let seat = |m: &Member| {
-        let (name, at) = (m.name.clone(), m.address.clone());
-        MemberInfo { id: m.id, name, address: at, is_voter: m.is_voter, is_observer: m.is_observer }
+    let member = |m: &Member| {
+        let (name, address) = (m.name.clone(), m.address.clone());
+        MemberInfo { id: m.id, name, address, is_voter: m.is_voter, is_observer: m.is_observer }
     };
-    Membership { members: members.list.iter().map(seat).collect(), retired: members.retired.clone() }
+    Membership { members: members.list.iter().map(member).collect(), retired: members.retired.clone() }
 }
 
-pub fn decode_membership(seats: Membership) -> Members {
-    let member = |s: MemberInfo| Member {
-        id: s.id,
-        name: s.name,
-        address: s.address,
-        is_voter: s.is_voter,
-        is_observer: s.is_observer,
+pub fn decode_membership(membership: Membership) -> Members {
+    let member = |m: MemberInfo| Member {
+        id: m.id,
+        name: m.name,
+        address: m.address,
+        is_voter: m.is_voter,
+        is_observer: m.is_observer,
     };
-    Members { list: seats.members.into_iter().map(member).collect(), retired: seats.retired }
+    Members { list: membership.members.into_iter().map(member).collect(), retired: membership.retired }
 }
 
-fn place((term, index): (Term, Index)) -> LogPosition {
+fn position((term, index): (Term, Index)) -> LogPosition {
     LogPosition { term, index }
 }
 
@@ -458,13 +470,13 @@
     LogEntry { term: entry.term, body: Some(body), index }
 }
 
-fn entry(kept: LogEntry) -> Result<Entry, String> {
-    let body = match kept.body.ok_or("an entry holds nothing of this format")? {
+fn entry(entry_message: LogEntry) -> Result<Entry, String> {
+    let body = match entry_message.body.ok_or("entry body is missing or unknown")? {
         EntryBody::Empty(_) => Body::Empty,
         EntryBody::Command(bytes) => Body::Command(bytes),
-        EntryBody::Members(seats) => Body::Members(decode_membership(seats)),
+        EntryBody::Members(membership) => Body::Members(decode_membership(membership)),
     };
-    Ok(Entry { term: kept.term, body })
+    Ok(Entry { term: entry_message.term, body })
 }
 
 pub fn encode_snapshot(snapshot: &Snapshot) -> StoredSnapshot {
@@ -472,113 +484,118 @@
     StoredSnapshot { index, term, members: encode_membership(&snapshot.members), data }
 }
 
-fn snapshot(image: StoredSnapshot) -> Snapshot {
+fn snapshot(stored: StoredSnapshot) -> Snapshot {
     Snapshot {
-        index: image.index,
-        term: image.term,
-        members: decode_membership(image.members),
-        data: image.data,
+        index: stored.index,
+        term: stored.term,
+        members: decode_membership(stored.members),
+        data: stored.data,
     }
 }
 
-pub fn encode_raft(message: &Told) -> RaftMessage {
-    let say = match &message.payload {
-        Payload::PreVoteRequest { last_log: last } => RaftPayload::PreVoteRequest(place(*last)),
+pub fn encode_raft(message: &NodeMessage) -> RaftMessage {
+    let payload = match &message.payload {
+        Payload::PreVoteRequest { last_log } => RaftPayload::PreVoteRequest(position(*last_log)),
         Payload::PreVoteResponse { granted } => RaftPayload::PreVoteResponse(*granted),
-        Payload::VoteRequest { last_log: last, leader_transfer: handed } => {
-            RaftPayload::VoteRequest(VoteRequest { last_log: place(*last), leader_transfer: *handed })
-        }
+        Payload::VoteRequest { last_log, leader_transfer } => RaftPayload::VoteRequest(VoteRequest {
+            last_log: position(*last_log),
+            leader_transfer: *leader_transfer,
+        }),
         Payload::VoteResponse { granted } => RaftPayload::VoteResponse(*granted),
         Payload::AppendEntries { prev, entries, commit, round } => {
             let entries = entries.iter().map(|entry| encode_entry(0, entry)).collect();
             RaftPayload::AppendEntries(AppendEntries {
-                prev: place(*prev),
+                prev: position(*prev),
                 entries,
                 commit: *commit,
                 round: *round,
             })
         }
-        Payload::AppendResponse { rejected: refused, match_index: matched, round } => {
+        Payload::AppendResponse { rejected, match_index, round } => {
             RaftPayload::AppendResponse(AppendResponse {
-                rejected: *refused,
-                match_index: *matched,
+                rejected: *rejected,
+                match_index: *match_index,
                 round: *round,
             })
         }
-        Payload::SnapshotChunk { snapshot, offset: at, total_bytes: total } => {
+        Payload::SnapshotChunk { snapshot, offset, total_bytes } => {
             RaftPayload::SnapshotChunk(SnapshotChunk {
                 snapshot: encode_snapshot(snapshot),
-                offset: *at,
-                total_bytes: *total,
+                offset: *offset,
+                total_bytes: *total_bytes,
             })
         }
-        Payload::SnapshotChunkAck { index, bytes_received: bytes } => {
-            RaftPayload::SnapshotChunkAck(place((*bytes, *index)))
+        Payload::SnapshotChunkAck { index, bytes_received } => {
+            RaftPayload::SnapshotChunkAck(position((*bytes_received, *index)))
         }
         Payload::TimeoutNow => RaftPayload::TimeoutNow(true),
     };
-    RaftMessage { term: message.term, payload: Some(say) }
+    RaftMessage { term: message.term, payload: Some(payload) }
 }
 
-pub fn decode_raft(agreeing: RaftMessage) -> Result<Told, String> {
-    let say = match agreeing.payload.ok_or("nothing of this format is said")? {
-        RaftPayload::PreVoteRequest(last) => Payload::PreVoteRequest { last_log: (last.term, last.index) },
+pub fn decode_raft(message: RaftMessage) -> Result<NodeMessage, String> {
+    let payload = match message.payload.ok_or("raft payload is missing or unknown")? {
+        RaftPayload::PreVoteRequest(last_log) => {
+            Payload::PreVoteRequest { last_log: (last_log.term, last_log.index) }
+        }
         RaftPayload::PreVoteResponse(granted) => Payload::PreVoteResponse { granted },
-        RaftPayload::VoteRequest(ask) => Payload::VoteRequest {
-            last_log: (ask.last_log.term, ask.last_log.index),
-            leader_transfer: ask.leader_transfer,
+        RaftPayload::VoteRequest(request) => Payload::VoteRequest {
+            last_log: (request.last_log.term, request.last_log.index),
+            leader_transfer: request.leader_transfer,
         },
         RaftPayload::VoteResponse(granted) => Payload::VoteResponse { granted },
-        RaftPayload::AppendEntries(append) => Payload::AppendEntries {
-            prev: (append.prev.term, append.prev.index),
-            entries: append.entries.into_iter().map(entry).collect::<Result<_, _>>()?,
-            commit: append.commit,
-            round: append.round,
+        RaftPayload::AppendEntries(request) => Payload::AppendEntries {
+            prev: (request.prev.term, request.prev.index),
+            entries: request.entries.into_iter().map(entry).collect::<Result<_, _>>()?,
+            commit: request.commit,
+            round: request.round,
         },
-        RaftPayload::AppendResponse(took) => Payload::AppendResponse {
-            rejected: took.rejected,
-            match_index: took.match_index,
-            round: took.round,
+        RaftPayload::AppendResponse(response) => Payload::AppendResponse {
+            rejected: response.rejected,
+            match_index: response.match_index,
+            round: response.round,
         },
-        RaftPayload::SnapshotChunk(piece) => Payload::SnapshotChunk {
-            snapshot: snapshot(piece.snapshot),
-            offset: piece.offset,
-            total_bytes: piece.total_bytes,
+        RaftPayload::SnapshotChunk(chunk) => Payload::SnapshotChunk {
+            snapshot: snapshot(chunk.snapshot),
+            offset: chunk.offset,
+            total_bytes: chunk.total_bytes,
         },
-        RaftPayload::SnapshotChunkAck(got) => {
-            Payload::SnapshotChunkAck { index: got.index, bytes_received: got.term }
+        RaftPayload::SnapshotChunkAck(ack) => {
+            Payload::SnapshotChunkAck { index: ack.index, bytes_received: ack.term }
         }
         RaftPayload::TimeoutNow(_) => Payload::TimeoutNow,
     };
-    Ok(Told { term: agreeing.term, payload: say })
+    Ok(NodeMessage { term: message.term, payload })
 }
 
-pub fn encode_record(row: &WalRecord) -> DiskRecordKind {
-    match row {
-        WalRecord::HardState { term, vote } => DiskRecordKind::HardState(place((*term, *vote))),
+pub fn encode_record(record: &WalRecord) -> DiskRecordKind {
+    match record {
+        WalRecord::HardState { term, vote } => DiskRecordKind::HardState(position((*term, *vote))),
         WalRecord::Entry { index, entry } => DiskRecordKind::Entry(encode_entry(*index, entry)),
         WalRecord::Snapshot(snapshot) => DiskRecordKind::Snapshot(encode_snapshot(snapshot)),
     }
 }
 
-/// A row of the log, if it is one.
-pub fn decode_record(row: DiskRecordKind) -> Result<Option<WalRecord>, String> {
-    Ok(Some(match row {
-        DiskRecordKind::HardState(hard) => WalRecord::HardState { term: hard.term, vote: hard.index },
-        DiskRecordKind::Entry(kept) => WalRecord::Entry { index: kept.index, entry: entry(kept)? },
-        DiskRecordKind::Snapshot(image) => WalRecord::Snapshot(snapshot(image)),
+/// Converts a record of the log; `None` for other records.
+pub fn decode_record(record: DiskRecordKind) -> Result<Option<WalRecord>, String> {
+    Ok(Some(match record {
+        DiskRecordKind::HardState(state) => WalRecord::HardState { term: state.term, vote: state.index },
+        DiskRecordKind::Entry(entry_message) => {
+            WalRecord::Entry { index: entry_message.index, entry: entry(entry_message)? }
+        }
+        DiskRecordKind::Snapshot(stored) => WalRecord::Snapshot(snapshot(stored)),
         DiskRecordKind::Identity(_)
-        | DiskRecordKind::PeerSeen(_)
+        | DiskRecordKind::PeerStart(_)
         | DiskRecordKind::StartNumber(_)
         | DiskRecordKind::Committed(_) => return Ok(None),
     }))
 }
 
-pub fn record_to_bytes(row: DiskRecordKind) -> Vec<u8> {
-    DiskRecord { row: Some(row) }.encode_to_vec()
+pub fn record_to_bytes(record: DiskRecordKind) -> Vec<u8> {
+    DiskRecord { record: Some(record) }.encode_to_vec()
 }
 
 pub fn record_from_bytes(bytes: &[u8]) -> Result<DiskRecordKind, String> {
-    let row = DiskRecord::decode(bytes).map_err(|e| e.to_string())?;
-    row.row.ok_or_else(|| "a row of a newer format".into())
+    let record = DiskRecord::decode(bytes).map_err(|e| e.to_string())?;
+    record.record.ok_or_else(|| "record kind is missing or of a newer format".into())
 }
--- a/crates/member/src/orders.rs
+++ b/crates/member/src/orders.rs
@@ -1,16 +1,18 @@
-//! What the record's orders say to the service beside it, as far as each has been let.
+//! Translates the record's orders into overrides for the planner service, at the progress each order has
+//! reached.
 //!
-//! An order in steps binds by the part that its releaser has reached: a cap by that part of the way to its level, a weight
-//! by that part of the way from the listed one, a zone's drain by that part of its servers, the same ones everywhere. Where
-//! the steps are by proxies, that part of the planners carry it out whole, each with all its proxies.
+//! An order in steps applies in part: a cap moves that fraction of the way to its level, a weight that
+//! fraction of the way from the listed weight, and a zone drain covers that fraction of the zone's servers,
+//! the same ones at every planner. With steps by proxies, that fraction of the planners apply the whole
+//! order, each with all its proxies.
 
 use pewtergap_control::{OverrideChange, Overrides, Service};
-use pewtergap_record::{ActiveOrder as Kept, OrderAction, Record, Subject};
+use pewtergap_record::{ActiveOrder, OrderAction, Record, Subject};
 use pewtergap_time::Moment;
 use std::collections::BTreeSet;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Which planner this is among those that belong, by name.
+/// This planner's name and the names of all planners.
 #[derive(Clone, Debug, Default)]
 pub struct PlannerSet {
     pub name: String,
@@ -18,111 +20,119 @@
 }
 
 impl PlannerSet {
-    /// Whether this planner is in that part of them, drawn anew for each order so that no planner goes first in all. Where
-    /// nobody knows them all, about that part of them is.
-    pub fn includes(&self, number: u64, part: f64) -> bool {
-        let draw = |name: &str| xxh3_64(format!("{number}\n{name}").as_bytes());
+    /// Whether this planner is in the given fraction of the planners. The selection differs between orders,
+    /// so that no planner is always among the first. If the planners are not known, about that fraction of
+    /// them is selected.
+    pub fn includes(&self, number: u64, share: f64) -> bool {
+        let hash = |name: &str| xxh3_64(format!("{number}\n{name}").as_bytes());
         if self.planners.is_empty() {
-            return (draw(&self.name) as f64) < part * u64::MAX as f64;
+            return (hash(&self.name) as f64) < share * u64::MAX as f64;
         }
-        let before = self.planners.iter().filter(|name| draw(name) < draw(&self.name)).count();
-        before < (self.planners.len().max(1) as f64 * part - 1e-9).ceil() as usize
+        let rank = self.planners.iter().filter(|name| hash(name) < hash(&self.name)).count();
+        rank < (self.planners.len().max(1) as f64 * share - 1e-9).ceil() as usize
     }
 }
 
-/// What is wished for, unless its time is over or it was taken back; and which part of it.
-fn in_force<'a>(kept: &'a Kept, now: Moment, among: &PlannerSet) -> Option<(&'a OrderAction, f64)> {
-    let order = kept
+/// The action of an order that has not expired or been reverted, and the fraction of it that applies here.
+fn active_action<'a>(
+    active: &'a ActiveOrder,
+    now: Moment,
+    planners: &PlannerSet,
+) -> Option<(&'a OrderAction, f64)> {
+    let order = active
         .order
         .as_ref()
         .filter(|order| order.expires_at_ms == 0 || order.expires_at_ms > now.0 / 1_000_000)?;
-    let part = match f64::from(kept.progress.min(1_000)) / 1e3 {
+    let share = match f64::from(active.progress.min(1_000)) / 1e3 {
         _ if order.steps == 0 => 1.0,
-        reached if !order.by_proxies => reached,
-        reached => f64::from(u8::from(among.includes(kept.index, reached))),
+        progress if !order.by_proxies => progress,
+        progress => f64::from(u8::from(planners.includes(active.index, progress))),
     };
-    order.action.as_ref().map(|wish| (wish, part)).filter(|_| part > 0.0)
+    order.action.as_ref().map(|action| (action, share)).filter(|_| share > 0.0)
 }
 
-/// Which part of an order this planner carries out now.
-pub fn applied_share(kept: &Kept, now: Moment, among: &PlannerSet) -> f64 {
-    in_force(kept, now, among).map_or(0.0, |force| force.1)
+/// The fraction of an order that this planner applies now.
+pub fn applied_share(active: &ActiveOrder, now: Moment, planners: &PlannerSet) -> f64 {
+    active_action(active, now, planners).map_or(0.0, |active| active.1)
 }
 
-fn weight(service: &Service, at: &str, wished: f64, part: f64) -> f64 {
-    let listed = service.endpoint(at).map_or(wished, |listed| listed.weight);
-    listed + (wished - listed) * part
+fn interpolate_weight(service: &Service, server: &str, target: f64, share: f64) -> f64 {
+    let listed = service.endpoint(server).map_or(target, |listed| listed.weight);
+    listed + (target - listed) * share
 }
 
-/// That part of a zone's servers, by a hash of their names: who joins the list moves nobody else in or out.
-fn of_zone(service: &Service, zone: &str, part: f64) -> BTreeSet<String> {
+/// The given fraction of a zone's servers, selected by a hash of their names. A server that joins the list moves
+/// at most one other in or out.
+fn zone_servers(service: &Service, zone: &str, share: f64) -> BTreeSet<String> {
     let mut all: Vec<&String> = service.servers_in_zone(zone).collect();
-    all.sort_by_key(|at| xxh3_64(at.as_bytes()));
-    let most = (all.len() as f64 * part).ceil() as usize;
-    all.into_iter().take(most).cloned().collect()
+    all.sort_by_key(|server| xxh3_64(server.as_bytes()));
+    let count = (all.len() as f64 * share).ceil() as usize;
+    all.into_iter().take(count).cloned().collect()
 }
 
-fn runs(record: &Record, service: &Service, now: Moment, at: &str) -> bool {
+fn is_draining(record: &Record, service: &Service, now: Moment, server: &str) -> bool {
     let drain =
-        record.find_drain(at).filter(|drain| drain.notified_at_ms + drain.grace_ms > now.0 / 1_000_000);
+        record.find_drain(server).filter(|drain| drain.notified_at_ms + drain.grace_ms > now.0 / 1_000_000);
     drain.is_some_and(|drain| service.lists_start(&drain.server, drain.started))
 }
 
-/// All of it.
-pub fn all_overrides(record: &Record, service: &Service, now: Moment, among: &PlannerSet) -> Overrides {
-    let mut standing = Overrides::default();
-    for (subject, kept) in record.orders() {
-        let Some((wish, part)) = in_force(kept, now, among) else { continue };
-        match (subject, wish) {
-            (Subject::Server(server), _) => drop(standing.drained.insert(server.clone())),
-            (Subject::Zone(zone), _) => standing.drained.extend(of_zone(service, zone, part)),
+/// The overrides of all orders.
+pub fn all_overrides(record: &Record, service: &Service, now: Moment, planners: &PlannerSet) -> Overrides {
+    let mut overrides = Overrides::default();
+    for (subject, active) in record.orders() {
+        let Some((action, share)) = active_action(active, now, planners) else { continue };
+        match (subject, action) {
+            (Subject::Server(server), _) => drop(overrides.drained.insert(server.clone())),
+            (Subject::Zone(zone), _) => overrides.drained.extend(zone_servers(service, zone, share)),
             (Subject::Weight(server), OrderAction::SetWeight(w)) => {
-                standing.weights.insert(server.clone(), weight(service, server, w.weight, part));
+                overrides
+                    .weights
+                    .insert(server.clone(), interpolate_weight(service, server, w.weight, share));
             }
             (Subject::Route(route), OrderAction::SetCap(cap)) => {
-                standing.caps.insert(route.clone(), 1.0 - (1.0 - cap.level) * part);
+                overrides.caps.insert(route.clone(), 1.0 - (1.0 - cap.level) * share);
             }
-            (Subject::Releases, _) => standing.held = true,
+            (Subject::Releases, _) => overrides.held = true,
             _ => {}
         }
     }
-    // A grace that another planner began runs on here, also where this one's list is behind.
-    let running = record.drains().filter(|drain| runs(record, service, now, &drain.server));
-    standing.drained.extend(running.map(|drain| drain.server.clone()));
-    standing
+    // A drain announced at another planner applies here too, even if this planner's list is behind.
+    let draining = record.drains().filter(|drain| is_draining(record, service, now, &drain.server));
+    overrides.drained.extend(draining.map(|drain| drain.server.clone()));
+    overrides
 }
 
-/// What is said of these, and no more: with 10,000 orders in force each commit went through all of them. None: only
-/// the whole tells.
+/// The changes for these subjects alone. Evaluating all orders at each commit was too slow with 10,000 of
+/// them in force. Returns `None` if that takes the complete overrides.
 pub fn changes_for(
     record: &Record,
     service: &Service,
     now: Moment,
     subjects: &BTreeSet<Subject>,
-    among: &PlannerSet,
+    planners: &PlannerSet,
 ) -> Option<Vec<OverrideChange>> {
-    let zones = record.orders().rev().take_while(|(subject, _)| **subject > Subject::Releases);
-    let zones = zones.filter(|(subject, _)| matches!(subject, Subject::Zone(_))).count();
-    let mut all = Vec::new();
+    let later = record.orders().rev().take_while(|(subject, _)| **subject > Subject::Releases);
+    let zone_drains = later.filter(|(subject, _)| matches!(subject, Subject::Zone(_))).count();
+    let mut changes = Vec::new();
     for subject in subjects {
-        let wish = record.active_order(subject).and_then(|kept| in_force(kept, now, among));
-        all.push(match (subject, wish) {
-            (Subject::Server(_), _) if zones > 0 => return None,
-            (Subject::Server(at), wish) => {
-                OverrideChange::Drained(at.clone(), wish.is_some() || runs(record, service, now, at))
+        let action = record.active_order(subject).and_then(|active| active_action(active, now, planners));
+        changes.push(match (subject, action) {
+            (Subject::Server(_), _) if zone_drains > 0 => return None,
+            (Subject::Server(at), action) => {
+                OverrideChange::Drained(at.clone(), action.is_some() || is_draining(record, service, now, at))
             }
-            (Subject::Weight(at), Some((OrderAction::SetWeight(w), part))) => {
-                OverrideChange::Weight(at.clone(), Some(weight(service, at, w.weight, part)))
+            (Subject::Weight(at), Some((OrderAction::SetWeight(w), share))) => {
+                OverrideChange::Weight(at.clone(), Some(interpolate_weight(service, at, w.weight, share)))
             }
             (Subject::Weight(at), _) => OverrideChange::Weight(at.clone(), None),
-            (Subject::Route(route), Some((OrderAction::SetCap(cap), part))) => {
-                OverrideChange::Cap(route.clone(), Some(1.0 - (1.0 - cap.level) * part))
+            (Subject::Route(route), Some((OrderAction::SetCap(cap), share))) => {
+                OverrideChange::Cap(route.clone(), Some(1.0 - (1.0 - cap.level) * share))
             }
             (Subject::Route(route), _) => OverrideChange::Cap(route.clone(), None),
-            (Subject::Releases, wish) => OverrideChange::Hold(wish.is_some()),
+            (Subject::Releases, action) => OverrideChange::Hold(action.is_some()),
             (Subject::Zone(_), _) => return None,
             (Subject::Duties, _) => continue,
         });
     }
-    Some(all)
+    Some(changes)
 }
--- a/crates/member/src/peers.rs
+++ b/crates/member/src/peers.rs
@@ -1,8 +1,10 @@
-//! Links between members. Each dials each other one; on a link only its dialler's words go, and the welcome back, so
-//! that a link cut in one direction is cut in just that.
+//! Connections between members. Each member connects to every other one. Apart from the welcome, a connection
+//! carries only the messages of the member that opened it, so a connection cut in one direction is cut in
+//! that direction alone.
 //!
-//! Two links to each: what settles who leads never waits behind entries and snapshots. A link that does not take what
-//! is written is closed by the driver's bound, and dialled again.
+//! There are two connections to each member, so that election traffic never waits behind entries and
+//! snapshots. A connection that does not accept writes is closed by the driver's buffer limit and opened
+//! again.
 
 use crate::member::{MAX_MEMBERS, MAX_OBSERVERS};
 use crate::messages::{peer_message, Hello, PeerMessage, Rejection};
@@ -13,264 +15,283 @@
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
 
-/// Between dials: the first, and the longest.
-const BACK_OFF: (Span, Span) = (Span::millis(50), Span::millis(1_000));
-/// A welcome that does not come by then: the way is cut, or somebody else is there.
-const WELCOMED: Span = Span::millis(1_000);
-/// Links that came in at once; strangers beyond it are turned away. Two of each other member, and some that are dialled anew
-/// before the old ones are seen to be broken.
-const MOST_INCOMING: usize = 2 * (MAX_MEMBERS + MAX_OBSERVERS) + 18;
-/// Who came in and has not said who it is by then is closed.
-const PATIENCE: Span = Span::millis(2_000);
+/// Delay between connection attempts: initial and maximum.
+const RECONNECT_DELAY: (Span, Span) = (Span::millis(50), Span::millis(1_000));
+/// Timeout for the welcome: the path is cut, or another program listens at the address.
+const WELCOME_TIMEOUT: Span = Span::millis(1_000);
+/// Incoming connections at a time; further ones are closed. Two for each other member, and spare
+/// ones for members that reconnect before their broken connections are detected.
+const MAX_INCOMING: usize = 2 * (MAX_MEMBERS + MAX_OBSERVERS) + 18;
+/// An incoming connection without a hello is closed after this time.
+const HELLO_TIMEOUT: Span = Span::millis(2_000);
 
-/// What settles who leads, and all that is long.
+/// `Urgent` carries elections and other short messages, `Bulk` all long ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lane {
     Urgent,
     Bulk,
 }
 
-struct Way {
+struct OutgoingLink {
     link: Option<Link>,
     frames: FrameReader<PeerMessage>,
-    /// The other end's welcome, once it came.
+    /// The welcome of the other end, once received.
     welcome: Option<Hello>,
-    /// When to dial, or until when the welcome has to come.
-    until: Moment,
+    /// When to connect, or the deadline for the welcome.
+    deadline: Moment,
     failures: i32,
 }
 
 struct Peer {
-    at: Option<SocketAddr>,
-    ways: [Way; 2],
-    /// Why it refused us last.
-    refused: Option<String>,
+    address: Option<SocketAddr>,
+    links: [OutgoingLink; 2],
+    /// The reason of the last rejection.
+    last_rejection: Option<String>,
 }
 
-pub struct Came {
+pub struct IncomingLink {
     frames: FrameReader<PeerMessage>,
     pub hello: Option<Hello>,
     since: Moment,
 }
 
-/// What came of bytes on a link.
-pub enum Heard {
-    /// From a member that was let in, or its first word.
-    Words(Vec<PeerMessage>),
+/// What was received on a connection.
+pub enum Received {
+    /// From an accepted member, or its first message.
+    Messages(Vec<PeerMessage>),
     Welcome(String, Hello),
-    Refused(String, Rejection),
-    Wrong(String),
+    Rejected(String, Rejection),
+    Invalid(String),
 }
 
 #[derive(Default)]
 pub struct Peers {
-    from: Option<IpAddr>,
+    source_ip: Option<IpAddr>,
     peers: BTreeMap<String, Peer>,
-    pub came: BTreeMap<Link, Came>,
+    pub incoming: BTreeMap<Link, IncomingLink>,
 }
 
-impl Way {
-    fn new(now: Moment) -> Way {
-        Way { link: None, frames: FrameReader::default(), welcome: None, until: now, failures: 0 }
+impl OutgoingLink {
+    fn new(now: Moment) -> OutgoingLink {
+        OutgoingLink { link: None, frames: FrameReader::default(), welcome: None, deadline: now, failures: 0 }
     }
 }
 
 impl Peers {
-    pub fn new(from: Option<IpAddr>) -> Peers {
-        Peers { from, ..Peers::default() }
+    pub fn new(source_ip: Option<IpAddr>) -> Peers {
+        Peers { source_ip, ..Peers::default() }
     }
 
-    /// These are to be dialled, and no others.
-    pub fn know(&mut self, now: Moment, wanted: &BTreeMap<String, Option<SocketAddr>>, out: &mut Outbox) {
-        let gone: Vec<String> =
+    /// Sets the peers to connect to; connections to others are closed.
+    pub fn set_peers(
+        &mut self,
+        now: Moment,
+        wanted: &BTreeMap<String, Option<SocketAddr>>,
+        out: &mut Outbox,
+    ) {
+        let removed: Vec<String> =
             self.peers.keys().filter(|name| !wanted.contains_key(*name)).cloned().collect();
-        for name in gone {
-            let links = self.peers.remove(&name).map(|peer| peer.ways.map(|way| way.link));
+        for name in removed {
+            let links = self.peers.remove(&name).map(|peer| peer.links.map(|outgoing| outgoing.link));
             links.into_iter().flatten().flatten().for_each(|link| out.cut(link));
         }
-        for (name, at) in wanted {
-            let new = || Peer { at: *at, ways: [Way::new(now), Way::new(now)], refused: None };
-            self.peers.entry(name.clone()).or_insert_with(new).at = *at;
+        for (name, address) in wanted {
+            let new_peer = || Peer {
+                address: *address,
+                links: [OutgoingLink::new(now), OutgoingLink::new(now)],
+                last_rejection: None,
+            };
+            self.peers.entry(name.clone()).or_insert_with(new_peer).address = *address;
         }
     }
 
-    pub fn has(&self, link: Link) -> bool {
-        self.came.contains_key(&link) || self.way(link).is_some()
+    pub fn owns_link(&self, link: Link) -> bool {
+        self.incoming.contains_key(&link) || self.find_outgoing(link).is_some()
     }
 
-    fn way(&self, link: Link) -> Option<(&String, usize)> {
-        let ways = self.peers.iter().flat_map(|(name, peer)| (0..2).map(move |lane| (name, lane, peer)));
-        ways.filter(|way| way.2.ways[way.1].link == Some(link)).map(|way| (way.0, way.1)).next()
+    fn find_outgoing(&self, link: Link) -> Option<(&String, usize)> {
+        let links = self.peers.iter().flat_map(|(name, peer)| (0..2).map(move |lane| (name, lane, peer)));
+        links
+            .filter(|outgoing| outgoing.2.links[outgoing.1].link == Some(link))
+            .map(|outgoing| (outgoing.0, outgoing.1))
+            .next()
     }
 
-    /// Dials whom it is time to dial.
-    pub fn dial(&mut self, now: Moment, out: &mut Outbox) {
+    /// Connects to peers whose retry delay is over, and closes connections without a hello or welcome.
+    pub fn connect_due(&mut self, now: Moment, out: &mut Outbox) {
         for peer in self.peers.values_mut() {
-            let Some(at) = peer.at else { continue };
-            for way in &mut peer.ways {
-                if way.welcome.is_some() || now < way.until {
+            let Some(address) = peer.address else { continue };
+            for outgoing in &mut peer.links {
+                if outgoing.welcome.is_some() || now < outgoing.deadline {
                     continue;
                 }
-                match way.link.take() {
+                match outgoing.link.take() {
                     Some(link) => {
                         out.cut(link);
-                        way.rest(now);
+                        outgoing.schedule_retry(now);
                     }
                     None => {
-                        way.link = Some(out.connect(at, self.from));
-                        way.frames = FrameReader::default();
-                        way.until = now + WELCOMED;
+                        outgoing.link = Some(out.connect(address, self.source_ip));
+                        outgoing.frames = FrameReader::default();
+                        outgoing.deadline = now + WELCOME_TIMEOUT;
                     }
                 }
             }
         }
-        let late =
-            self.came.iter().filter(|(_, came)| came.hello.is_none() && now.since(came.since) > PATIENCE);
-        let late: Vec<Link> = late.map(|late| *late.0).collect();
-        for link in late {
-            self.came.remove(&link);
+        let expired = self
+            .incoming
+            .iter()
+            .filter(|(_, incoming)| incoming.hello.is_none() && now.since(incoming.since) > HELLO_TIMEOUT);
+        let expired: Vec<Link> = expired.map(|expired| *expired.0).collect();
+        for link in expired {
+            self.incoming.remove(&link);
             out.cut(link);
         }
     }
 
-    /// A link that we dialled stands: say who we are.
-    pub fn opened(&mut self, link: Link, own: &Hello, out: &mut Outbox) {
-        let Some((_, lane)) = self.way(link) else { return };
-        let hello = Hello { bulk: lane == 1, ..own.clone() };
+    /// Sends the hello on an established outgoing connection.
+    pub fn on_opened(&mut self, link: Link, hello: &Hello, out: &mut Outbox) {
+        let Some((_, lane)) = self.find_outgoing(link) else { return };
+        let hello = Hello { bulk: lane == 1, ..hello.clone() };
         out.send(link, encode(&PeerMessage::new(peer_message::Kind::Hello(hello))));
     }
 
-    pub fn accepted(&mut self, now: Moment, link: Link, out: &mut Outbox) {
-        if self.came.len() >= MOST_INCOMING {
+    pub fn on_accepted(&mut self, now: Moment, link: Link, out: &mut Outbox) {
+        if self.incoming.len() >= MAX_INCOMING {
             return out.cut(link);
         }
-        self.came.insert(link, Came { frames: FrameReader::default(), hello: None, since: now });
+        self.incoming.insert(link, IncomingLink { frames: FrameReader::default(), hello: None, since: now });
     }
 
-    /// A link ended; the id to which the way is now lost.
-    pub fn closed(&mut self, now: Moment, link: Link) -> Option<Id> {
-        if self.came.remove(&link).is_some() {
+    /// Handles a closed connection; returns the id of the member that can no longer be reached over it.
+    pub fn on_closed(&mut self, now: Moment, link: Link) -> Option<Id> {
+        if self.incoming.remove(&link).is_some() {
             return None;
         }
-        let (name, lane) = self.way(link).map(|(name, lane)| (name.clone(), lane))?;
-        let way = &mut self.peers.get_mut(&name)?.ways[lane];
-        way.link = None;
-        way.rest(now);
-        way.welcome.take().map(|welcome| welcome.id)
+        let (name, lane) = self.find_outgoing(link).map(|(name, lane)| (name.clone(), lane))?;
+        let outgoing = &mut self.peers.get_mut(&name)?.links[lane];
+        outgoing.link = None;
+        outgoing.schedule_retry(now);
+        outgoing.welcome.take().map(|welcome| welcome.id)
     }
 
-    pub fn heard(&mut self, link: Link, bytes: &[u8]) -> Heard {
+    pub fn receive(&mut self, link: Link, bytes: &[u8]) -> Received {
         let take = |frames: &mut FrameReader<PeerMessage>| {
             frames.push(bytes);
-            let mut words = Vec::new();
+            let mut messages = Vec::new();
             loop {
                 match frames.next_message() {
-                    Ok(Some(word)) => words.push(word),
-                    Ok(None) => return Ok(words),
-                    Err(wrong) => return Err(wrong.to_string()),
+                    Ok(Some(message)) => messages.push(message),
+                    Ok(None) => return Ok(messages),
+                    Err(error) => return Err(error.to_string()),
                 }
             }
         };
-        if let Some(came) = self.came.get_mut(&link) {
-            return match take(&mut came.frames) {
-                Ok(words) => Heard::Words(words),
-                Err(why) => Heard::Wrong(why),
+        if let Some(incoming) = self.incoming.get_mut(&link) {
+            return match take(&mut incoming.frames) {
+                Ok(messages) => Received::Messages(messages),
+                Err(error) => Received::Invalid(error),
             };
         }
-        let Some((name, lane)) = self.way(link).map(|(name, lane)| (name.clone(), lane)) else {
-            return Heard::Words(Vec::new());
+        let Some((name, lane)) = self.find_outgoing(link).map(|(name, lane)| (name.clone(), lane)) else {
+            return Received::Messages(Vec::new());
         };
-        let Some(peer) = self.peers.get_mut(&name) else { return Heard::Words(Vec::new()) };
-        let way = &mut peer.ways[lane];
-        match take(&mut way.frames).map(|words| words.into_iter().last().and_then(|word| word.kind)) {
+        let Some(peer) = self.peers.get_mut(&name) else { return Received::Messages(Vec::new()) };
+        let outgoing = &mut peer.links[lane];
+        match take(&mut outgoing.frames)
+            .map(|messages| messages.into_iter().last().and_then(|message| message.kind))
+        {
             Ok(Some(peer_message::Kind::Welcome(hello))) => {
-                way.welcome = Some(hello.clone());
-                way.failures = 0;
-                peer.refused = None;
-                Heard::Welcome(name, hello)
+                outgoing.welcome = Some(hello.clone());
+                outgoing.failures = 0;
+                peer.last_rejection = None;
+                Received::Welcome(name, hello)
             }
-            Ok(Some(peer_message::Kind::Reject(refuse))) => {
-                peer.refused = Some(refuse.reason.clone());
-                Heard::Refused(name, refuse)
+            Ok(Some(peer_message::Kind::Reject(rejection))) => {
+                peer.last_rejection = Some(rejection.reason.clone());
+                Received::Rejected(name, rejection)
             }
-            Ok(None) => Heard::Words(Vec::new()),
+            Ok(None) => Received::Messages(Vec::new()),
             Ok(Some(_)) => {
-                Heard::Wrong("nothing but a welcome or a refusal comes on a link we dialled".into())
+                Received::Invalid("only a welcome or a rejection may arrive on an outgoing connection".into())
             }
-            Err(why) => Heard::Wrong(why),
+            Err(error) => Received::Invalid(error),
         }
     }
 
-    /// False where no way to that very member stands now.
-    pub fn send(&self, to: Id, lane: Lane, word: peer_message::Kind, out: &mut Outbox) -> bool {
+    /// Returns false if there is no connection to exactly this member.
+    pub fn send(&self, to: Id, lane: Lane, message: peer_message::Kind, out: &mut Outbox) -> bool {
         let lane = lane as usize;
-        let way = self.peers.values().map(|peer| &peer.ways[lane]);
-        let mut fits = way.filter(|way| way.welcome.as_ref().is_some_and(|welcome| welcome.id == to));
-        let Some(link) = fits.next().and_then(|way| way.link) else { return false };
-        out.send(link, encode(&PeerMessage::new(word)));
+        let outgoing = self.peers.values().map(|peer| &peer.links[lane]);
+        let mut matching =
+            outgoing.filter(|outgoing| outgoing.welcome.as_ref().is_some_and(|welcome| welcome.id == to));
+        let Some(link) = matching.next().and_then(|outgoing| outgoing.link) else { return false };
+        out.send(link, encode(&PeerMessage::new(message)));
         true
     }
 
-    /// The welcome of a peer, where a way stands.
+    /// The welcome of a connected peer.
     pub fn welcome(&self, name: &str) -> Option<&Hello> {
-        self.peers.get(name)?.ways[0].welcome.as_ref()
+        self.peers.get(name)?.links[0].welcome.as_ref()
     }
 
-    /// Who is there under each name now, the newest of several. Not for so long after it came: a wiped member whose hello
-    /// was forgotten before anybody led stayed out for as long as its link stood (found under virtual time, seed 6037).
-    pub fn knocking(&self) -> BTreeMap<String, Id> {
+    /// The id connected under each name, the most recent one of several. Age does not matter: when a hello
+    /// was forgotten after some time and there was no leader until then, a wiped member stayed out for as
+    /// long as its connection lasted (found under virtual time, seed 6037).
+    pub fn connected_ids(&self) -> BTreeMap<String, Id> {
         let mut newest: BTreeMap<String, (Moment, Id)> = BTreeMap::new();
-        for came in self.came.values() {
-            let Some(hello) = &came.hello else { continue };
-            let known = newest.entry(hello.name.clone()).or_insert((came.since, hello.id));
-            if came.since > known.0 {
-                *known = (came.since, hello.id);
+        for incoming in self.incoming.values() {
+            let Some(hello) = &incoming.hello else { continue };
+            let known = newest.entry(hello.name.clone()).or_insert((incoming.since, hello.id));
+            if incoming.since > known.0 {
+                *known = (incoming.since, hello.id);
             }
         }
         newest.into_iter().map(|(name, (_, id))| (name, id)).collect()
     }
 
-    /// Others to whom a way for all that is long stands.
-    pub fn bulk_ways(&self) -> impl Iterator<Item = &Hello> + '_ {
-        self.peers.values().filter_map(|peer| peer.ways[Lane::Bulk as usize].welcome.as_ref())
+    /// Peers connected on the bulk lane.
+    pub fn bulk_peers(&self) -> impl Iterator<Item = &Hello> + '_ {
+        self.peers.values().filter_map(|peer| peer.links[Lane::Bulk as usize].welcome.as_ref())
     }
 
     pub fn welcomes(&self) -> Vec<Hello> {
-        self.peers.values().filter_map(|peer| peer.ways[0].welcome.clone()).collect()
+        self.peers.values().filter_map(|peer| peer.links[0].welcome.clone()).collect()
     }
 
-    pub fn refused(&self, name: &str) -> Option<&str> {
-        self.peers.get(name)?.refused.as_deref()
+    pub fn last_rejection(&self, name: &str) -> Option<&str> {
+        self.peers.get(name)?.last_rejection.as_deref()
     }
 
-    /// Whoever belonged to nothing when it welcomed us is dialled again: that it belongs by now is told by another welcome.
-    pub fn ask_anew(&mut self, now: Moment, out: &mut Outbox) {
-        for way in self.peers.values_mut().flat_map(|peer| &mut peer.ways) {
-            if way.welcome.take_if(|welcome| welcome.cluster_id == 0).is_some() {
-                way.link.take().into_iter().for_each(|link| out.cut(link));
-                way.rest(now);
+    /// Reconnects to peers that belonged to no cluster when they sent their welcome; a new welcome tells when
+    /// they do.
+    pub fn reconnect_unjoined(&mut self, now: Moment, out: &mut Outbox) {
+        for outgoing in self.peers.values_mut().flat_map(|peer| &mut peer.links) {
+            if outgoing.welcome.take_if(|welcome| welcome.cluster_id == 0).is_some() {
+                outgoing.link.take().into_iter().for_each(|link| out.cut(link));
+                outgoing.schedule_retry(now);
             }
         }
     }
 
-    /// All ways are given up and dialled again: this member has become another.
-    pub fn hang_up(&mut self, now: Moment, out: &mut Outbox) {
-        for way in self.peers.values_mut().flat_map(|peer| &mut peer.ways) {
-            if let Some(link) = way.link.take() {
+    /// Closes all connections and opens them again: this member has a new id.
+    pub fn reset(&mut self, now: Moment, out: &mut Outbox) {
+        for outgoing in self.peers.values_mut().flat_map(|peer| &mut peer.links) {
+            if let Some(link) = outgoing.link.take() {
                 out.cut(link);
             }
-            way.welcome = None;
-            way.rest(now);
+            outgoing.welcome = None;
+            outgoing.schedule_retry(now);
         }
-        let came = std::mem::take(&mut self.came);
-        came.into_keys().for_each(|link| out.cut(link));
+        let incoming = std::mem::take(&mut self.incoming);
+        incoming.into_keys().for_each(|link| out.cut(link));
     }
 }
 
-impl Way {
-    fn rest(&mut self, now: Moment) {
-        let rest = BACK_OFF.0.times(2f64.powi(self.failures.min(16))).min(BACK_OFF.1);
+impl OutgoingLink {
+    fn schedule_retry(&mut self, now: Moment) {
+        let delay = RECONNECT_DELAY.0.times(2f64.powi(self.failures.min(16))).min(RECONNECT_DELAY.1);
         self.failures += 1;
-        self.until = now + rest;
+        self.deadline = now + delay;
     }
 }
--- a/crates/member/src/planner_node.rs
+++ b/crates/member/src/planner_node.rs
@@ -1,16 +1,17 @@
-//! The service and the member beside it, one node of one process.
+//! The planner service and the cluster member as one node of a process.
 //!
-//! The service never waits for the member, but once: before its first word to any proxy it takes the number of its
-//! start from the record. Where none comes in time it counts on from its own last number and the calendar.
+//! The service waits for the member only once: before its first message to any proxy it takes its start
+//! number from the record. If none arrives in time, it derives one from its own last number and the wall
+//! clock.
 
 use crate::accounting::AccountingSender;
 use crate::admin;
 use crate::member::{Member, MemberConfig, MemberEvent, Reply, Request, FIRST_TIMER, MEMBER_LISTENER};
-use crate::messages::peer_message;
+use crate::messages::peer_message::Kind;
 use crate::orders;
+use crate::probe_slices::{Holder, ProbeAction, ProbeSlices};
 use crate::rollout::RolloutController;
-use crate::sharing::{Seats, Sharing, Wants as Shared};
-use crate::slices::{Holder, Slices, Wants};
+use crate::sharing::{Sharing, SharingAction, SharingMembers};
 use pewtergap_control::{AdminRequest, PeerHint, ProbeResult, Service};
 use pewtergap_node::{Effect, Input, Level, Link, Node, Outbox};
 use pewtergap_record::{
@@ -21,29 +22,30 @@
 use std::any::Any;
 use std::collections::{BTreeMap, BTreeSet};
 
-const NUMBERED: u64 = FIRST_TIMER + 100;
-const GONE: u64 = FIRST_TIMER + 101;
-/// A start waits so long for its number.
-const NUMBER: Span = Span::millis(2_000);
-/// At the end, for leadership to be taken over.
-const HANDED: Span = Span::millis(400);
-/// Drains that wait to be kept, and those given at once.
-const MOST_DRAINS: usize = 1_024;
-const DRAINS_AT_ONCE: usize = 64;
-const ELSEWHERE: &[&str] = &["/orders", "/record", "/members", "/duties", "/shared"];
-const SHARING: u64 = FIRST_TIMER + 103;
-/// Between two looks at the books.
-const LOOK: Span = Span::millis(50);
-const BOOKKEEPING: u64 = FIRST_TIMER + 102;
+const CLOCK_TIMER: u64 = FIRST_TIMER + 100;
+const EXIT_TIMER: u64 = FIRST_TIMER + 101;
+/// Timeout for the start number.
+const START_NUMBER_TIMEOUT: Span = Span::millis(2_000);
+/// Time allowed for the leadership transfer on shutdown.
+const HANDOVER_TIMEOUT: Span = Span::millis(400);
+/// Drains that may wait to be committed.
+const MAX_PENDING_DRAINS: usize = 1_024;
+/// Drains submitted at once.
+const DRAIN_BATCH: usize = 64;
+const MEMBER_PATHS: &[&str] = &["/orders", "/record", "/members", "/duties", "/shared"];
+const SHARING_TIMER: u64 = FIRST_TIMER + 103;
+/// Polling interval of duties and sharing.
+const POLL_INTERVAL: Span = Span::millis(50);
+const DUTY_TIMER: u64 = FIRST_TIMER + 102;
 
 #[derive(Clone, Debug)]
 enum Purpose {
-    /// Answered to whoever asked at the admin door.
-    Answer(Link),
-    Look(Link),
-    Number,
+    /// The reply goes to this admin connection.
+    AdminCommand(Link),
+    AdminRead(Link),
+    StartNumber,
     Drain,
-    AccountingSender,
+    Background,
 }
 
 pub struct PlannerNode {
@@ -51,119 +53,124 @@
     member: Member,
     name: String,
     drain_grace: Span,
-    numbered: bool,
+    has_start_number: bool,
     started: bool,
     stopping: bool,
-    tokens: u64,
+    last_token: u64,
     purposes: BTreeMap<u64, Purpose>,
-    /// Drains that are not yet known to be kept, and the id under which each is given.
-    drains: Vec<Command>,
-    books: Option<AccountingSender>,
-    slices: Option<Slices>,
-    releaser: RolloutController,
+    /// Drains not yet known to be committed; each keeps its command id.
+    pending_drains: Vec<Command>,
+    accounting: Option<AccountingSender>,
+    probe_slices: Option<ProbeSlices>,
+    rollout: RolloutController,
     sharing: Option<Sharing>,
-    /// What the module was last told of its part.
-    lent: Option<f64>,
+    /// The share of the cold budget that the service was last told.
+    last_cold_share: Option<f64>,
     has_duties: bool,
 }
 
 impl PlannerNode {
-    pub fn new(mut service: Service, home: MemberConfig, drain_grace: Span) -> PlannerNode {
-        service.external_paths = ELSEWHERE;
-        service.external_probes = home.probe_slices.0 > 0;
-        service.traffic.enabled = home.sharing.is_some();
+    pub fn new(mut service: Service, config: MemberConfig, drain_grace: Span) -> PlannerNode {
+        service.external_paths = MEMBER_PATHS;
+        service.external_probes = config.probe_slices.0 > 0;
+        service.traffic.enabled = config.sharing.is_some();
         PlannerNode {
             service,
-            releaser: RolloutController::default(),
-            lent: None,
-            sharing: home.sharing.map(|shares| Sharing::new(shares, home.seed)),
-            has_duties: home.duties.is_some(),
-            slices: (home.probe_slices.0 > 0).then(|| Slices::new(home.probe_slices.0, home.probe_slices.1)),
-            name: home.name.clone(),
-            member: Member::new(home.clone()),
+            rollout: RolloutController::default(),
+            last_cold_share: None,
+            sharing: config.sharing.map(|sharing| Sharing::new(sharing, config.seed)),
+            has_duties: config.duties.is_some(),
+            probe_slices: (config.probe_slices.0 > 0)
+                .then(|| ProbeSlices::new(config.probe_slices.0, config.probe_slices.1)),
+            name: config.name.clone(),
+            member: Member::new(config.clone()),
             drain_grace,
-            numbered: false,
+            has_start_number: false,
             started: false,
             stopping: false,
-            tokens: 0,
+            last_token: 0,
             purposes: BTreeMap::new(),
-            drains: Vec::new(),
-            books: home.accounting.map(|receiver| AccountingSender::new(receiver, home.source_ip)),
+            pending_drains: Vec::new(),
+            accounting: config
+                .accounting
+                .map(|accounting| AccountingSender::new(accounting, config.source_ip)),
         }
     }
 
-    fn ask(&mut self, now: Moment, purpose: Purpose, what: Request, out: &mut Outbox) {
-        self.tokens += 1;
-        self.purposes.insert(self.tokens, purpose);
-        self.member.request(now, self.tokens, what, out);
+    fn submit(&mut self, now: Moment, purpose: Purpose, request: Request, out: &mut Outbox) {
+        self.last_token += 1;
+        self.purposes.insert(self.last_token, purpose);
+        self.member.request(now, self.last_token, request, out);
     }
 
-    /// A number that no start of any planner had; the service begins once it is on disk.
-    fn number(&mut self, now: Moment, number: Option<u64>, out: &mut Outbox) {
-        if self.numbered {
+    /// Chooses a start number that no start of any planner has used; the service starts once it is on disk.
+    fn choose_start_number(&mut self, now: Moment, number: Option<u64>, out: &mut Outbox) {
+        if self.has_start_number {
             return;
         }
-        let alone = now.0.max(self.member.last_start_number() + 1);
+        let fallback = now.0.max(self.member.last_start_number() + 1);
         let fields = vec![
-            ("number", number.unwrap_or(alone).to_string()),
+            ("number", number.unwrap_or(fallback).to_string()),
             ("from", if number.is_some() { "the record" } else { "its own disk" }.to_string()),
         ];
         out.log(Level::Info, "start_number", fields);
-        let number = number.unwrap_or(alone);
-        self.numbered = self.member.use_start_number(number, out);
+        let number = number.unwrap_or(fallback);
+        self.has_start_number = self.member.use_start_number(number, out);
     }
 
-    fn begin(&mut self, now: Moment, number: u64, out: &mut Outbox) {
+    fn start_service(&mut self, now: Moment, number: u64, out: &mut Outbox) {
         if std::mem::replace(&mut self.started, true) {
             return;
         }
         self.service.set_epoch(number);
         self.service.handle(now, Input::Start, out);
-        self.stand_by(now, None, out);
+        self.apply_orders(now, None, out);
     }
 
-    fn among(&self) -> orders::PlannerSet {
+    fn planner_set(&self) -> orders::PlannerSet {
         let others = self.member.sharing_peers().into_values().chain([self.name.clone()]);
         orders::PlannerSet { name: self.name.clone(), planners: others.collect() }
     }
 
-    /// What the record says, told to the service: of these subjects, or all of it.
-    fn stand_by(&mut self, now: Moment, subjects: Option<&BTreeSet<Subject>>, out: &mut Outbox) {
+    /// Applies the record's orders to the service: for these subjects, or all of them.
+    fn apply_orders(&mut self, now: Moment, subjects: Option<&BTreeSet<Subject>>, out: &mut Outbox) {
         if !self.started {
             return;
         }
         let record = &self.member.record;
-        let among = self.among();
-        let these =
-            subjects.and_then(|subjects| orders::changes_for(record, &self.service, now, subjects, &among));
-        let whole = || orders::all_overrides(record, &self.service, now, &among);
-        let stands = these.unwrap_or_else(|| self.service.overrides().diff(&whole()));
-        self.service.apply_overrides(now, &stands, out);
+        let planners = self.planner_set();
+        let changes = subjects
+            .and_then(|subjects| orders::changes_for(record, &self.service, now, subjects, &planners));
+        let all = || orders::all_overrides(record, &self.service, now, &planners);
+        let changes = changes.unwrap_or_else(|| self.service.overrides().diff(&all()));
+        self.service.apply_overrides(now, &changes, out);
     }
 
-    /// Orders in steps, where it is ours to let them go on.
-    fn release(&mut self, now: Moment, out: &mut Outbox) {
-        let Some(number) = self.member.fencing_token(now, RELEASE_DUTY) else { return self.releaser.rest() };
-        let tried = self.sharing.as_ref().map_or(self.service.try_counts(), Sharing::tried);
-        for what in self.releaser.look(now, number, &self.member.record, tried) {
-            self.tell_record(now, Some(what), out);
+    /// Advances orders in steps while the release duty is held.
+    fn advance_rollouts(&mut self, now: Moment, out: &mut Outbox) {
+        let Some(fencing_token) = self.member.fencing_token(now, RELEASE_DUTY) else {
+            return self.rollout.reset();
+        };
+        let counts = self.sharing.as_ref().map_or(self.service.try_counts(), Sharing::try_counts);
+        for command in self.rollout.poll(now, fencing_token, &self.member.record, counts) {
+            self.propose(now, Some(command), out);
         }
     }
 
-    fn asked(&mut self, now: Moment, asked: AdminRequest, out: &mut Outbox) {
-        let AdminRequest { link, method, target, body } = asked;
-        let refuse = |why: String| json!({ "refused": why }).to_string();
+    fn on_admin_request(&mut self, now: Moment, request: AdminRequest, out: &mut Outbox) {
+        let AdminRequest { link, method, target, body } = request;
+        let rejection = |why: String| json!({ "refused": why }).to_string();
         match (method.as_str(), target.as_str()) {
             ("POST", "/orders") => match admin::parse_order(&body) {
-                Ok(command) => self.ask(now, Purpose::Answer(link), Request::Command(command), out),
-                Err(why) => self.service.answer_admin(link, 400, &refuse(why), out),
+                Ok(command) => self.submit(now, Purpose::AdminCommand(link), Request::Command(command), out),
+                Err(why) => self.service.answer_admin(link, 400, &rejection(why), out),
             },
             ("POST", "/duties") => match admin::parse_duty_placement(&body) {
-                Ok(command) => self.ask(now, Purpose::Answer(link), Request::Command(command), out),
-                Err(why) => self.service.answer_admin(link, 400, &refuse(why), out),
+                Ok(command) => self.submit(now, Purpose::AdminCommand(link), Request::Command(command), out),
+                Err(why) => self.service.answer_admin(link, 400, &rejection(why), out),
             },
             ("GET", "/shared") => {
-                let view = self.shared_view(now);
+                let view = self.sharing_view(now);
                 self.service.answer_admin(link, 200, &view, out);
             }
             ("GET", "/duties") => {
@@ -171,86 +178,91 @@
                 self.service.answer_admin(link, 200, &view, out);
             }
             ("POST", "/members") => match admin::parse_member_change(&body, &self.member.member_views(now)) {
-                Ok(change) => self.ask(now, Purpose::Answer(link), Request::MemberChange(change), out),
-                Err(why) => self.service.answer_admin(link, 400, &refuse(why), out),
+                Ok(change) => {
+                    self.submit(now, Purpose::AdminCommand(link), Request::MemberChange(change), out)
+                }
+                Err(why) => self.service.answer_admin(link, 400, &rejection(why), out),
             },
-            ("GET", "/record?stale") => self.ask(now, Purpose::Look(link), Request::StaleRead, out),
-            ("GET", "/record") => self.ask(now, Purpose::Look(link), Request::LinearizableRead, out),
+            ("GET", "/record?stale") => self.submit(now, Purpose::AdminRead(link), Request::StaleRead, out),
+            ("GET", "/record") => self.submit(now, Purpose::AdminRead(link), Request::LinearizableRead, out),
             ("GET", "/members") => {
                 let view = admin::members_view(&self.name, &self.member, now);
                 self.service.answer_admin(link, 200, &view, out);
             }
             _ => {
                 let why =
-                    "there are POST /orders, /members, /duties, GET /members, /duties, /shared, /record and /record?stale";
-                self.service.answer_admin(link, 404, &refuse(why.into()), out);
+                    "unknown path: there are POST /orders, /members, /duties and GET /members, /duties, /shared, /record, /record?stale";
+                self.service.answer_admin(link, 404, &rejection(why.into()), out);
             }
         }
     }
 
-    fn replied(&mut self, now: Moment, token: u64, reply: Reply, out: &mut Outbox) {
+    fn on_reply(&mut self, now: Moment, token: u64, reply: Reply, out: &mut Outbox) {
         match (self.purposes.remove(&token), reply) {
-            (Some(Purpose::Number), reply) => {
+            (Some(Purpose::StartNumber), reply) => {
                 let number = if let Reply::Committed(number) = reply { Some(number) } else { None };
-                self.number(now, number, out);
+                self.choose_start_number(now, number, out);
             }
-            (Some(Purpose::Answer(link)), reply) => {
+            (Some(Purpose::AdminCommand(link)), reply) => {
                 let (status, body) = admin::render_reply(&reply);
                 self.service.answer_admin(link, status, &body.to_string(), out);
             }
-            (Some(Purpose::Look(link)), Reply::ReadReady { fresh, age }) => {
-                let view = self.view(now, fresh, age);
+            (Some(Purpose::AdminRead(link)), Reply::ReadReady { fresh, age }) => {
+                let view = self.record_view(now, fresh, age);
                 self.service.answer_admin(link, 200, &view, out);
             }
-            (Some(Purpose::Look(link)), _) => {
+            (Some(Purpose::AdminRead(link)), _) => {
                 self.service.answer_admin(link, 503, &json!({ "answer": "too much waits" }).to_string(), out);
             }
-            (Some(Purpose::Drain | Purpose::AccountingSender) | None, _) => {}
+            (Some(Purpose::Drain | Purpose::Background) | None, _) => {}
         }
     }
 
-    /// Who holds what by the record, and what of it this planner acts on.
+    /// The holders of duties according to the record, and the duties this planner acts on.
     fn duties_view(&self, now: Moment) -> String {
         let held = self.member.held_duties(now);
         let ms = now.0 / 1_000_000;
-        let view = |(duty, known): (&String, &pewtergap_record::Duty)| {
-            let here = held.iter().find(|held| held.0 == *duty && held.1 == known.fencing_token);
-            json!({ "duty": duty, "holder": if known.holder == 0 { "" } else { known.holder_name.as_str() },
-                "number": known.fencing_token, "age_ms": ms.saturating_sub(known.since_ms), "wanted": known.pinned_to,
+        let view = |(duty, assigned): (&String, &pewtergap_record::Duty)| {
+            let here = held.iter().find(|held| held.0 == *duty && held.1 == assigned.fencing_token);
+            json!({ "duty": duty, "holder": if assigned.holder == 0 { "" } else { assigned.holder_name.as_str() },
+                "number": assigned.fencing_token, "age_ms": ms.saturating_sub(assigned.since_ms), "wanted": assigned.pinned_to,
                 "here": here.is_some(), "acts": here.is_some_and(|held| held.2) })
         };
         let duties: Vec<serde_json::Value> = self.member.record.duties().iter().map(view).collect();
-        let (books, _) = self.member.record.accounting();
-        json!({ "name": self.name, "duties": duties, "books": { "closed": books.closed_period, "arrived": books.delivered_period,
-                "sent_here": self.books.as_ref().map(|books| books.sent), "refused_here": self.books.as_ref().map(|books| books.refused) },
-            "lease_ms": self.member.record.lease_ms(), "probes": self.slices.as_ref().map(|slices| json!({ "doubts": slices.doubts, "fenced": slices.fenced() })) })
+        let (state, _) = self.member.record.accounting();
+        json!({ "name": self.name, "duties": duties,
+            "books": { "closed": state.closed_period, "arrived": state.delivered_period,
+                "sent_here": self.accounting.as_ref().map(|accounting| accounting.sent),
+                "refused_here": self.accounting.as_ref().map(|accounting| accounting.rejected) },
+            "lease_ms": self.member.record.lease_ms(), "probes": self.probe_slices.as_ref().map(|slices| json!({
+                "doubts": slices.fallbacks, "fenced": slices.rejected_results() })) })
             .to_string()
     }
 
-    /// The books, where they are ours to keep.
-    fn keep_books(&mut self, now: Moment, out: &mut Outbox) {
-        let Some(books) = &mut self.books else { return };
-        let Some(number) = self.member.fencing_token(now, ACCOUNTING_DUTY) else {
-            return books.give_up(now, out);
+    /// Runs the accounting export while its duty is held.
+    fn run_accounting(&mut self, now: Moment, out: &mut Outbox) {
+        let Some(accounting) = &mut self.accounting else { return };
+        let Some(fencing_token) = self.member.fencing_token(now, ACCOUNTING_DUTY) else {
+            return accounting.abort(now, out);
         };
-        let used = self.sharing.as_ref().map(|sharing| sharing.used(now)).unwrap_or_default();
-        let what = books.keep(now, number, self.member.record.accounting().0, used, out);
-        self.tell_record(now, what, out);
+        let usage = self.sharing.as_ref().map(|sharing| sharing.usage(now)).unwrap_or_default();
+        let command = accounting.poll(now, fencing_token, self.member.record.accounting().0, usage, out);
+        self.propose(now, command, out);
     }
 
-    fn tell_record(&mut self, now: Moment, what: Option<CommandKind>, out: &mut Outbox) {
-        let Some(what) = what else { return };
+    fn propose(&mut self, now: Moment, kind: Option<CommandKind>, out: &mut Outbox) {
+        let Some(kind) = kind else { return };
         let command =
-            Command { id: self.member.random_id(), issued_at_ms: now.0 / 1_000_000, kind: Some(what) };
-        self.ask(now, Purpose::AccountingSender, Request::Command(command), out);
+            Command { id: self.member.random_id(), issued_at_ms: now.0 / 1_000_000, kind: Some(kind) };
+        self.submit(now, Purpose::Background, Request::Command(command), out);
     }
 
-    fn books_input(&mut self, now: Moment, input: Input<'_>, out: &mut Outbox) {
-        let Some(books) = &mut self.books else { return };
+    fn accounting_input(&mut self, now: Moment, input: Input<'_>, out: &mut Outbox) {
+        let Some(accounting) = &mut self.accounting else { return };
         match input {
-            // The link took its time: asked again at the effect itself.
+            // Connecting took time, so the duty is checked again right before the effect.
             Input::Opened { .. } => {
-                books.opened(
+                accounting.on_opened(
                     now,
                     self.member.fencing_token(now, ACCOUNTING_DUTY),
                     self.member.record.accounting(),
@@ -258,53 +270,52 @@
                 );
             }
             Input::Bytes { bytes, .. } => {
-                let what = books.bytes(now, bytes, out);
-                self.tell_record(now, what, out);
+                let command = accounting.on_bytes(now, bytes, out);
+                self.propose(now, command, out);
             }
-            Input::Closed { .. } => books.closed(now),
+            Input::Closed { .. } => accounting.on_closed(now),
             _ => {}
         }
     }
 
-    // ---- what is shared
-
-    fn share(&mut self, now: Moment, out: &mut Outbox) {
+    fn run_sharing(&mut self, now: Moment, out: &mut Outbox) {
         let Some(sharing) = &mut self.sharing else { return };
-        let own = (self.member.id(), self.member.disk_starts());
-        let seats = Seats { own, name: self.name.clone(), others: self.member.sharing_peers() };
-        let wants = sharing.look(now, &seats, &mut self.service);
+        let identity = (self.member.id(), self.member.disk_starts());
+        let members =
+            SharingMembers { identity, name: self.name.clone(), peers: self.member.sharing_peers() };
+        let actions = sharing.poll(now, &members, &mut self.service);
         self.member.demands = sharing.demands(now);
-        self.do_shared(now, wants, out);
+        self.run_sharing_actions(now, actions, out);
     }
 
-    /// The module's part of a budget, before anything is done by it: one that was stopped for longer than its lease would
-    /// write cold servers' lines by its old part until the next look.
-    fn lend(&mut self, now: Moment, out: &mut Outbox) {
+    /// Updates the service's share of the cold budget before it acts. A process that was suspended for longer
+    /// than its lease would otherwise write lines for cold servers by its old share until the next poll.
+    fn update_cold_share(&mut self, now: Moment, out: &mut Outbox) {
         if self.sharing.is_some() && self.started {
             let share = self.member.cold_budget_share(now);
-            if std::mem::replace(&mut self.lent, share) != share {
+            if std::mem::replace(&mut self.last_cold_share, share) != share {
                 self.service.apply_hint(now, PeerHint::ColdShare(share), out);
             }
         }
     }
 
-    fn do_shared(&mut self, now: Moment, wants: Vec<Shared>, out: &mut Outbox) {
-        for want in wants {
-            match want {
-                Shared::Tell(to, kind) => {
-                    let asks = matches!(kind, peer_message::Kind::CountsRequest(_));
-                    if !self.member.send_sharing(to, kind, out) && asks {
-                        self.sharing.iter_mut().for_each(|sharing| sharing.lost(to));
+    fn run_sharing_actions(&mut self, now: Moment, actions: Vec<SharingAction>, out: &mut Outbox) {
+        for action in actions {
+            match action {
+                SharingAction::Send(to, kind) => {
+                    let is_request = matches!(kind, Kind::CountsRequest(_));
+                    if !self.member.send_sharing(to, kind, out) && is_request {
+                        self.sharing.iter_mut().for_each(|sharing| sharing.on_connection_lost(to));
                     }
                 }
-                Shared::TellAll(kind) => {
-                    let others: Vec<u64> = self.member.sharing_peers().into_keys().collect();
-                    for to in others {
+                SharingAction::Broadcast(kind) => {
+                    let peers: Vec<u64> = self.member.sharing_peers().into_keys().collect();
+                    for to in peers {
                         self.member.send_sharing(to, kind.clone(), out);
                     }
                 }
-                Shared::Hint(hint) => self.service.apply_hint(now, hint, out),
-                Shared::Heard(id, state) => {
+                SharingAction::Hint(hint) => self.service.apply_hint(now, hint, out),
+                SharingAction::StateChanged(id, state) => {
                     let name = self.member.sharing_peers().remove(&id).unwrap_or_default();
                     out.log(Level::Info, "member_believed", vec![("member", name), ("state", state.into())]);
                 }
@@ -312,7 +323,7 @@
         }
     }
 
-    fn shared_view(&self, now: Moment) -> String {
+    fn sharing_view(&self, now: Moment) -> String {
         let mut view =
             self.sharing.as_ref().map_or(json!({ "name": self.name }), |sharing| sharing.view(now));
         view["cold"] = json!(self.member.cold_budget_view(now));
@@ -321,184 +332,195 @@
         view.to_string()
     }
 
-    // ---- probes by slice
-
-    fn slice_of(&self, server: &str) -> Option<String> {
-        Some(self.slices.as_ref()?.duty(self.service.zone_of(server)?, server))
+    fn slice_duty(&self, server: &str) -> Option<String> {
+        Some(self.probe_slices.as_ref()?.duty_name(self.service.zone_of(server)?, server))
     }
 
-    /// What the module wants asked, and what came of probes from here.
-    fn probes_wanted(&mut self, now: Moment, out: &mut Outbox) {
-        let (asks, ends) = (
+    /// Routes the probes that the service requests, and reports the results of local ones.
+    fn route_probes(&mut self, now: Moment, out: &mut Outbox) {
+        let (requests, results) = (
             std::mem::take(&mut self.service.probe_requests),
             std::mem::take(&mut self.service.probe_results),
         );
-        for server in asks {
-            let Some(duty) = self.slice_of(&server) else {
+        for server in requests {
+            let Some(duty) = self.slice_duty(&server) else {
                 self.service.probe_server(now, &server, out);
                 continue;
             };
-            let (ours, (id, linked)) = (self.member.fencing_token(now, &duty), self.member.holder(&duty));
-            let holder = Holder { id, linked };
-            let wants = self.slices.as_mut().and_then(|all| all.wanted(now, duty, server, ours, holder));
-            wants.into_iter().for_each(|wants| self.do_probes(now, wants, out));
+            let (ours, (id, connected)) = (self.member.fencing_token(now, &duty), self.member.holder(&duty));
+            let holder = Holder { id, connected };
+            let action =
+                self.probe_slices.as_mut().and_then(|slices| slices.request(now, duty, server, ours, holder));
+            action.into_iter().for_each(|action| self.run_probe_action(now, action, out));
         }
-        for ProbeResult { server, end, load } in ends {
-            let Some(duty) = self.slice_of(&server) else { continue };
+        for ProbeResult { server, end, load } in results {
+            let Some(duty) = self.slice_duty(&server) else { continue };
             let ours = self.member.fencing_token(now, &duty);
-            let wants = self.slices.as_mut().and_then(|all| all.ended(now, duty, server, end, load, ours));
-            wants.into_iter().for_each(|wants| self.do_probes(now, wants, out));
+            let action = self
+                .probe_slices
+                .as_mut()
+                .and_then(|slices| slices.on_local_result(now, duty, server, end, load, ours));
+            action.into_iter().for_each(|action| self.run_probe_action(now, action, out));
         }
     }
 
-    fn probes_told(&mut self, now: Moment, from: u64, kind: peer_message::Kind, out: &mut Outbox) {
-        let Some(slices) = &mut self.slices else { return };
-        let wants = match kind {
-            peer_message::Kind::ProbeRequest(asked) => match self.member.fencing_token(now, &asked.duty) {
-                Some(number) => slices.asked_for(now, from, asked, number),
-                // Ours no more: who asked finds out in time.
+    fn on_probe_message(&mut self, now: Moment, from: u64, kind: Kind, out: &mut Outbox) {
+        let Some(slices) = &mut self.probe_slices else { return };
+        let actions = match kind {
+            Kind::ProbeRequest(request) => match self.member.fencing_token(now, &request.duty) {
+                Some(fencing_token) => slices.on_request(now, from, request, fencing_token),
+                // The slice is no longer held here; the sender's deadline makes it probe by itself.
                 None => Vec::new(),
             },
-            peer_message::Kind::ProbeAccepted(taken) => {
-                slices.taken(now, &taken);
+            Kind::ProbeAccepted(accepted) => {
+                slices.on_accepted(now, &accepted);
                 Vec::new()
             }
-            peer_message::Kind::ProbeResult(told) => slices.told(now, told).into_iter().collect(),
+            Kind::ProbeResult(result) => slices.on_result(now, result).into_iter().collect(),
             _ => Vec::new(),
         };
-        wants.into_iter().for_each(|wants| self.do_probes(now, wants, out));
+        actions.into_iter().for_each(|action| self.run_probe_action(now, action, out));
     }
 
-    fn do_probes(&mut self, now: Moment, wants: Wants, out: &mut Outbox) {
-        match wants {
-            Wants::Here(server) => self.service.probe_server(now, &server, out),
-            Wants::Tell(to, kind) => self.member.send_urgent(to, kind, out),
-            Wants::TellAll(kind) => self.member.broadcast_urgent(&kind, out),
-            Wants::Heard { server, end, load } => {
+    fn run_probe_action(&mut self, now: Moment, action: ProbeAction, out: &mut Outbox) {
+        match action {
+            ProbeAction::ProbeLocally(server) => self.service.probe_server(now, &server, out),
+            ProbeAction::Send(to, kind) => self.member.send_urgent(to, kind, out),
+            ProbeAction::Broadcast(kind) => self.member.broadcast_urgent(&kind, out),
+            ProbeAction::Deliver { server, outcome: end, load } => {
                 self.service.remote_probe_ended(now, &server, end, load, out)
             }
         }
     }
 
-    fn view(&self, now: Moment, fresh: bool, age: Span) -> String {
-        let among = self.among();
-        let here = |kept: &ActiveOrder| orders::applied_share(kept, now, &among);
+    fn record_view(&self, now: Moment, fresh: bool, age: Span) -> String {
+        let planners = self.planner_set();
+        let here = |active: &ActiveOrder| orders::applied_share(active, now, &planners);
         admin::record_view(&self.member, fresh, age, here).to_string()
     }
 
-    /// Drains that the list told are kept, in the background: tables have changed already.
-    fn keep_drains(&mut self, now: Moment, out: &mut Outbox) {
-        let told = std::mem::take(&mut self.service.drain_notices);
-        let grace = self.drain_grace.0 / 1_000_000;
-        for told in told {
-            let (started, server) = (told.started.0 / 1_000_000, told.server);
-            if self.member.record.is_drained(&server, started) || self.drains.len() >= MOST_DRAINS {
+    /// Stores drains seen in the server list in the record, in the background: the tables have already
+    /// changed.
+    fn store_drains(&mut self, now: Moment, out: &mut Outbox) {
+        let notices = std::mem::take(&mut self.service.drain_notices);
+        let grace_ms = self.drain_grace.0 / 1_000_000;
+        for notice in notices {
+            let (started, server) = (notice.started.0 / 1_000_000, notice.server);
+            if self.member.record.is_drained(&server, started)
+                || self.pending_drains.len() >= MAX_PENDING_DRAINS
+            {
                 continue;
             }
-            let given = told.notified_at.0 / 1_000_000;
-            let drain = Drain { server, started, notified_at_ms: given, grace_ms: grace };
+            let notified_at_ms = notice.notified_at.0 / 1_000_000;
+            let drain = Drain { server, started, notified_at_ms, grace_ms };
             let id = self.member.random_id();
-            self.drains.push(Command { id, issued_at_ms: given, kind: Some(CommandKind::Drain(drain)) });
+            self.pending_drains.push(Command {
+                id,
+                issued_at_ms: notified_at_ms,
+                kind: Some(CommandKind::Drain(drain)),
+            });
         }
-        let under_way = self.purposes.values().any(|purpose| matches!(purpose, Purpose::Drain));
-        if self.drains.is_empty() || under_way {
+        let in_flight = self.purposes.values().any(|purpose| matches!(purpose, Purpose::Drain));
+        if self.pending_drains.is_empty() || in_flight {
             return;
         }
         let (ms, record) = (now.0 / 1_000_000, &self.member.record);
-        // What ran out meanwhile is of no use to anybody.
-        self.drains.retain(|command| match &command.kind {
+        // Drains whose grace period has ended need not be stored.
+        self.pending_drains.retain(|command| match &command.kind {
             Some(CommandKind::Drain(drain)) => {
                 !record.is_drained(&drain.server, drain.started) && drain.notified_at_ms + drain.grace_ms > ms
             }
             _ => false,
         });
-        let next: Vec<Command> = self.drains.iter().take(DRAINS_AT_ONCE).cloned().collect();
+        let next: Vec<Command> = self.pending_drains.iter().take(DRAIN_BATCH).cloned().collect();
         for command in next {
-            self.ask(now, Purpose::Drain, Request::Command(command), out);
+            self.submit(now, Purpose::Drain, Request::Command(command), out);
         }
     }
 
-    fn take_number(&mut self, now: Moment, out: &mut Outbox) {
-        let least = now.0.max(self.member.last_start_number() + 1);
-        let take = AllocateStartNumber { planner: self.name.clone(), at_least: least };
+    fn request_start_number(&mut self, now: Moment, out: &mut Outbox) {
+        let at_least = now.0.max(self.member.last_start_number() + 1);
+        let allocate = AllocateStartNumber { planner: self.name.clone(), at_least };
         let command = Command {
             id: self.member.random_id(),
             issued_at_ms: now.0 / 1_000_000,
-            kind: Some(CommandKind::AllocateStartNumber(take)),
+            kind: Some(CommandKind::AllocateStartNumber(allocate)),
         };
-        self.ask(now, Purpose::Number, Request::Command(command), out);
+        self.submit(now, Purpose::StartNumber, Request::Command(command), out);
     }
 
-    /// What each has left for the other.
-    fn settle(&mut self, now: Moment, out: &mut Outbox) {
+    /// Exchanges pending events between the service and the member.
+    fn exchange_events(&mut self, now: Moment, out: &mut Outbox) {
         loop {
-            let (asked, told) = (
+            let (requests, events) = (
                 std::mem::take(&mut self.service.external_requests),
                 std::mem::take(&mut self.member.events),
             );
-            if asked.is_empty() && told.is_empty() {
+            if requests.is_empty() && events.is_empty() {
                 break;
             }
-            for asked in asked {
-                self.asked(now, asked, out);
+            for request in requests {
+                self.on_admin_request(now, request, out);
             }
-            for told in told {
-                match told {
-                    MemberEvent::Reply { token, reply } => self.replied(now, token, reply, out),
-                    MemberEvent::SubjectsChanged(subjects) => self.stand_by(now, subjects.as_ref(), out),
-                    MemberEvent::StartNumberStored(number) => self.begin(now, number, out),
-                    MemberEvent::Probe(from, kind) => self.probes_told(now, from, kind, out),
+            for event in events {
+                match event {
+                    MemberEvent::Reply { token, reply } => self.on_reply(now, token, reply, out),
+                    MemberEvent::SubjectsChanged(subjects) => self.apply_orders(now, subjects.as_ref(), out),
+                    MemberEvent::StartNumberStored(number) => self.start_service(now, number, out),
+                    MemberEvent::Probe(from, kind) => self.on_probe_message(now, from, kind, out),
                     MemberEvent::Sharing(from, kind) => {
-                        let heard = self.sharing.as_mut().map(|sharing| sharing.hear(now, from, kind));
-                        self.do_shared(now, heard.unwrap_or_default(), out);
+                        let actions = self.sharing.as_mut().map(|sharing| sharing.receive(now, from, kind));
+                        self.run_sharing_actions(now, actions.unwrap_or_default(), out);
                     }
-                    // Control machines alone serve watches; and what was restored is told as changed.
+                    // Only control machines serve watches; a restored record is also reported as changed.
                     MemberEvent::Roster(..) | MemberEvent::Restored => {}
-                    MemberEvent::PeerLost(id) => self.sharing.iter_mut().for_each(|sharing| sharing.lost(id)),
+                    MemberEvent::PeerLost(id) => {
+                        self.sharing.iter_mut().for_each(|sharing| sharing.on_connection_lost(id))
+                    }
                 }
             }
         }
-        self.keep_drains(now, out);
-        self.probes_wanted(now, out);
+        self.store_drains(now, out);
+        self.route_probes(now, out);
     }
 }
 
 impl Node for PlannerNode {
     fn handle(&mut self, now: Moment, input: Input<'_>, out: &mut Outbox) {
-        let over = matches!(input, Input::TimerFired { timer: GONE });
-        self.lend(now, out);
+        let exiting = matches!(input, Input::TimerFired { timer: EXIT_TIMER });
+        self.update_cold_share(now, out);
         match input {
             Input::Start => {
                 self.member.handle(now, Input::Start, out);
-                self.take_number(now, out);
-                out.set_timer(NUMBERED, now + NUMBER);
+                self.request_start_number(now, out);
+                out.set_timer(CLOCK_TIMER, now + START_NUMBER_TIMEOUT);
                 if self.has_duties {
-                    out.set_timer(BOOKKEEPING, now + LOOK);
+                    out.set_timer(DUTY_TIMER, now + POLL_INTERVAL);
                 }
                 if self.sharing.is_some() {
-                    out.set_timer(SHARING, now + LOOK);
+                    out.set_timer(SHARING_TIMER, now + POLL_INTERVAL);
                 }
             }
-            Input::TimerFired { timer: SHARING } => {
+            Input::TimerFired { timer: SHARING_TIMER } => {
                 if self.started {
-                    self.share(now, out);
+                    self.run_sharing(now, out);
                 }
-                out.set_timer(SHARING, now + LOOK);
+                out.set_timer(SHARING_TIMER, now + POLL_INTERVAL);
             }
-            Input::TimerFired { timer: BOOKKEEPING } => {
-                self.keep_books(now, out);
-                self.release(now, out);
-                let late = self.slices.as_mut().map(|slices| slices.tick(now)).unwrap_or_default();
-                late.into_iter().for_each(|wants| self.do_probes(now, wants, out));
-                out.set_timer(BOOKKEEPING, now + LOOK);
+            Input::TimerFired { timer: DUTY_TIMER } => {
+                self.run_accounting(now, out);
+                self.advance_rollouts(now, out);
+                let expired = self.probe_slices.as_mut().map(|slices| slices.tick(now)).unwrap_or_default();
+                expired.into_iter().for_each(|action| self.run_probe_action(now, action, out));
+                out.set_timer(DUTY_TIMER, now + POLL_INTERVAL);
             }
-            Input::TimerFired { timer: NUMBERED } => {
-                // The time of orders that end is looked at now and then.
-                self.number(now, None, out);
-                self.stand_by(now, None, out);
-                out.set_timer(NUMBERED, now + Span::millis(1_000));
+            Input::TimerFired { timer: CLOCK_TIMER } => {
+                self.choose_start_number(now, None, out);
+                // Orders may have expired.
+                self.apply_orders(now, None, out);
+                out.set_timer(CLOCK_TIMER, now + Span::millis(1_000));
             }
-            Input::TimerFired { timer: GONE } => out.push(Effect::Exit { code: 0 }),
+            Input::TimerFired { timer: EXIT_TIMER } => out.push(Effect::Exit { code: 0 }),
             Input::File { name, .. } if name == self.member.file_name() => {
                 self.member.handle(now, input, out)
             }
@@ -507,9 +529,9 @@
             | Input::NotListening { listener: MEMBER_LISTENER, .. }
             | Input::Accepted { listener: MEMBER_LISTENER, .. } => self.member.handle(now, input, out),
             Input::Opened { link } | Input::Bytes { link, .. } | Input::Closed { link, .. }
-                if self.books.as_ref().is_some_and(|books| books.has(link)) =>
+                if self.accounting.as_ref().is_some_and(|accounting| accounting.owns_link(link)) =>
             {
-                self.books_input(now, input, out)
+                self.accounting_input(now, input, out)
             }
             Input::Opened { link } | Input::Bytes { link, .. } | Input::Closed { link, .. }
                 if self.member.owns_link(link) =>
@@ -520,14 +542,14 @@
             Input::Stop if !self.stopping => {
                 self.stopping = true;
                 self.member.stop(now, out);
-                out.set_timer(GONE, now + HANDED);
+                out.set_timer(EXIT_TIMER, now + HANDOVER_TIMEOUT);
                 self.service.handle(now, Input::Stop, out);
             }
             input => self.service.handle(now, input, out),
         }
-        self.settle(now, out);
-        // The service would end sooner; the member's last words need their time.
-        if self.stopping && !over {
+        self.exchange_events(now, out);
+        // The service would exit sooner; the member needs time for its last messages.
+        if self.stopping && !exiting {
             out.effects.retain(|effect| !matches!(effect, Effect::Exit { code: 0 }));
         }
     }
--- a/crates/member/src/sharing_messages.rs
+++ b/crates/member/src/sharing_messages.rs
@@ -1,6 +1,7 @@
-//! What members tell each other of who is heard, of counts and of servers, as protobuf, and the way to the machines' own types.
+//! Gossip, counts and evidence as protobuf messages, with conversions from and to the types of the protocol
+//! crates.
 
-use crate::messages::MOST_NAME;
+use crate::messages::MAX_NAME_LEN;
 use pewtergap_counts::{CountEntry, CountReport, ReportRequest, MAX_KEYS};
 use pewtergap_evidence::{PeerReport, ServerObservation, MAX_OBSERVATIONS};
 use pewtergap_gossip::{MemberState, Message as Gossip, MessageKind, Update, MAX_MEMBERS};
@@ -25,7 +26,7 @@
     PingRequest(PingRequest),
     #[prost(uint64, tag = "4")]
     Nack(u64),
-    /// All that is known; whether the same is wanted back.
+    /// The full state; the value tells whether the receiver should send its own in return.
     #[prost(bool, tag = "5")]
     FullSync(bool),
 }
@@ -41,57 +42,55 @@
 #[derive(Clone, PartialEq, Message)]
 pub struct UpdateMessage {
     #[prost(fixed64, tag = "1")]
-    pub subject: u64,
+    pub member: u64,
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
     /// 0 alive, 1 suspect, 2 gone.
     #[prost(uint32, tag = "3")]
     pub state: u32,
     #[prost(fixed64, tag = "4")]
-    pub by: u64,
+    pub reported_by: u64,
 }
 
 const STATES: [MemberState; 3] = [MemberState::Alive, MemberState::Suspect, MemberState::Gone];
 
 impl GossipMessage {
     pub fn from_gossip(message: &Gossip) -> GossipMessage {
-        let say = match message.kind {
+        let kind = match message.kind {
             MessageKind::Ping(token) => GossipKind::Ping(token),
             MessageKind::Ack(token) => GossipKind::Ack(token),
-            MessageKind::PingRequest(token, whom) => {
-                GossipKind::PingRequest(PingRequest { token, target: whom })
-            }
+            MessageKind::PingRequest(token, target) => GossipKind::PingRequest(PingRequest { token, target }),
             MessageKind::Nack(token) => GossipKind::Nack(token),
-            MessageKind::FullSync(back) => GossipKind::FullSync(back),
+            MessageKind::FullSync(reply) => GossipKind::FullSync(reply),
         };
-        let news = |n: &Update| UpdateMessage {
-            subject: n.member,
+        let update = |n: &Update| UpdateMessage {
+            member: n.member,
             incarnation: n.incarnation,
             state: n.state as u32,
-            by: n.reported_by,
+            reported_by: n.reported_by,
         };
-        GossipMessage { kind: Some(say), updates: message.updates.iter().map(news).collect() }
+        GossipMessage { kind: Some(kind), updates: message.updates.iter().map(update).collect() }
     }
 
     pub fn to_gossip(&self) -> Option<Gossip> {
-        let say = match self.kind.as_ref()? {
+        let kind = match self.kind.as_ref()? {
             GossipKind::Ping(token) => MessageKind::Ping(*token),
             GossipKind::Ack(token) => MessageKind::Ack(*token),
-            GossipKind::PingRequest(ask) => MessageKind::PingRequest(ask.token, ask.target),
+            GossipKind::PingRequest(request) => MessageKind::PingRequest(request.token, request.target),
             GossipKind::Nack(token) => MessageKind::Nack(*token),
-            GossipKind::FullSync(back) => MessageKind::FullSync(*back),
+            GossipKind::FullSync(reply) => MessageKind::FullSync(*reply),
         };
-        let news = |n: &UpdateMessage| {
+        let update = |n: &UpdateMessage| {
             let state = *STATES.get(n.state as usize)?;
-            Some(Update { member: n.subject, incarnation: n.incarnation, state, reported_by: n.by })
+            Some(Update { member: n.member, incarnation: n.incarnation, state, reported_by: n.reported_by })
         };
-        Some(Gossip { kind: say, updates: self.updates.iter().filter_map(news).collect() })
+        Some(Gossip { kind, updates: self.updates.iter().filter_map(update).collect() })
     }
 
     pub fn check(&self) -> Result<(), String> {
         match self.updates.len() {
-            n if n > MAX_MEMBERS => Err(format!("news: {n}, {MAX_MEMBERS} at most")),
-            _ => self.kind.as_ref().map(drop).ok_or("gossip says nothing of this format".into()),
+            n if n > MAX_MEMBERS => Err(format!("updates: {n}, {MAX_MEMBERS} at most")),
+            _ => self.kind.as_ref().map(drop).ok_or("gossip kind is missing or unknown".into()),
         }
     }
 }
@@ -103,7 +102,7 @@
     #[prost(uint64, tag = "2")]
     pub start: u64,
     #[prost(uint64, tag = "3")]
-    pub number: u64,
+    pub last_sequence: u64,
 }
 
 #[derive(Clone, PartialEq, Message)]
@@ -113,11 +112,11 @@
     #[prost(uint64, tag = "2")]
     pub start: u64,
     #[prost(uint64, tag = "3")]
-    pub number: u64,
+    pub sequence: u64,
     #[prost(uint64, tag = "4")]
-    pub after: u64,
+    pub base_sequence: u64,
     #[prost(message, repeated, tag = "5")]
-    pub rows: Vec<CountRow>,
+    pub entries: Vec<CountRow>,
 }
 
 #[derive(Clone, PartialEq, Message)]
@@ -133,44 +132,46 @@
 }
 
 impl CountsRequest {
-    pub fn from_request(ask: ReportRequest) -> CountsRequest {
-        CountsRequest { token: ask.token, start: ask.start, number: ask.last_sequence }
+    pub fn from_request(request: ReportRequest) -> CountsRequest {
+        CountsRequest { token: request.token, start: request.start, last_sequence: request.last_sequence }
     }
 
     pub fn to_request(&self) -> ReportRequest {
-        ReportRequest { token: self.token, start: self.start, last_sequence: self.number }
+        ReportRequest { token: self.token, start: self.start, last_sequence: self.last_sequence }
     }
 }
 
 impl CountsResponse {
-    pub fn from_report(part: CountReport) -> CountsResponse {
-        let row = |r: CountEntry| CountRow { key: r.key, value: r.value, min: r.min, max: r.max };
-        let rows = part.entries.into_iter().map(row).collect();
+    pub fn from_report(report: CountReport) -> CountsResponse {
+        let entry = |r: CountEntry| CountRow { key: r.key, value: r.value, min: r.min, max: r.max };
+        let entries = report.entries.into_iter().map(entry).collect();
         CountsResponse {
-            token: part.token,
-            start: part.start,
-            number: part.sequence,
-            after: part.base_sequence,
-            rows,
+            token: report.token,
+            start: report.start,
+            sequence: report.sequence,
+            base_sequence: report.base_sequence,
+            entries,
         }
     }
 
     pub fn into_report(self) -> CountReport {
-        let row = |r: CountRow| CountEntry { key: r.key, value: r.value, min: r.min, max: r.max };
-        let rows = self.rows.into_iter().map(row).collect();
+        let entry = |r: CountRow| CountEntry { key: r.key, value: r.value, min: r.min, max: r.max };
+        let entries = self.entries.into_iter().map(entry).collect();
         CountReport {
             token: self.token,
             start: self.start,
-            sequence: self.number,
-            base_sequence: self.after,
-            entries: rows,
+            sequence: self.sequence,
+            base_sequence: self.base_sequence,
+            entries,
         }
     }
 
     pub fn check(&self) -> Result<(), String> {
-        match self.rows.len() {
-            n if n > MAX_KEYS => Err(format!("rows: {n}, {MAX_KEYS} at most")),
-            _ if self.rows.iter().any(|row| row.key.len() > 2 * MOST_NAME) => Err("key: is too long".into()),
+        match self.entries.len() {
+            n if n > MAX_KEYS => Err(format!("entries: {n}, {MAX_KEYS} at most")),
+            _ if self.entries.iter().any(|entry| entry.key.len() > 2 * MAX_NAME_LEN) => {
+                Err("key: is too long".into())
+            }
             _ => Ok(()),
         }
     }
@@ -181,13 +182,13 @@
     #[prost(uint64, tag = "1")]
     pub start: u64,
     #[prost(uint64, tag = "2")]
-    pub number: u64,
+    pub sequence: u64,
     #[prost(message, repeated, tag = "3")]
     pub observations: Vec<ObservationEntry>,
     #[prost(uint64, tag = "4")]
-    pub tried: u64,
+    pub servers_tried: u64,
     #[prost(uint64, tag = "5")]
-    pub bad: u64,
+    pub servers_bad: u64,
 }
 
 #[derive(Clone, PartialEq, Message)]
@@ -203,44 +204,44 @@
 }
 
 impl EvidenceReport {
-    pub fn from_peer_report(told: PeerReport) -> EvidenceReport {
-        let seen = |s: ServerObservation| ObservationEntry {
+    pub fn from_peer_report(report: PeerReport) -> EvidenceReport {
+        let observation = |s: ServerObservation| ObservationEntry {
             server: s.server,
             tries: s.tries,
             dropped: s.dropped,
             age_ms: s.age.0 / 1_000_000,
         };
-        let rows = told.observations.into_iter().map(seen).collect();
+        let observations = report.observations.into_iter().map(observation).collect();
         EvidenceReport {
-            start: told.start,
-            number: told.sequence,
-            observations: rows,
-            tried: told.servers_tried,
-            bad: told.servers_bad,
+            start: report.start,
+            sequence: report.sequence,
+            observations,
+            servers_tried: report.servers_tried,
+            servers_bad: report.servers_bad,
         }
     }
 
     pub fn into_peer_report(self) -> PeerReport {
-        let seen = |s: ObservationEntry| ServerObservation {
+        let observation = |s: ObservationEntry| ServerObservation {
             server: s.server,
             tries: s.tries,
             dropped: s.dropped,
             age: Span::millis(s.age_ms.min(3_600_000)),
         };
-        let rows = self.observations.into_iter().map(seen).collect();
+        let observations = self.observations.into_iter().map(observation).collect();
         PeerReport {
             start: self.start,
-            sequence: self.number,
-            observations: rows,
-            servers_tried: self.tried,
-            servers_bad: self.bad,
+            sequence: self.sequence,
+            observations,
+            servers_tried: self.servers_tried,
+            servers_bad: self.servers_bad,
         }
     }
 
     pub fn check(&self) -> Result<(), String> {
         match self.observations.len() {
-            n if n > MAX_OBSERVATIONS => Err(format!("seen: {n}, {MAX_OBSERVATIONS} at most")),
-            _ if self.observations.iter().any(|seen| seen.server.len() > MOST_NAME) => {
+            n if n > MAX_OBSERVATIONS => Err(format!("observations: {n}, {MAX_OBSERVATIONS} at most")),
+            _ if self.observations.iter().any(|seen| seen.server.len() > MAX_NAME_LEN) => {
                 Err("server: is too long".into())
             }
             _ => Ok(()),
--- a/crates/member/tests/rollout.rs
+++ b/crates/member/tests/rollout.rs
@@ -1,4 +1,4 @@
-//! The releaser, fed by hand: how an order in steps goes on, and when it is taken back.
+//! The rollout controller, driven step by step: how an order in steps advances, and when it is reverted.
 
 use pewtergap_member::rollout::RolloutController;
 use pewtergap_record::{AssignDuty, Cap, Command, CommandKind, Order, OrderAction, Record, RELEASE_DUTY};
@@ -7,63 +7,63 @@
 
 const START: Moment = Moment(1_700_000_000_000_000_000);
 
-struct Hand {
+struct Harness {
     record: Record,
-    releaser: RolloutController,
+    controller: RolloutController,
     index: u64,
     ms: u64,
-    figures: (u64, u64),
+    counts: (u64, u64),
     trace: String,
 }
 
-impl Hand {
-    fn apply(&mut self, what: CommandKind) -> u64 {
+impl Harness {
+    fn apply(&mut self, kind: CommandKind) -> u64 {
         self.index += 1;
-        let answer = self
+        let outcome = self
             .record
-            .apply(self.index, &Command { id: self.index, issued_at_ms: 1, kind: Some(what.clone()) });
-        let _ = writeln!(self.trace, "{:>5} {}: {answer:?}", self.ms, named(&what));
+            .apply(self.index, &Command { id: self.index, issued_at_ms: 1, kind: Some(kind.clone()) });
+        let _ = writeln!(self.trace, "{:>5} {}: {outcome:?}", self.ms, describe(&kind));
         self.index
     }
 
-    /// A second, of so many tries and drops, and what the releaser says then.
-    fn second(&mut self, tries: u64, drops: u64, number: u64) {
+    /// Lets a second pass with this many tries and drops, and applies the controller's commands.
+    fn second(&mut self, tries: u64, drops: u64, fencing_token: u64) {
         self.ms += 1_000;
-        self.figures = (self.figures.0 + tries, self.figures.1 + drops);
+        self.counts = (self.counts.0 + tries, self.counts.1 + drops);
         let now = START + Span::millis(self.ms);
-        for what in self.releaser.look(now, number, &self.record, self.figures) {
-            self.apply(what);
+        for kind in self.controller.poll(now, fencing_token, &self.record, self.counts) {
+            self.apply(kind);
         }
     }
 }
 
-fn named(what: &CommandKind) -> String {
-    match what {
+fn describe(kind: &CommandKind) -> String {
+    match kind {
         CommandKind::RolloutStep(step) => {
             format!("step to {} under {} {}", step.progress, step.fencing_token, step.revert_reason)
         }
-        CommandKind::AssignDuty(give) => format!("{} to {}", give.duty, give.holder_name),
+        CommandKind::AssignDuty(assign) => format!("{} to {}", assign.duty, assign.holder_name),
         CommandKind::Order(order) => order.action.as_ref().map_or(String::new(), OrderAction::describe),
         _ => String::new(),
     }
 }
 
-fn give(to: u64, number: u64) -> CommandKind {
+fn assign(holder: u64, expected_fencing_token: u64) -> CommandKind {
     CommandKind::AssignDuty(AssignDuty {
         duty: RELEASE_DUTY.into(),
-        holder: to,
-        holder_name: format!("p{to}"),
-        expected_fencing_token: number,
+        holder,
+        holder_name: format!("p{holder}"),
+        expected_fencing_token,
     })
 }
 
 fn cap(route: &str) -> CommandKind {
-    let wish = Some(OrderAction::SetCap(Cap { route: route.into(), level: 0.5 }));
+    let action = Some(OrderAction::SetCap(Cap { route: route.into(), level: 0.5 }));
     CommandKind::Order(Order {
         issued_by: "x".into(),
         reason: "y".into(),
         expires_at_ms: 0,
-        action: wish,
+        action,
         steps: 3,
         step_pause_ms: 2_000,
         by_proxies: false,
@@ -71,26 +71,27 @@
 }
 
 #[test]
-fn an_order_goes_on_step_by_step_and_is_taken_back_where_it_hurts() {
-    let releaser = RolloutController::default();
+fn an_order_advances_step_by_step_and_is_reverted_when_drops_increase() {
+    let controller = RolloutController::default();
     let record = Record::default();
-    let mut hand = Hand { record, releaser, index: 0, ms: 0, figures: (0, 0), trace: String::new() };
-    hand.apply(CommandKind::RaiseFormat(2));
-    let first = hand.apply(give(1, 0));
-    hand.apply(cap("quiet"));
-    (0..4).for_each(|_| hand.second(500, 5, first));
-    // Handed on in the middle: the next one looks for itself first, and the first one's word counts no more.
-    let second = hand.apply(give(2, first));
-    hand.second(500, 5, first);
-    hand.second(500, 5, first);
-    hand.releaser.rest();
-    (0..5).for_each(|_| hand.second(500, 5, second));
-    // Drops grow with the second order: it goes back, and stays so.
-    hand.apply(cap("loud"));
-    (0..4).for_each(|_| hand.second(500, 5, second));
-    (0..6).for_each(|_| hand.second(500, 100, second));
-    // Too few tries say nothing: a third goes on.
-    hand.apply(cap("idle"));
-    (0..8).for_each(|_| hand.second(5, 4, second));
-    insta::assert_snapshot!(hand.trace);
+    let mut harness = Harness { record, controller, index: 0, ms: 0, counts: (0, 0), trace: String::new() };
+    harness.apply(CommandKind::RaiseFormat(2));
+    let first = harness.apply(assign(1, 0));
+    harness.apply(cap("quiet"));
+    (0..4).for_each(|_| harness.second(500, 5, first));
+    // The duty moves during the rollout: the new holder observes first, and commands of the former holder are
+    // rejected.
+    let second = harness.apply(assign(2, first));
+    harness.second(500, 5, first);
+    harness.second(500, 5, first);
+    harness.controller.reset();
+    (0..5).for_each(|_| harness.second(500, 5, second));
+    // Drops increase with the second order: it is reverted and stays so.
+    harness.apply(cap("loud"));
+    (0..4).for_each(|_| harness.second(500, 5, second));
+    (0..6).for_each(|_| harness.second(500, 100, second));
+    // Too few tries: the third order advances.
+    harness.apply(cap("idle"));
+    (0..8).for_each(|_| harness.second(5, 4, second));
+    insta::assert_snapshot!(harness.trace);
 }
