--- a/crates/planner/src/decide.rs
+++ b/crates/planner/src/decide.rs
@@ -1,875 +1,1084 @@
-//! All decisions of the planner. Call `Planner::new` once per start, then `turn` with each batch of events
-//! and its clock; carry out the orders in their order. Events, orders and state are in `types.rs`.
-//! The ordinary path is Niagara's (docs/design.md); health, ramp, levels and guards of the rules are ours.
+//! The decisions of the planner. Create a planner with `Planner::new` at each start, then call `turn` with
+//! each batch of events and the time of the batch, and execute the returned actions in order. Events,
+//! actions and state are defined in `types.rs`.
+//!
+//! Table assignment follows Niagara (docs/design.md). Health, warm-up, admission levels and the limits that
+//! the rules demand are additions.
 
-use crate::shares::{centre, excess, imbalance, rescale, spread};
 use crate::time::{Moment, Span};
 use crate::types::*;
+use crate::weights::{balance_subsets, centroid, excess, imbalance, normalize};
 use std::collections::{BTreeMap, BTreeSet};
 
-const TICK: Span = Span::millis(500);
-const PERIOD: Span = Span::millis(3_000);
-const REVIEW: Span = Span::millis(2_500);
-const CLOSE: Span = Span::millis(1_250);
-/// Levels open one step in so long: opened faster, they swung and cost service wherever the wire has them.
-const OPEN: Span = Span::millis(5_000);
-const REBIND: Span = Span::millis(60_000);
-/// Plans keep this far apart for each proxy, up to a limit: lines that go out together share a head.
-const PAUSE: (Span, Span) = (Span::millis(1), Span::millis(100));
-/// Ordinary messages keep this far apart; removals need not wait.
-const GAP: Span = Span::millis(900);
-/// Imbalance, as part of all demand, below which a grouping or a table is left as it is.
-const MARGIN: f64 = 0.02;
-/// Means are taken once the seeds alone are within so many times that.
-const FAR: f64 = 4.0;
-/// Three binary digits are kept of a weight, so that it stays within the error of its own value.
-const DIGITS: f64 = 8.0;
-/// Lines under this part of the average share may be trimmed.
-const THIN: f64 = 0.1;
-const LOOKED_AT: usize = 4;
-/// Lines that go along with removals which would leave cold ones alone.
-const ALONG: usize = 12;
-/// What a cold server gets, by quarters of the longest warm-up; `shield_cold` keeps to what it can carry.
-const RAMP: [f64; 5] = [0.25, 0.5, 0.75, 1.0, 1.0];
-/// Part of what would topple a cold server that it may be sent, at ease and in a full fleet.
-const SAFE: (f64, f64) = (0.6, 0.33);
-/// Seconds of a server's work in a fall's budget from which chance evens out; a shorter one is used less.
-const EVEN: f64 = 8.0;
-/// Part of all tries dropped from which proxies that shun servers would heap their calls on cold ones.
-const SHUNNED: (f64, f64) = (0.2, 2.0);
-/// Parts of the limit on waiting lines that ordinary changes, cold ones, removals and bindings may fill; of
-/// no more than leaves in the grace of a removal that is ordered behind them, removals themselves apart.
-const FILLED: [f64; 4] = [0.3, 0.6, 0.95, 0.85];
-/// Lines for a proxy that has left count for so many times what a full channel takes to empty.
-const OUTLASTS: f64 = 2.0;
-/// What bounds a table's lines: the time in which the channel can hand all tables out anew, the part of a
-/// server's connections that all proxies may hold, the calls on a line while an idle connection is kept.
-const HANDED_OUT: Span = Span::millis(1_800);
-const CONNECTED: f64 = 0.3;
-const CALLS_KEPT: f64 = 2.5;
-const NARROW: f64 = 8.0;
-/// Proxies to a part of the servers, parts a server is in, and averages of demand that ask for all servers.
-const SHARERS: usize = 8;
-const COVER: f64 = 4.0;
-const HEAVY: f64 = 4.0;
-/// How far a server's seats may fall under what they should be, so that a deploy rewrites few tables twice.
-const SEATED: f64 = 0.7;
-const SWEEPS: (usize, f64) = (8, 1.5);
-/// Times our part of the proxies from which the channel may have to hand tables to all of them by itself.
-const CROWDED: f64 = 1.8;
-/// Calls that a proxy's first guess counts for: the demand of small ones stays near it until heard often.
-const GUESS_CALLS: f64 = 3.0;
-/// Routine probes a second, however large the fleet.
+const TICK_INTERVAL: Span = Span::millis(500);
+const PLAN_INTERVAL: Span = Span::millis(3_000);
+const REVIEW_INTERVAL: Span = Span::millis(2_500);
+const LEVEL_CLOSE_INTERVAL: Span = Span::millis(1_250);
+/// Interval at which levels open by one step. Faster opening oscillated and lost calls wherever the
+/// protocol supports levels.
+const LEVEL_OPEN_INTERVAL: Span = Span::millis(5_000);
+const REBIND_INTERVAL: Span = Span::millis(60_000);
+/// Minimum interval between pushes, per proxy and at most: lines sent together share the overhead of one
+/// message.
+const PUSH_INTERVAL: (Span, Span) = (Span::millis(1), Span::millis(100));
+/// Minimum interval between ordinary messages to one proxy. Removals need not wait for it.
+const MESSAGE_GAP: Span = Span::millis(900);
+/// Imbalance, as a fraction of all demand, below which a grouping or a table is left unchanged.
+const IMBALANCE_MARGIN: f64 = 0.02;
+/// Cluster means are computed once the seeds alone come within this multiple of the margin.
+const SEED_MARGIN_FACTOR: f64 = 4.0;
+/// Weights are rounded to three binary digits, so that they stay within the error of their own values.
+const WEIGHT_STEPS: f64 = 8.0;
+/// Lines below this fraction of the average share may be trimmed.
+const THIN_LINE_SHARE: f64 = 0.1;
+const TRIM_CANDIDATES: usize = 4;
+/// Additions sent with removals that would otherwise leave only cold servers in a table.
+const MAX_LINES_WITH_REMOVALS: usize = 12;
+/// Share of its weight that a cold server gets in each quarter of the longest warm-up. `limit_cold_servers`
+/// keeps it to what the server can carry.
+const WARMUP_SHARES: [f64; 5] = [0.25, 0.5, 0.75, 1.0, 1.0];
+/// Fraction of the load that would overload a cold server which it may be sent: with spare capacity, and in
+/// a fully loaded fleet.
+const COLD_LOAD_SHARES: (f64, f64) = (0.6, 0.33);
+/// Seconds of work within the overload budget from which random arrivals average out. With a shorter
+/// budget, less of it is used.
+const SMOOTHING_SECONDS: f64 = 8.0;
+/// Fraction of failing tries from which proxies that eject servers would concentrate their calls on cold
+/// ones, and the factor by which the failing fraction estimates those calls.
+const EJECTION_RISK: (f64, f64) = (0.2, 2.0);
+/// Fractions of the limit on queued lines that ordinary changes, changes for cold servers, removals and
+/// bindings may fill. Except for removals, the limit is also what can leave the channel within the grace
+/// period of a removal queued behind them.
+const QUEUE_FILL_LIMITS: [f64; 4] = [0.3, 0.6, 0.95, 0.85];
+/// Lines for a proxy that has left count as queued for this multiple of the time that a full channel takes
+/// to drain.
+const ABANDONED_DRAIN_TIMES: f64 = 2.0;
+/// Limits on the number of lines in a table: the time in which the channel can send all tables again, the
+/// fraction of a server's connections that all proxies together may hold, and the calls on a line within
+/// the lifetime of an idle connection.
+const REDISTRIBUTION_TIME: Span = Span::millis(1_800);
+const MAX_CONNECTION_SHARE: f64 = 0.3;
+const CALLS_PER_KEEP_ALIVE: f64 = 2.5;
+const MIN_SUBSET_WIDTH: f64 = 8.0;
+/// Proxies per subset of servers, subsets per server, and the multiple of the mean demand above which a
+/// proxy uses all servers.
+const PROXIES_PER_SUBSET: usize = 8;
+const SUBSETS_PER_SERVER: f64 = 4.0;
+const HEAVY_DEMAND_FACTOR: f64 = 4.0;
+/// Fraction of its intended subsets below which a server is added to more. The tolerance keeps a deployment
+/// from rewriting many tables twice.
+const MIN_MEMBERSHIP_SHARE: f64 = 0.7;
+const BALANCE_SWEEPS: (usize, f64) = (8, 1.5);
+/// Multiple of this planner's share of the proxies above which its channel may have to send tables to all
+/// proxies.
+const CROWDED_FACTOR: f64 = 1.8;
+/// Weight, in calls, of the rate that a proxy declares when it joins. The estimate for a proxy with few
+/// calls stays near that rate until it has reported often.
+const PRIOR_CALLS: f64 = 3.0;
+/// Routine probes per second, independent of the fleet's size.
 const PROBES_PER_S: f64 = 60.0;
-/// Below how busy, and how far beyond its part, a zone keeps its calls while all servers answer.
-const COMFORT: (f64, f64) = (0.6, 1.15);
-/// From the first price on calls are kept at home, at the second all of them, as far as proxies are heard.
-const CROSSING: (f64, f64) = (0.02, 0.06);
+/// Utilization below which a zone keeps its calls while all servers answer, and the factor by which it may
+/// then exceed its share.
+const LOCAL_SPILL_LIMITS: (f64, f64) = (0.6, 1.15);
+/// Cost of a cross-zone call from which calls are kept in their zone, and from which all are, as far as the
+/// proxies' demand is known.
+const CROSS_ZONE_COSTS: (f64, f64) = (0.02, 0.06);
 const UTIL_EDGES: &[f64] = &[0.2, 0.35, 0.5, 0.6, 0.7, 0.8, 0.9, 0.97];
-/// Coarse corrections to listed weights, for servers that stay far busier or idler than the rest.
-const CORRECTIONS: [f64; 7] = [0.3, 0.45, 0.6, 0.8, 1.0, 1.25, 1.5];
-const UNCORRECTED: i32 = 4;
-/// What was learned of a server that is gone is kept for so long, should it return.
-const FORGOTTEN: Span = Span::millis(120_000);
-/// Sums suggest trouble when at least so many tries, and such a part of them, were dropped.
-const BAD_TRIES: f64 = 3.0;
-const BAD_PART: f64 = 0.85;
-const GOOD_PART: f64 = 0.2;
-/// Part dropped from which a server loses weight at each review while the fleet as a whole answers.
-const FAILS: f64 = 0.5;
-/// Dead probes in a row that confirm it.
-const CONFIRM: usize = 2;
-/// Servers are not shut out when less than this part of the listed weight would remain.
+/// Coarse corrections to listed weights, for servers whose utilization stays well above or below the rest.
+const WEIGHT_CORRECTIONS: [f64; 7] = [0.3, 0.45, 0.6, 0.8, 1.0, 1.25, 1.5];
+const NEUTRAL_CORRECTION: i32 = 4;
+/// How long the state of an absent server is kept in case it returns.
+const SERVER_RETENTION: Span = Span::millis(120_000);
+/// A server is suspected when at least this many tries, and at least this fraction of them, were dropped.
+const MIN_TRIES: f64 = 3.0;
+const FAILING_FRACTION: f64 = 0.85;
+const HEALTHY_FRACTION: f64 = 0.2;
+/// Fraction of dropped tries from which a server loses weight at each review while the fleet as a whole
+/// answers.
+const WEIGHT_LOSS_FRACTION: f64 = 0.5;
+/// Failed probes in a row that confirm a failure.
+const STRIKES_TO_CONFIRM: usize = 2;
+/// Servers are not ejected if less than this fraction of the listed weight would remain. The fleet as a whole
+/// is failing if a smaller fraction of the servers answers as it should.
 const QUORUM: f64 = 0.25;
-/// Part let in of calls on the least important route and on the others, by step.
-const LEVELS: [[f64; 2]; 6] = [[1.0, 1.0], [0.6, 1.0], [0.35, 1.0], [0.2, 1.0], [0.1, 0.8], [0.05, 0.55]];
-/// Dropped parts of the tries at live servers that close the levels by one step and by two.
-const DROPS: (f64, f64) = (0.12, 0.3);
-/// How busy a full fleet is, one that may open its levels, and how busy levels let it become.
-const BUSY: f64 = 0.9;
-const AT_EASE: f64 = 0.75;
-const ROOM: f64 = 0.7;
+/// Admitted fraction of calls on the least important routes and on the others, by level step.
+const ADMISSION_LEVELS: [[f64; 2]; 6] =
+    [[1.0, 1.0], [0.6, 1.0], [0.35, 1.0], [0.2, 1.0], [0.1, 0.8], [0.05, 0.55]];
+/// Fractions of dropped tries at live servers that close the levels by one step and by two.
+const OVERLOAD_DROP_FRACTIONS: (f64, f64) = (0.12, 0.3);
+/// Utilization of a fully loaded fleet, utilization below which levels may open, and the utilization that
+/// levels aim for.
+const BUSY_UTIL: f64 = 0.9;
+const CALM_UTIL: f64 = 0.75;
+const TARGET_UTIL: f64 = 0.7;
 
 use Effect::*;
-use Sign::*;
-use Stand::{Draining, Fresh, Open, Out, Suspect};
-
-/// What a sign does to a server; a pair that is not listed changes nothing. A listed restart of one that is
-/// shut out only tells when it started; probes bring it back. Where leaving the list does not bind, lists
-/// were seen to lose live servers and to hold some that never were, or answered with errors: probes tell.
-const STANDS: &[(&[Stand], &[Sign], Stand, Effect)] = &[
-    (&[Stand::Gone, Draining], &[Runs], Open, Enter),
-    (&[Stand::Gone, Draining, Open, Suspect], &[Restarted], Open, Enter),
-    (&[Stand::Gone, Fresh], &[Appears], Fresh, Ask),
-    (&[Fresh], &[ProbeGood], Open, Enter),
-    (&[Out], &[Restarted], Out, Ask),
-    (&[Stand::Gone, Open, Suspect, Out, Fresh], &[Stops], Draining, Remove),
-    (&[Open, Suspect, Out, Draining, Fresh], &[Sign::Gone], Stand::Gone, Remove),
-    (&[Out, Draining, Fresh], &[Unlisted], Stand::Gone, Remove),
-    (&[Open], &[SumsBad, Unlisted], Suspect, Ask),
-    (&[Suspect], &[SumsGood], Open, Pardon),
-    (&[Open, Suspect], &[ProbeGood], Open, Pardon),
-    (&[Open], &[ProbeSilent], Open, Strike),
-    (&[Open], &[ProbeDead], Open, Condemn),
-    (&[Suspect], &[ProbeSilent, ProbeErring], Suspect, Strike),
-    (&[Suspect], &[ProbeDead], Suspect, Condemn),
-    (&[Suspect], &[Confirmed], Out, Remove),
-    (&[Out], &[ProbeGood], Out, Strike),
-    (&[Out], &[ProbeSilent, ProbeDead, ProbeErring], Out, Pardon),
-    (&[Out], &[Recovered], Open, Return),
+use ServerState::{Draining, Ejected, InService, Suspect, Unverified};
+use Signal::*;
+
+/// State transitions by signal; a pair that is not listed changes nothing. A listed restart of an ejected
+/// server only records the start time, and probes readmit it. Where leaving the list does not force a
+/// removal, lists have omitted live servers and contained some that never existed or answered with errors,
+/// so probes decide.
+const TRANSITIONS: &[(&[ServerState], &[Signal], ServerState, Effect)] = &[
+    (&[ServerState::Absent, Draining], &[ListedRunning], InService, Admit),
+    (&[ServerState::Absent, Draining, InService, Suspect], &[Restarted], InService, Admit),
+    (&[ServerState::Absent, Unverified], &[Appeared], Unverified, SendProbe),
+    (&[Unverified], &[ProbeOk], InService, Admit),
+    (&[Ejected], &[Restarted], Ejected, SendProbe),
+    (&[ServerState::Absent, InService, Suspect, Ejected, Unverified], &[StopListed], Draining, Remove),
+    (
+        &[InService, Suspect, Ejected, Draining, Unverified],
+        &[Signal::ListedGone],
+        ServerState::Absent,
+        Remove,
+    ),
+    (&[Ejected, Draining, Unverified], &[Unlisted], ServerState::Absent, Remove),
+    (&[InService], &[TriesFailing, Unlisted], Suspect, SendProbe),
+    (&[Suspect], &[TriesOk], InService, ClearStrikes),
+    (&[InService, Suspect], &[ProbeOk], InService, ClearStrikes),
+    (&[InService], &[ProbeTimedOut], InService, CountStrike),
+    (&[InService], &[ProbeUnreachable], InService, ConfirmFailure),
+    (&[Suspect], &[ProbeTimedOut, ProbeError], Suspect, CountStrike),
+    (&[Suspect], &[ProbeUnreachable], Suspect, ConfirmFailure),
+    (&[Suspect], &[FailureConfirmed], Ejected, Remove),
+    (&[Ejected], &[ProbeOk], Ejected, CountStrike),
+    (&[Ejected], &[ProbeTimedOut, ProbeUnreachable, ProbeError], Ejected, ClearStrikes),
+    (&[Ejected], &[RecoveryConfirmed], InService, Readmit),
 ];
 
 impl Planner {
     pub fn turn(&mut self, now: Moment, events: &[Event]) -> Vec<Action> {
-        let mut orders = Vec::new();
-        events.iter().for_each(|event| self.hear(now, event));
-        if now >= self.state.woken {
-            self.upkeep(now);
+        let mut actions = Vec::new();
+        events.iter().for_each(|event| self.handle_event(now, event));
+        if now >= self.state.wake_at {
+            self.schedule_probes(now);
             self.set_levels(now);
-            if now.since(self.state.reviewed) >= REVIEW {
-                self.review(now);
-                self.forget(now, &mut orders);
+            if now.since(self.state.reviewed_at) >= REVIEW_INTERVAL {
+                self.review_servers(now);
+                self.release_servers(now, &mut actions);
             }
-            // Planners that started together should not probe and push in step.
-            self.state.woken = now + TICK.times(0.9 + 0.2 * self.rng.f64());
-            orders.push(Action::Wake { at: self.state.woken });
+            // Random jitter keeps planners that started together from probing and sending in step.
+            self.state.wake_at = now + TICK_INTERVAL.times(0.9 + 0.2 * self.rng.f64());
+            actions.push(Action::Wake { at: self.state.wake_at });
             let due = |at: Moment| now.since(at) > self.fleet.list_request_interval.times(0.4);
-            if self.fleet.list_on_request && self.state.asked_list.is_none_or(due) {
-                self.state.asked_list = Some(now);
-                orders.push(Action::Subscribe);
+            if self.fleet.list_on_request && self.state.list_requested_at.is_none_or(due) {
+                self.state.list_requested_at = Some(now);
+                actions.push(Action::Subscribe);
             }
         }
-        let pause = PAUSE.0.times(self.fleet.proxies as f64).min(PAUSE.1);
+        let pause = PUSH_INTERVAL.0.times(self.fleet.proxies as f64).min(PUSH_INTERVAL.1);
         if self.slicing.slices > 0 {
-            self.mend_slices(now, &mut orders);
-        } else if self.state.pressed || now.since(self.state.pushed) >= pause {
-            if self.state.pressed || self.state.stirred || now.since(self.state.planned) >= PERIOD {
+            self.repair_slices(now, &mut actions);
+        } else if self.state.urgent || now.since(self.state.pushed_at) >= pause {
+            if self.state.urgent || self.state.plan_due || now.since(self.state.planned_at) >= PLAN_INTERVAL {
                 self.plan(now);
             }
-            self.push(now, &mut orders);
+            self.send_changes(now, &mut actions);
         }
-        for server in std::mem::take(&mut self.state.ask).into_iter().filter(|_| self.capabilities.probes) {
-            self.state.servers[server].probed = Some(now);
-            orders.push(Action::Probe { server });
+        for server in
+            std::mem::take(&mut self.state.to_probe).into_iter().filter(|_| self.capabilities.probes)
+        {
+            self.state.servers[server].probed_at = Some(now);
+            actions.push(Action::Probe { server });
         }
-        orders
+        actions
     }
 
-    fn hear(&mut self, now: Moment, event: &Event) {
+    fn handle_event(&mut self, now: Moment, event: &Event) {
         match event {
-            Event::List { kind, entries } => self.hear_list(now, *kind, entries),
+            Event::List { kind, entries } => self.handle_list(now, *kind, entries),
             Event::ServerStats { server, tries, dropped, load, .. } => {
-                self.state.note_load(*server, UTIL_EDGES, load.util, *tries);
-                let (tries, dropped) = self.state.note_tries(*server, *tries, *dropped);
-                if dropped >= BAD_TRIES && dropped >= BAD_PART * tries {
-                    self.sign(now, *server, SumsBad, None);
-                } else if tries >= BAD_TRIES && dropped < GOOD_PART * tries {
-                    self.sign(now, *server, SumsGood, None);
+                self.state.record_load(*server, UTIL_EDGES, load.util, *tries);
+                let (tries, dropped) = self.state.record_tries(*server, *tries, *dropped);
+                if dropped >= MIN_TRIES && dropped >= FAILING_FRACTION * tries {
+                    self.apply_signal(now, *server, TriesFailing, None);
+                } else if tries >= MIN_TRIES && dropped < HEALTHY_FRACTION * tries {
+                    self.apply_signal(now, *server, TriesOk, None);
                 }
             }
-            Event::ProbeEnded { server, outcome: end, load } => {
+            Event::ProbeEnded { server, outcome, load } => {
                 self.state.server(*server);
-                // Where a probe waits its turn, no answer in time is the only word of a full queue.
-                let full = self.capabilities.load_on_probe && *end == ProbeOutcome::TimedOut;
-                self.state.note_load(*server, UTIL_EDGES, if full { Some(1.0) } else { load.util }, 1.0);
-                let sign = match end {
-                    ProbeOutcome::Answered | ProbeOutcome::Rejected => ProbeGood,
-                    // Where all are late, one more late answer says nothing of this server.
-                    ProbeOutcome::TimedOut if self.strained() => return,
-                    ProbeOutcome::TimedOut => ProbeSilent,
-                    ProbeOutcome::Error => ProbeErring,
-                    ProbeOutcome::Unreachable => ProbeDead,
+                // Where servers queue probes, a missing answer is the only sign of a full queue.
+                let full = self.capabilities.load_on_probe && *outcome == ProbeOutcome::TimedOut;
+                self.state.record_load(*server, UTIL_EDGES, if full { Some(1.0) } else { load.util }, 1.0);
+                let signal = match outcome {
+                    ProbeOutcome::Answered | ProbeOutcome::Rejected => ProbeOk,
+                    // While the whole fleet is late, one more late answer says nothing about this server.
+                    ProbeOutcome::TimedOut if self.fleet_failing() => return,
+                    ProbeOutcome::TimedOut => ProbeTimedOut,
+                    ProbeOutcome::Error => ProbeError,
+                    ProbeOutcome::Unreachable => ProbeUnreachable,
                 };
-                self.sign(now, *server, sign, None);
-                let known = &self.state.servers[*server];
-                let out = known.stand == Out;
-                if known.strikes >= CONFIRM && (out || self.may_shut_out(now, *server)) {
-                    self.sign(now, *server, if out { Recovered } else { Confirmed }, None);
+                self.apply_signal(now, *server, signal, None);
+                let record = &self.state.servers[*server];
+                let ejected = record.state == Ejected;
+                if record.strikes >= STRIKES_TO_CONFIRM && (ejected || self.may_eject(now, *server)) {
+                    self.apply_signal(
+                        now,
+                        *server,
+                        if ejected { RecoveryConfirmed } else { FailureConfirmed },
+                        None,
+                    );
                 }
             }
-            Event::Applied { proxy, mark } => self.state.applied(now, *proxy, *mark),
+            Event::Applied { proxy, mark } => self.state.acknowledge(now, *proxy, *mark),
             Event::ProxyLeft { proxy } | Event::ProxyJoined { proxy, .. } => {
-                // Uncounted, what a mass reconnect left in the channel took it past its limit.
-                self.state.depart(*proxy, now + self.empties().times(OUTLASTS));
-                self.state.note(event);
+                // Messages that a mass reconnect leaves in the channel have to count: without them the
+                // channel exceeded its limit.
+                self.state.abandon_messages(*proxy, now + self.drain_time().times(ABANDONED_DRAIN_TIMES));
+                self.state.apply_event(event);
             }
-            _ => self.state.note(event),
+            _ => self.state.apply_event(event),
         }
     }
 
-    /// Lines that may wait once ordinary changes, cold ones, removals and bindings are written. What waits
-    /// counts against the grace at the pace the channel has now: it was seen to stand long after it was slow.
-    /// Bindings are as urgent as what drains: behind a slow channel they stood still for 15 s.
-    fn claims(&self, pace: f64) -> [f64; 4] {
-        let most = self.channel.max_queued_lines;
+    /// Limits on queued lines for ordinary changes, cold servers, removals and bindings. Queued lines count
+    /// against the grace period at the present throughput, because the channel has stayed full long after
+    /// it became slow. Bindings are as urgent as removals: behind a slow channel they have waited for 15 s.
+    fn queue_limits(&self, throughput: f64) -> [f64; 4] {
+        let max = self.channel.max_queued_lines;
         let grace = self.contract.drain_grace.seconds() - self.channel.max_transit.seconds();
-        // No account keeps a grace that is shorter than the way; it would only stand still.
-        let in_time = |pace: f64| (grace.max(PAUSE.1.seconds()) * pace).min(most);
-        let (soon, usually) = (in_time(pace), in_time(self.channel.lines_per_s));
-        [FILLED[0] * soon, FILLED[1] * soon, FILLED[2] * most, FILLED[3] * usually]
+        // A grace period shorter than the transit time cannot be kept, and a limit derived from it would
+        // only stop all messages.
+        let within_grace = |throughput: f64| (grace.max(PUSH_INTERVAL.1.seconds()) * throughput).min(max);
+        let (at_throughput, at_configured_rate) =
+            (within_grace(throughput), within_grace(self.channel.lines_per_s));
+        [
+            QUEUE_FILL_LIMITS[0] * at_throughput,
+            QUEUE_FILL_LIMITS[1] * at_throughput,
+            QUEUE_FILL_LIMITS[2] * max,
+            QUEUE_FILL_LIMITS[3] * at_configured_rate,
+        ]
     }
 
-    /// What a full channel takes to empty at its pace.
-    fn empties(&self) -> Span {
+    /// Time that a full channel takes to drain at its configured rate.
+    fn drain_time(&self) -> Span {
         Span::of_seconds(self.channel.max_queued_lines / self.channel.lines_per_s)
     }
 
-    fn hear_list(&mut self, now: Moment, kind: ListKind, entries: &[ListEntry]) {
+    fn handle_list(&mut self, now: Moment, kind: ListKind, entries: &[ListEntry]) {
         if kind == ListKind::Failed {
-            self.state.asked_list = None;
+            self.state.list_requested_at = None;
         }
-        let leaves = if self.contract.removal_is_binding { Sign::Gone } else { Unlisted };
-        let doubted = leaves == Unlisted && kind != ListKind::Kept && self.capabilities.probes;
+        let absence_signal = if self.contract.removal_is_binding { Signal::ListedGone } else { Unlisted };
+        let needs_probe = absence_signal == Unlisted && kind != ListKind::Kept && self.capabilities.probes;
         for entry in entries {
             let server = self.state.server(entry.server);
             server.zone = entry.zone;
             server.weight = if entry.weight > 0.0 { entry.weight } else { 1.0 };
-            let restarted = entry.last_start.is_some() && entry.last_start > server.started;
-            let sign = match entry.state {
-                ListedState::Running if doubted && matches!(server.stand, Stand::Gone | Fresh) => Appears,
+            let restarted = entry.last_start.is_some() && entry.last_start > server.started_at;
+            let signal = match entry.state {
+                ListedState::Running
+                    if needs_probe && matches!(server.state, ServerState::Absent | Unverified) =>
+                {
+                    Appeared
+                }
                 ListedState::Running if restarted => Restarted,
-                ListedState::Running => Runs,
-                ListedState::Stopping => Stops,
-                ListedState::Deleted => leaves,
+                ListedState::Running => ListedRunning,
+                ListedState::Stopping => StopListed,
+                ListedState::Deleted => absence_signal,
             };
-            self.sign(now, entry.server, sign, entry.last_start);
+            self.apply_signal(now, entry.server, signal, entry.last_start);
         }
         if matches!(kind, ListKind::Complete | ListKind::Kept) {
-            let listed: BTreeSet<ServerIx> = entries.iter().map(|entry| entry.server).collect();
+            let listed: BTreeSet<ServerIndex> = entries.iter().map(|entry| entry.server).collect();
             for at in (0..self.state.servers.len()).filter(|at| !listed.contains(at)) {
-                self.sign(now, at, leaves, None);
+                self.apply_signal(now, at, absence_signal, None);
             }
         }
     }
 
-    fn sign(&mut self, now: Moment, at: ServerIx, sign: Sign, start: Option<Moment>) {
-        let stand = self.state.servers[at].stand;
-        let row = STANDS.iter().find(|row| row.0.contains(&stand) && row.1.contains(&sign));
+    fn apply_signal(&mut self, now: Moment, at: ServerIndex, signal: Signal, start: Option<Moment>) {
+        let state = self.state.servers[at].state;
+        let row = TRANSITIONS.iter().find(|row| row.0.contains(&state) && row.1.contains(&signal));
         let Some((_, _, next, effect)) = row else { return };
         let server = &mut self.state.servers[at];
-        server.stand = *next;
+        server.state = *next;
         match effect {
-            Enter | Return | Remove => {
-                server.started = if *effect == Return { Some(now) } else { start.or(server.started) };
-                server.forget();
-                (self.state.stirred, self.state.pressed) = (true, true);
-            }
-            Ask => {
-                server.started = start.or(server.started);
-                self.state.ask.push(at);
-            }
-            Strike | Condemn => {
-                server.strikes += if *effect == Condemn { CONFIRM } else { 1 };
-                self.state.stirred |= server.strikes >= CONFIRM;
-            }
-            Pardon if stand == Suspect => server.forget(),
-            Pardon => {
-                self.state.stirred |= server.strikes >= CONFIRM;
+            Admit | Readmit | Remove => {
+                server.started_at = if *effect == Readmit { Some(now) } else { start.or(server.started_at) };
+                server.reset_measurements();
+                (self.state.plan_due, self.state.urgent) = (true, true);
+            }
+            SendProbe => {
+                server.started_at = start.or(server.started_at);
+                self.state.to_probe.push(at);
+            }
+            CountStrike | ConfirmFailure => {
+                server.strikes += if *effect == ConfirmFailure { STRIKES_TO_CONFIRM } else { 1 };
+                self.state.plan_due |= server.strikes >= STRIKES_TO_CONFIRM;
+            }
+            ClearStrikes if state == Suspect => server.reset_measurements(),
+            ClearStrikes => {
+                self.state.plan_due |= server.strikes >= STRIKES_TO_CONFIRM;
                 server.strikes = 0;
             }
         }
     }
 
-    /// Hardly any server answers as it should: the fleet is overloaded or the planner is blind.
-    fn strained(&self) -> bool {
-        let tried = |s: &&Server| matches!(s.stand, Open | Suspect) && s.tries >= BAD_TRIES;
+    /// Whether hardly any server answers as it should: either the fleet is overloaded or this planner
+    /// cannot see it.
+    fn fleet_failing(&self) -> bool {
+        let tried = |s: &&Server| matches!(s.state, InService | Suspect) && s.tries >= MIN_TRIES;
         let tried: Vec<&Server> = self.state.servers.iter().filter(tried).collect();
-        let fine = tried.iter().filter(|s| s.dropped < DROPS.1 * s.tries).count();
-        tried.len() > 1 && (fine as f64) < QUORUM * tried.len() as f64
+        let healthy = tried.iter().filter(|s| s.dropped < OVERLOAD_DROP_FRACTIONS.1 * s.tries).count();
+        tried.len() > 1 && (healthy as f64) < QUORUM * tried.len() as f64
     }
 
-    /// A planner behind a cut sees all others dead; without this it would heap all on what it still sees.
-    fn may_shut_out(&self, now: Moment, at: ServerIx) -> bool {
-        let stays = |s: &&Server| matches!(s.stand, Open | Suspect | Out);
-        let listed: f64 = self.state.servers.iter().filter(stays).map(|s| s.weight).sum();
-        self.carried(now).iter().sum::<f64>() - self.carries(now, at) >= QUORUM * listed
+    /// Whether enough weight would remain without the server. A partitioned planner sees all servers beyond
+    /// the partition as dead and would otherwise send everything to those it can still reach.
+    fn may_eject(&self, now: Moment, at: ServerIndex) -> bool {
+        let counts = |s: &&Server| matches!(s.state, InService | Suspect | Ejected);
+        let listed: f64 = self.state.servers.iter().filter(counts).map(|s| s.weight).sum();
+        self.usable_weights(now).iter().sum::<f64>() - self.usable_weight(now, at) >= QUORUM * listed
     }
 
-    fn warmth(&self, now: Moment, at: ServerIx) -> usize {
-        let Some(started) = self.state.servers[at].started else { return RAMP.len() - 1 };
-        let gone = now.since(started).seconds() / self.contract.warmup.seconds().max(1e-9);
-        ((gone * 4.0) as usize).min(RAMP.len() - 1)
+    fn warmup_step(&self, now: Moment, at: ServerIndex) -> usize {
+        let Some(started_at) = self.state.servers[at].started_at else { return WARMUP_SHARES.len() - 1 };
+        let progress = now.since(started_at).seconds() / self.contract.warmup.seconds().max(1e-9);
+        ((progress * 4.0) as usize).min(WARMUP_SHARES.len() - 1)
     }
 
-    fn carries(&self, now: Moment, at: ServerIx) -> f64 {
+    fn usable_weight(&self, now: Moment, at: ServerIndex) -> f64 {
         let server = &self.state.servers[at];
-        let listed = server.weight * (1.0 - server.lighter);
-        let weight = listed * CORRECTIONS[(UNCORRECTED + server.step) as usize];
-        match server.stand {
-            // Probes alone don't shut out, but one that nobody answers is not sent its whole share meanwhile.
-            Open | Suspect if server.strikes >= CONFIRM => RAMP[0] * weight,
-            Open | Suspect => weight * RAMP[self.warmth(now, at)],
+        let listed = server.weight * (1.0 - server.weight_reduction);
+        let weight = listed * WEIGHT_CORRECTIONS[(NEUTRAL_CORRECTION + server.correction) as usize];
+        match server.state {
+            // Probes alone do not eject a server, but one that fails them gets only a reduced weight in the
+            // meantime.
+            InService | Suspect if server.strikes >= STRIKES_TO_CONFIRM => WARMUP_SHARES[0] * weight,
+            InService | Suspect => weight * WARMUP_SHARES[self.warmup_step(now, at)],
             _ => 0.0,
         }
     }
 
     fn demand(&self, proxy: &Proxy) -> f64 {
-        proxy.rate(GUESS_CALLS).unwrap_or(self.state.average).max(1e-6)
+        proxy.rate(PRIOR_CALLS).unwrap_or(self.state.mean_demand).max(1e-6)
     }
 
-    fn carried(&self, now: Moment) -> Vec<f64> {
-        (0..self.state.servers.len()).map(|at| self.carries(now, at)).collect()
+    fn usable_weights(&self, now: Moment) -> Vec<f64> {
+        (0..self.state.servers.len()).map(|at| self.usable_weight(now, at)).collect()
     }
 
-    /// Calls per second at all proxies; those of other planners as told, or else as average.
-    fn calls(&self) -> f64 {
-        let guess = self.state.mean_rate(GUESS_CALLS).max(1e-6) * self.fleet.proxies.max(1) as f64;
-        self.state.elsewhere.map_or(guess, |told| told + self.state.seen(|p| self.demand(p)).max(1e-6))
+    /// Calls per second at all proxies. Those of other planners count as reported, or otherwise as average.
+    fn total_demand(&self) -> f64 {
+        let estimate = self.state.mean_rate(PRIOR_CALLS).max(1e-6) * self.fleet.proxies.max(1) as f64;
+        self.state
+            .other_planners_rate
+            .map_or(estimate, |others| others + self.state.joined_demand(|p| self.demand(p)).max(1e-6))
     }
 
-    fn upkeep(&mut self, now: Moment) {
-        let round = Span::millis(1_000).times(self.state.servers.len() as f64 / PROBES_PER_S);
+    fn schedule_probes(&mut self, now: Moment) {
+        let probe_round = Span::millis(1_000).times(self.state.servers.len() as f64 / PROBES_PER_S);
         for at in 0..self.state.servers.len() {
-            self.state.stirred |= self.warmth(now - TICK.times(1.2), at) != self.warmth(now, at);
+            self.state.plan_due |=
+                self.warmup_step(now - TICK_INTERVAL.times(1.2), at) != self.warmup_step(now, at);
             let server = &self.state.servers[at];
-            let rest = match server.stand {
-                Suspect | Fresh => Span::millis(400),
-                Out => Span::millis(900),
-                Open => Span::millis(1_900).max(round),
+            let interval = match server.state {
+                Suspect | Unverified => Span::millis(400),
+                Ejected => Span::millis(900),
+                InService => Span::millis(1_900).max(probe_round),
                 _ => continue,
             };
-            if server.probed.is_none_or(|last| now.since(last) >= rest) && !self.state.ask.contains(&at) {
-                self.state.ask.push(at);
+            if server.probed_at.is_none_or(|last| now.since(last) >= interval)
+                && !self.state.to_probe.contains(&at)
+            {
+                self.state.to_probe.push(at);
             }
         }
     }
 
-    fn review(&mut self, now: Moment) {
-        self.state.reviewed = now;
-        let servers = self.state.servers.iter().enumerate().filter(|(_, s)| s.stand == Open);
-        let warmest = servers.clone().map(|(at, _)| self.warmth(now, at)).max().unwrap_or(0);
-        // The warmest there are: where all are cold, a load that stood still would keep the levels closed.
-        let warm = servers.filter(|(at, _)| self.warmth(now, *at) == warmest);
-        let util = warm.filter_map(|(at, s)| s.util.mean().map(|util| (at, util, self.carries(now, at))));
-        let util: Vec<(ServerIx, f64, f64)> = util.collect();
+    fn review_servers(&mut self, now: Moment) {
+        self.state.reviewed_at = now;
+        let servers = self.state.servers.iter().enumerate().filter(|(_, s)| s.state == InService);
+        let warmest = servers.clone().map(|(at, _)| self.warmup_step(now, at)).max().unwrap_or(0);
+        // Uses the warmest servers there are: if all are cold, a utilization that is never updated would
+        // keep the levels closed.
+        let warm = servers.filter(|(at, _)| self.warmup_step(now, *at) == warmest);
+        let util =
+            warm.filter_map(|(at, s)| s.util.mean().map(|util| (at, util, self.usable_weight(now, at))));
+        let util: Vec<(ServerIndex, f64, f64)> = util.collect();
         let weight: f64 = util.iter().map(|u| u.2).sum();
-        let held: f64 = self.carried(now).iter().sum();
+        let total_weight: f64 = self.usable_weights(now).iter().sum();
         if weight > 0.0 {
-            let common = util.iter().map(|u| u.1 * u.2).sum::<f64>() / weight;
-            self.state.common = common;
-            let calls = self.calls();
-            if common < BUSY && calls > 0.0 && self.state.step == 0 {
-                let work = common * held / calls;
-                self.state.work = Some(self.state.work.map_or(work, |before| 0.7 * before + 0.3 * work));
-            }
-            let (tries, dropped) = self.state.tally(|s| s.stand == Open);
-            let at_ease = common < BUSY && dropped < DROPS.0 * tries;
+            let mean_util = util.iter().map(|u| u.1 * u.2).sum::<f64>() / weight;
+            self.state.mean_util = mean_util;
+            let demand = self.total_demand();
+            if mean_util < BUSY_UTIL && demand > 0.0 && self.state.level_step == 0 {
+                let weight_per_call = mean_util * total_weight / demand;
+                self.state.weight_per_call = Some(
+                    self.state
+                        .weight_per_call
+                        .map_or(weight_per_call, |before| 0.7 * before + 0.3 * weight_per_call),
+                );
+            }
+            let (tries, dropped) = self.state.try_totals(|s| s.state == InService);
+            let fleet_healthy = mean_util < BUSY_UTIL && dropped < OVERLOAD_DROP_FRACTIONS.0 * tries;
             for (at, util, _) in util {
                 let server = &mut self.state.servers[at];
-                // One that is too slow answers probes in time: six were seen to drop 57 of 73 tries in 5 s,
-                // all 60 probes answered. It costs a step, whatever the load says.
-                let drops = server.dropped / server.tries.max(BAD_TRIES);
-                let fails = at_ease && drops > FAILS;
-                let factor = |by: i32| CORRECTIONS.get((UNCORRECTED + server.step + by) as usize);
-                let wanted = factor(0).unwrap_or(&1.0) * common / util.max(0.1);
+                // A server can be too slow for calls and still answer probes in time: six servers dropped
+                // 57 of 73 tries in 5 s while answering all 60 probes. It loses a weight step whatever load
+                // it reports.
+                let drop_fraction = server.dropped / server.tries.max(MIN_TRIES);
+                let failing = fleet_healthy && drop_fraction > WEIGHT_LOSS_FRACTION;
+                let factor =
+                    |by: i32| WEIGHT_CORRECTIONS.get((NEUTRAL_CORRECTION + server.correction + by) as usize);
+                let wanted = factor(0).unwrap_or(&1.0) * mean_util / util.max(0.1);
                 let above = factor(1).is_some_and(|next| wanted >= next * 0.95);
                 let below = factor(-1).is_some_and(|next| wanted <= next / 0.95);
-                let call = if fails { -1 } else { i32::from(above) - i32::from(below) };
-                server.asked = if call == server.asked.signum() { server.asked + call } else { call };
-                let asked = server.asked.abs() >= 2 + i32::from(self.capabilities.load_on_probe);
-                if asked && common < BUSY || fails {
-                    server.step = (server.step + call).max(-UNCORRECTED);
-                    server.asked = 0;
-                    self.state.stirred = true;
+                let vote = if failing { -1 } else { i32::from(above) - i32::from(below) };
+                server.correction_votes = if vote == server.correction_votes.signum() {
+                    server.correction_votes + vote
+                } else {
+                    vote
+                };
+                let confirmed =
+                    server.correction_votes.abs() >= 2 + i32::from(self.capabilities.load_on_probe);
+                if confirmed && mean_util < BUSY_UTIL || failing {
+                    server.correction = (server.correction + vote).max(-NEUTRAL_CORRECTION);
+                    server.correction_votes = 0;
+                    self.state.plan_due = true;
                 }
             }
         }
-        self.state.halve();
+        self.state.decay();
     }
 
-    /// Gives up places of servers long gone: each deploy took new ones, for as long as the planner ran.
-    fn forget(&mut self, now: Moment, orders: &mut Vec<Action>) {
-        let forgotten = |bare: &(ServerIx, Moment)| now.since(bare.1) >= FORGOTTEN;
-        for (server, _) in self.state.bare(now).into_iter().filter(forgotten) {
+    /// Releases the indices of servers that have long been absent. Each deployment assigned new ones, so
+    /// they would accumulate as long as the planner runs.
+    fn release_servers(&mut self, now: Moment, actions: &mut Vec<Action>) {
+        let expired = |entry: &(ServerIndex, Moment)| now.since(entry.1) >= SERVER_RETENTION;
+        for (server, _) in self.state.unreferenced_servers(now).into_iter().filter(expired) {
             self.state.servers[server] = Server::default();
-            orders.push(Action::ReleaseServer { server });
+            actions.push(Action::ReleaseServer { server });
         }
     }
 
-    /// Closes levels soon and opens them late: a jam costs more than a call refused too many.
+    /// Closes levels quickly and opens them slowly, because congestion costs more than refusing some calls
+    /// too many.
     fn set_levels(&mut self, now: Moment) {
-        let held: f64 = self.carried(now).iter().sum();
-        // Dead servers drop all their tries; what the others drop tells of overload, whatever its cause.
-        let (tries, dropped) = self.state.tally(|s| s.stand == Open && s.dropped < BAD_PART * s.tries);
-        let hot = dropped > DROPS.0 * tries || self.state.common > BUSY || self.strained();
-        let offered = self.state.work.unwrap_or(0.0) * self.calls();
-        let last = LEVELS.len() - 1;
-        let aim = (0..last).find(|step| self.admitted(*step) * offered <= ROOM * held).unwrap_or(last);
-        let step = match self.state.step {
-            // A jam must drain before what is let in can be answered: close beyond what calls cost at ease.
-            step if self.strained() || dropped > DROPS.1 * tries => aim.max(step + 2).min(last),
-            step if self.state.common < AT_EASE => aim.min(step.saturating_sub(1)),
-            step if hot => aim.max(step + 1).min(last),
+        let total_weight: f64 = self.usable_weights(now).iter().sum();
+        // Dead servers drop all their tries. What the others drop indicates overload, whatever its cause.
+        let (tries, dropped) =
+            self.state.try_totals(|s| s.state == InService && s.dropped < FAILING_FRACTION * s.tries);
+        let overloaded = dropped > OVERLOAD_DROP_FRACTIONS.0 * tries
+            || self.state.mean_util > BUSY_UTIL
+            || self.fleet_failing();
+        let offered = self.state.weight_per_call.unwrap_or(0.0) * self.total_demand();
+        let max_step = ADMISSION_LEVELS.len() - 1;
+        let target = (0..max_step)
+            .find(|step| self.admitted_fraction(*step) * offered <= TARGET_UTIL * total_weight)
+            .unwrap_or(max_step);
+        let step = match self.state.level_step {
+            // Queues must drain before admitted calls can be answered, so close further than the cost of
+            // calls under normal load suggests.
+            step if self.fleet_failing() || dropped > OVERLOAD_DROP_FRACTIONS.1 * tries => {
+                target.max(step + 2).min(max_step)
+            }
+            step if self.state.mean_util < CALM_UTIL => target.min(step.saturating_sub(1)),
+            step if overloaded => target.max(step + 1).min(max_step),
             step => step,
         };
-        let rest = if step > self.state.step { CLOSE } else { OPEN };
-        if step != self.state.step && now.since(self.state.leveled) >= rest {
-            (self.state.step, self.state.leveled) = (step, now);
+        let interval = if step > self.state.level_step { LEVEL_CLOSE_INTERVAL } else { LEVEL_OPEN_INTERVAL };
+        if step != self.state.level_step && now.since(self.state.level_changed_at) >= interval {
+            (self.state.level_step, self.state.level_changed_at) = (step, now);
         }
     }
 
-    /// Part of a route's calls let in at a step: the least important routes give way first.
-    fn level(&self, route: usize, step: usize) -> f64 {
-        let cap = self.state.caps.get(route).copied().unwrap_or(1.0);
-        LEVELS[step][usize::from(!gives_way(&self.routes, route))].min(cap)
+    /// Admitted fraction of a route's calls at a level step. The least important routes are reduced first.
+    fn route_level(&self, route: usize, step: usize) -> f64 {
+        let cap = self.state.route_caps.get(route).copied().unwrap_or(1.0);
+        ADMISSION_LEVELS[step][usize::from(!is_least_important(&self.routes, route))].min(cap)
     }
 
-    fn admitted(&self, step: usize) -> f64 {
-        let calls = self.state.by_route.iter().take(self.routes.len()).enumerate();
-        let (sum, all) = calls.fold((1e-6, 1e-6), |a, (at, c)| (a.0 + c * self.level(at, step), a.1 + c));
+    fn admitted_fraction(&self, step: usize) -> f64 {
+        let calls = self.state.calls_by_route.iter().take(self.routes.len()).enumerate();
+        let (sum, all) =
+            calls.fold((1e-6, 1e-6), |a, (at, c)| (a.0 + c * self.route_level(at, step), a.1 + c));
         sum / all
     }
 
-    /// The target of each zone's proxies and what they ask: own zone first, what it cannot carry elsewhere.
-    /// One target for all where crossings are cheap.
-    fn targets(&mut self, now: Moment) -> Vec<(Vec<Share>, f64)> {
+    /// Target of each zone's proxies and their demand. Calls stay in their own zone, and what it cannot
+    /// carry goes to others. A single target for all zones if cross-zone calls are cheap.
+    fn zone_targets(&mut self, now: Moment) -> Vec<(Vec<WeightedServer>, f64)> {
         let zones = self.fleet.zones.max(1);
-        let mut carries = self.carried(now);
-        if carries.iter().all(|c| *c <= 0.0) {
-            // Rule 1: believed dead or not yet seen, but listed as running, is better than no line at all.
-            let listed = |s: &Server| matches!(s.stand, Out | Fresh);
+        let mut weights = self.usable_weights(now);
+        if weights.iter().all(|weight| *weight <= 0.0) {
+            // Rule 1: servers that are believed dead or not yet confirmed, but listed as running, are
+            // better than an empty table.
+            let listed = |s: &Server| matches!(s.state, Ejected | Unverified);
             for (at, server) in self.state.servers.iter().enumerate().filter(|(_, s)| listed(s)) {
-                carries[at] = server.weight * RAMP[self.warmth(now, at)];
+                weights[at] = server.weight * WARMUP_SHARES[self.warmup_step(now, at)];
             }
         }
-        let mut room = vec![0.0; zones];
-        self.state.servers.iter().zip(&carries).for_each(|(server, carries)| room[server.zone] += carries);
-        let total: f64 = room.iter().sum();
-        let mut load = vec![0.0; zones];
-        self.state.proxies.iter().filter(|p| p.joined).for_each(|p| load[p.zone] += self.demand(p));
-        let seen: f64 = load.iter().sum();
-        if total <= 0.0 || seen <= 0.0 {
+        let mut zone_weight = vec![0.0; zones];
+        self.state
+            .servers
+            .iter()
+            .zip(&weights)
+            .for_each(|(server, weight)| zone_weight[server.zone] += weight);
+        let total_weight: f64 = zone_weight.iter().sum();
+        let mut zone_demand = vec![0.0; zones];
+        self.state.proxies.iter().filter(|p| p.joined).for_each(|p| zone_demand[p.zone] += self.demand(p));
+        let known_demand: f64 = zone_demand.iter().sum();
+        if total_weight <= 0.0 || known_demand <= 0.0 {
             return Vec::new();
         }
-        // What other planners' proxies ask is laid where the seen ones leave servers idle.
-        let (all, unseen) = (self.calls(), self.calls() - seen);
-        let gaps: Vec<f64> = (0..zones).map(|z| (all * room[z] / total - load[z]).max(0.0)).collect();
-        let gap: f64 = gaps.iter().sum::<f64>().max(1e-9);
-        load.iter_mut().zip(&gaps).for_each(|(load, own)| *load += unseen * own / gap);
-        let calm = self.state.servers.iter().all(|s| s.strikes < CONFIRM && s.stand != Out);
-        let bears = if calm { (COMFORT.0 / self.state.common.max(0.1)).clamp(1.0, COMFORT.1) } else { 1.0 };
-        let density = bears * all / total;
-        let left = |z: ZoneIx| (density * room[z] - load[z]).max(0.0);
-        let free: Vec<f64> = (0..zones).map(left).collect();
-        let (heard, bound) = (seen / all, self.routes.iter().any(|route| route.zone_bound));
-        let dear = ((self.fleet.cross_zone_cost - CROSSING.0) / (CROSSING.1 - CROSSING.0)).clamp(0.0, 1.0);
-        let home = if bound { 1.0 } else { dear * heard * heard };
-        let shares = |mass: &dyn Fn(ZoneIx) -> f64| -> Vec<Share> {
-            let lines = carries.iter().enumerate().filter(|line| *line.1 > 0.0);
-            lines.map(|(at, carries)| (at, carries * mass(self.state.servers[at].zone))).collect()
+        // Assumes that the demand of other planners' proxies falls where the known demand leaves servers
+        // idle.
+        let (total_demand, unknown_demand) = (self.total_demand(), self.total_demand() - known_demand);
+        let gaps: Vec<f64> = (0..zones)
+            .map(|z| (total_demand * zone_weight[z] / total_weight - zone_demand[z]).max(0.0))
+            .collect();
+        let total_gap: f64 = gaps.iter().sum::<f64>().max(1e-9);
+        zone_demand
+            .iter_mut()
+            .zip(&gaps)
+            .for_each(|(demand, gap)| *demand += unknown_demand * gap / total_gap);
+        let all_healthy =
+            self.state.servers.iter().all(|s| s.strikes < STRIKES_TO_CONFIRM && s.state != Ejected);
+        let headroom = if all_healthy {
+            (LOCAL_SPILL_LIMITS.0 / self.state.mean_util.max(0.1)).clamp(1.0, LOCAL_SPILL_LIMITS.1)
+        } else {
+            1.0
         };
-        if home <= 0.0 {
-            return vec![(shares(&|_| 1.0 / total), all)];
-        }
-        let target = |zone: ZoneIx| {
-            let others: f64 = (0..zones).filter(|z| *z != zone).map(|z| free[z]).sum();
-            let part = (density * room[zone] / load[zone].max(1e-9)).min(1.0);
-            let stays = if bound || others <= 0.0 { home } else { home * part };
-            let own = stays / room[zone].max(1e-9);
-            let spilt = |z: ZoneIx| (home - stays) * free[z] / others.max(1e-9) / room[z].max(1e-9);
-            let mass = |z: ZoneIx| (1.0 - home) / total + if z == zone { own } else { spilt(z) };
-            let lines = shares(&mass).into_iter().filter(|line| line.1 > 0.0).collect();
-            (lines, load[zone])
+        let density = headroom * total_demand / total_weight;
+        let spare_at = |z: ZoneIndex| (density * zone_weight[z] - zone_demand[z]).max(0.0);
+        let spare: Vec<f64> = (0..zones).map(spare_at).collect();
+        let (known_fraction, zone_bound) =
+            (known_demand / total_demand, self.routes.iter().any(|route| route.zone_bound));
+        let cost_factor = ((self.fleet.cross_zone_cost - CROSS_ZONE_COSTS.0)
+            / (CROSS_ZONE_COSTS.1 - CROSS_ZONE_COSTS.0))
+            .clamp(0.0, 1.0);
+        let local_fraction = if zone_bound { 1.0 } else { cost_factor * known_fraction * known_fraction };
+        let shares = |density_in: &dyn Fn(ZoneIndex) -> f64| -> Vec<WeightedServer> {
+            let lines = weights.iter().enumerate().filter(|line| *line.1 > 0.0);
+            lines.map(|(at, weight)| (at, weight * density_in(self.state.servers[at].zone))).collect()
+        };
+        if local_fraction <= 0.0 {
+            return vec![(shares(&|_| 1.0 / total_weight), total_demand)];
+        }
+        let target = |zone: ZoneIndex| {
+            let others_spare: f64 = (0..zones).filter(|z| *z != zone).map(|z| spare[z]).sum();
+            let fitting = (density * zone_weight[zone] / zone_demand[zone].max(1e-9)).min(1.0);
+            let own_fraction =
+                if zone_bound || others_spare <= 0.0 { local_fraction } else { local_fraction * fitting };
+            let own_part = own_fraction / zone_weight[zone].max(1e-9);
+            let spill = |z: ZoneIndex| {
+                (local_fraction - own_fraction) * spare[z] / others_spare.max(1e-9) / zone_weight[z].max(1e-9)
+            };
+            let density_in = |z: ZoneIndex| {
+                (1.0 - local_fraction) / total_weight + if z == zone { own_part } else { spill(z) }
+            };
+            let lines = shares(&density_in).into_iter().filter(|line| line.1 > 0.0).collect();
+            (lines, zone_demand[zone])
         };
         (0..zones).map(target).collect()
     }
 
-    /// Rule 4 by construction: all proxies together bring a cold server a safe part of what it is sure to
-    /// carry, warm ones the rest. Harms when load is low and the warm ones are few.
-    fn shield_cold(&mut self, now: Moment, rows: &mut [(Vec<Share>, f64)]) {
-        let last = RAMP.len() - 1;
-        let all: f64 = rows.iter().map(|row| row.1).sum();
-        let ripe: Vec<usize> = (0..self.state.servers.len()).map(|at| self.warmth(now, at)).collect();
-        let cold = |at: ServerIx| ripe[at] < last;
-        // All that is asked, as weight: a full fleet's load tells nothing, what calls cost at ease does. A
-        // planner fresh from a crash knows neither and reckons with twice what is listed.
-        let known = |s: &&Server| !matches!(s.stand, Stand::Gone | Fresh);
-        let listed: f64 = self.state.servers.iter().filter(known).map(|s| s.weight).sum();
-        let calls = self.state.work.map_or(2.0 * listed, |work| 1.2 * work * all);
-        let full = self.state.step > 0 || self.state.common > BUSY || self.state.work.is_none();
-        let even =
-            (self.contract.overload_factor * self.contract.overload_time.seconds() / EVEN).min(1.0).powi(2);
-        let grown =
-            |at: usize| 1.0 - (1.0 - self.contract.cold_capacity) * (1.0 - ripe[at] as f64 / last as f64);
-        let sure = |at: usize| self.contract.overload_factor * grown(at) * self.state.servers[at].weight;
-        // Proxies that shun servers which fail them heap all on the last that answer, the cold: these wait
-        // until they could bear it, and under strain. Harms a fleet that drops for want of new servers.
-        let carries = self.carried(now);
-        let bears: f64 = (0..ripe.len()).filter(|at| cold(*at) && carries[*at] > 0.0).map(sure).sum();
-        let (tries, dropped) = self.state.tally(|_| true);
-        let struck = self.state.servers.iter().filter(|s| s.stand == Out || s.strikes >= CONFIRM);
-        let struck = struck.map(|s| s.weight).sum::<f64>() / listed.max(1e-9);
-        let failing = (dropped / tries).max(struck).max(1.0 - carries.iter().sum::<f64>() / calls);
-        let heaped =
-            if self.capabilities.ejects_servers { (SHUNNED.1 * failing).min(1.0) * calls } else { 0.0 };
-        let shunned = failing > SHUNNED.0 && bears < heaped || self.strained();
-        let cap = if shunned { 0.0 } else { [SAFE.0, SAFE.1][usize::from(full)] };
-        let mut sent = vec![0.0; ripe.len()];
-        rows.iter().for_each(|row| row.0.iter().for_each(|line| sent[line.0] += line.1 * row.1 / all));
-        // Ours of what all may bring: beyond it no line is written, however many proxies come to us at once.
-        let seen = self.state.seen(|p| self.demand(p)).max(1e-9);
-        let ours = self.state.share.map_or(1.0, |part| (part * all / seen).min(1.0));
-        let most: Vec<f64> = (0..ripe.len()).map(|at| ours * cap * even * sure(at) / calls).collect();
-        let over = |at: ServerIx| cold(at) && sent[at] > most[at];
-        let mut bare = false;
+    /// Enforces rule 4: all proxies together send a cold server a safe fraction of what it can certainly
+    /// carry, and the warm servers get the rest. This is harmful when the load is low and few servers are
+    /// warm.
+    fn limit_cold_servers(&mut self, now: Moment, rows: &mut [(Vec<WeightedServer>, f64)]) {
+        let warm_step = WARMUP_SHARES.len() - 1;
+        let total_demand: f64 = rows.iter().map(|row| row.1).sum();
+        let warmup: Vec<usize> = (0..self.state.servers.len()).map(|at| self.warmup_step(now, at)).collect();
+        let cold = |at: ServerIndex| warmup[at] < warm_step;
+        // The total demand as server weight. The utilization of a full fleet does not tell it, but the cost
+        // of calls under normal load does. A planner that restarted after a crash knows neither and assumes
+        // twice the listed weight.
+        let counts = |s: &&Server| !matches!(s.state, ServerState::Absent | Unverified);
+        let listed: f64 = self.state.servers.iter().filter(counts).map(|s| s.weight).sum();
+        let demand_weight = self
+            .state
+            .weight_per_call
+            .map_or(2.0 * listed, |weight_per_call| 1.2 * weight_per_call * total_demand);
+        let saturated = self.state.level_step > 0
+            || self.state.mean_util > BUSY_UTIL
+            || self.state.weight_per_call.is_none();
+        let smoothing = (self.contract.overload_factor * self.contract.overload_time.seconds()
+            / SMOOTHING_SECONDS)
+            .min(1.0)
+            .powi(2);
+        let capacity_fraction = |at: usize| {
+            1.0 - (1.0 - self.contract.cold_capacity) * (1.0 - warmup[at] as f64 / warm_step as f64)
+        };
+        let tolerated_weight =
+            |at: usize| self.contract.overload_factor * capacity_fraction(at) * self.state.servers[at].weight;
+        // Proxies that eject failing servers concentrate all calls on the last ones that answer, the cold
+        // ones. Cold servers therefore wait until they could carry those calls, and while the fleet is
+        // overloaded. This is harmful to a fleet that drops calls for lack of new servers.
+        let weights = self.usable_weights(now);
+        let total_tolerated: f64 =
+            (0..warmup.len()).filter(|at| cold(*at) && weights[*at] > 0.0).map(tolerated_weight).sum();
+        let (tries, dropped) = self.state.try_totals(|_| true);
+        let failed =
+            self.state.servers.iter().filter(|s| s.state == Ejected || s.strikes >= STRIKES_TO_CONFIRM);
+        let failed = failed.map(|s| s.weight).sum::<f64>() / listed.max(1e-9);
+        let failing = (dropped / tries).max(failed).max(1.0 - weights.iter().sum::<f64>() / demand_weight);
+        let redirected = if self.capabilities.ejects_servers {
+            (EJECTION_RISK.1 * failing).min(1.0) * demand_weight
+        } else {
+            0.0
+        };
+        let withheld = failing > EJECTION_RISK.0 && total_tolerated < redirected || self.fleet_failing();
+        let load_share =
+            if withheld { 0.0 } else { [COLD_LOAD_SHARES.0, COLD_LOAD_SHARES.1][usize::from(saturated)] };
+        let mut planned = vec![0.0; warmup.len()];
+        rows.iter()
+            .for_each(|row| row.0.iter().for_each(|line| planned[line.0] += line.1 * row.1 / total_demand));
+        // This planner's fraction of the load that all planners may send. No line is written beyond it,
+        // however many proxies join this planner at once.
+        let joined_demand = self.state.joined_demand(|p| self.demand(p)).max(1e-9);
+        let own_fraction =
+            self.state.cold_share.map_or(1.0, |fraction| (fraction * total_demand / joined_demand).min(1.0));
+        let limits: Vec<f64> = (0..warmup.len())
+            .map(|at| own_fraction * load_share * smoothing * tolerated_weight(at) / demand_weight)
+            .collect();
+        let exceeds = |at: ServerIndex| cold(at) && planned[at] > limits[at];
+        let mut only_cold = false;
         for (row, _) in rows {
             let warm: f64 = row.iter().filter(|line| !cold(line.0)).map(|line| line.1).sum();
-            bare |= warm <= 0.0 && row.iter().any(|line| over(line.0));
+            only_cold |= warm <= 0.0 && row.iter().any(|line| exceeds(line.0));
             if warm > 0.0 {
-                let capped = row.iter_mut().filter(|line| over(line.0));
-                capped.for_each(|line| line.1 *= most[line.0] / sent[line.0]);
-                let kept: f64 = row.iter().filter(|line| cold(line.0)).map(|line| line.1).sum();
-                row.iter_mut().filter(|line| !cold(line.0)).for_each(|line| line.1 *= (1.0 - kept) / warm);
+                let limited = row.iter_mut().filter(|line| exceeds(line.0));
+                limited.for_each(|line| line.1 *= limits[line.0] / planned[line.0]);
+                let cold_weight: f64 = row.iter().filter(|line| cold(line.0)).map(|line| line.1).sum();
+                row.iter_mut()
+                    .filter(|line| !cold(line.0))
+                    .for_each(|line| line.1 *= (1.0 - cold_weight) / warm);
                 row.retain(|line| line.1 > 0.0);
             }
         }
-        // No warm server is left to take the rest, as when the last ones drain: levels keep rule 4 now.
-        self.state.step = if bare { LEVELS.len() - 1 } else { self.state.step };
+        // No warm server is left to take the rest, as when the last ones drain. From now on the admission
+        // levels enforce rule 4.
+        self.state.level_step = if only_cold { ADMISSION_LEVELS.len() - 1 } else { self.state.level_step };
     }
 
-    fn width(&self, planners: usize) -> usize {
-        let servers = self.state.servers.iter().filter(|s| s.stand == Open).count();
+    fn subset_width(&self, planners: usize) -> usize {
+        let servers = self.state.servers.iter().filter(|s| s.state == InService).count();
         let proxies = self.fleet.proxies.max(1) as f64;
-        let lines = HANDED_OUT.seconds() * self.channel.lines_per_s;
-        let handed = lines * planners.max(1) as f64 / proxies - self.channel.message_overhead;
-        let connected = CONNECTED * self.fleet.min_server_connections * servers as f64 / proxies;
-        let kept = self.fleet.keep_alive.seconds() * self.state.average.max(1.0) / CALLS_KEPT;
-        handed.min(connected).min(kept).clamp(NARROW, 1e6) as usize
-    }
-
-    /// Gives each proxy a part of the servers, and the parts their servers: all of them, unless a table may
-    /// not be that wide. Then light proxies go to parts that overlap, each server in as many as its weight
-    /// asks for. Harms when a part loses most servers at once: its proxies crowd on the rest until the plan.
-    /// Where other planners' proxies have come to us, those that hold nothing yet go to narrower parts: with
-    /// the usual ones, what drained in the meantime waited for the channel beyond its grace.
-    fn seat(&mut self, now: Moment, targets: &[(Vec<Share>, f64)]) {
-        let widths = self.state.widths.unwrap_or([self.fleet.planners, 1].map(|among| self.width(among)));
-        self.state.widths = Some(widths);
-        let mut held = self.state.held(|proxy| self.demand(proxy));
-        let here = self.state.proxies.iter().filter(|p| p.joined).count() * self.fleet.planners;
-        let crowded = usize::from(here as f64 > CROWDED * self.fleet.proxies as f64);
-        let (width, among) = (widths[crowded], [self.fleet.planners, 1][crowded]);
-        let heavy = [HEAVY, SHARERS as f64][crowded] * self.state.average;
-        let other = |part: usize| self.state.parts[part].width != width;
-        let waits = |p: &Proxy| p.joined && p.part.is_none_or(|part| p.holds.is_none() && other(part));
-        let newcomers = (0..self.state.proxies.len()).filter(|at| waits(&self.state.proxies[*at]));
-        for at in newcomers.collect::<Vec<ProxyIx>>() {
+        let lines = REDISTRIBUTION_TIME.seconds() * self.channel.lines_per_s;
+        let by_channel = lines * planners.max(1) as f64 / proxies - self.channel.message_overhead;
+        let by_connections =
+            MAX_CONNECTION_SHARE * self.fleet.min_server_connections * servers as f64 / proxies;
+        let by_keep_alive =
+            self.fleet.keep_alive.seconds() * self.state.mean_demand.max(1.0) / CALLS_PER_KEEP_ALIVE;
+        by_channel.min(by_connections).min(by_keep_alive).clamp(MIN_SUBSET_WIDTH, 1e6) as usize
+    }
+
+    /// Assigns each proxy to a subset of the servers, and servers to the subsets. Subsets contain all
+    /// servers unless that makes tables too wide. Otherwise light proxies go to overlapping subsets, and
+    /// each server is in as many of them as its weight requires. This is harmful when a subset loses most
+    /// of its servers at once: its proxies crowd onto the rest until the next plan. If proxies of other
+    /// planners have joined this one, those that hold no table yet go to narrower subsets: with subsets of
+    /// the usual width, removals waited in the channel beyond their grace period.
+    fn assign_subsets(&mut self, now: Moment, targets: &[(Vec<WeightedServer>, f64)]) {
+        let widths = self
+            .state
+            .subset_widths
+            .unwrap_or([self.fleet.planners, 1].map(|sharing_planners| self.subset_width(sharing_planners)));
+        self.state.subset_widths = Some(widths);
+        let mut subset_demand = self.state.subset_demand(|proxy| self.demand(proxy));
+        let joined = self.state.proxies.iter().filter(|p| p.joined).count() * self.fleet.planners;
+        let crowded = usize::from(joined as f64 > CROWDED_FACTOR * self.fleet.proxies as f64);
+        let (width, sharing_planners) = (widths[crowded], [self.fleet.planners, 1][crowded]);
+        let heavy_demand = [HEAVY_DEMAND_FACTOR, PROXIES_PER_SUBSET as f64][crowded] * self.state.mean_demand;
+        let other_width = |subset: usize| self.state.subsets[subset].width != width;
+        let unassigned = |p: &Proxy| {
+            p.joined && p.subset.is_none_or(|subset| p.current_table.is_none() && other_width(subset))
+        };
+        let newcomers = (0..self.state.proxies.len()).filter(|at| unassigned(&self.state.proxies[*at]));
+        for at in newcomers.collect::<Vec<ProxyIndex>>() {
             let proxy = &self.state.proxies[at];
-            let (class, demand) = (proxy.zone.min(targets.len() - 1), self.demand(proxy));
-            let alike = |part: &Part| (part.class, part.width) == (class, width);
-            if !self.state.parts.iter().any(alike) {
-                let lines = targets[class].0.len();
-                let most = (COVER * lines as f64 / width as f64).ceil() as usize;
-                let least = [1, lines / width][crowded];
-                let sharing = self.fleet.proxies / among.max(targets.len()) / SHARERS;
-                let narrow = if width * 4 / 3 < lines { sharing.clamp(least, most) } else { 0 };
-                let parts = (0..=narrow).map(|at| Part { class, whole: at == 0, width, ..Part::default() });
-                self.state.parts.extend(parts);
-                held.resize(self.state.parts.len(), (0, 0.0));
-            }
-            let unlike = |at: usize| self.state.parts[at].whole != (demand > heavy);
-            let mine = (0..held.len()).filter(|at| alike(&self.state.parts[*at]));
-            let by_demand = |a: &usize, b: &usize| held[*a].1.total_cmp(&held[*b].1);
-            let part = mine.min_by(|a, b| unlike(*a).cmp(&unlike(*b)).then(by_demand(a, b)));
-            part.iter().for_each(|part| held[*part].1 += demand);
-            self.state.proxies[at].part = part;
-        }
-        let dealt = |width| targets.iter().enumerate().map(move |(class, target)| (class, &target.0, width));
-        for (class, target, width) in BTreeSet::from(widths).into_iter().flat_map(dealt) {
-            let warm = |line: &Share| line.1 / RAMP[self.warmth(now, line.0)];
-            let warm: BTreeMap<ServerIx, f64> = target.iter().map(|line| (line.0, warm(line))).collect();
-            let all: f64 = warm.values().sum();
-            let ripe = |at: &ServerIx| self.warmth(now, *at) == RAMP.len() - 1;
-            let ripe: Vec<ServerIx> = warm.keys().copied().filter(ripe).collect();
-            let alike = |part: &&mut Part| (part.class, part.width, part.whole) == (class, width, false);
-            let mut parts: Vec<&mut Part> = self.state.parts.iter_mut().filter(alike).collect();
-            parts.iter_mut().for_each(|part| part.servers.retain(|at| warm.contains_key(at)));
-            let count = parts.len() as f64;
-            for (at, share) in &warm {
-                let wanted = (share / all * count * width as f64).round().clamp(1.0, count.max(1.0));
-                let mut has = parts.iter().filter(|part| part.servers.contains(at)).count() as f64;
-                while has < wanted * SEATED {
-                    self.rng.shuffle(&mut parts);
-                    let free = parts.iter_mut().filter(|part| !part.servers.contains(at));
-                    let Some(part) = free.min_by_key(|part| part.servers.len()) else { break };
-                    part.servers.insert(*at);
-                    has += 1.0;
+            let (target_index, demand) = (proxy.zone.min(targets.len() - 1), self.demand(proxy));
+            let same_kind = |subset: &Subset| (subset.target_index, subset.width) == (target_index, width);
+            if !self.state.subsets.iter().any(same_kind) {
+                let lines = targets[target_index].0.len();
+                let max_count = (SUBSETS_PER_SERVER * lines as f64 / width as f64).ceil() as usize;
+                let min_count = [1, lines / width][crowded];
+                let shared_count =
+                    self.fleet.proxies / sharing_planners.max(targets.len()) / PROXIES_PER_SUBSET;
+                let narrow_count =
+                    if width * 4 / 3 < lines { shared_count.clamp(min_count, max_count) } else { 0 };
+                let subsets = (0..=narrow_count).map(|at| Subset {
+                    target_index,
+                    full: at == 0,
+                    width,
+                    ..Subset::default()
+                });
+                self.state.subsets.extend(subsets);
+                subset_demand.resize(self.state.subsets.len(), (0, 0.0));
+            }
+            let mismatched = |at: usize| self.state.subsets[at].full != (demand > heavy_demand);
+            let candidates = (0..subset_demand.len()).filter(|at| same_kind(&self.state.subsets[*at]));
+            let by_demand = |a: &usize, b: &usize| subset_demand[*a].1.total_cmp(&subset_demand[*b].1);
+            let subset = candidates.min_by(|a, b| mismatched(*a).cmp(&mismatched(*b)).then(by_demand(a, b)));
+            subset.iter().for_each(|subset| subset_demand[*subset].1 += demand);
+            self.state.proxies[at].subset = subset;
+        }
+        let targets_by_width = |width| {
+            targets.iter().enumerate().map(move |(target_index, target)| (target_index, &target.0, width))
+        };
+        for (target_index, target, width) in BTreeSet::from(widths).into_iter().flat_map(targets_by_width) {
+            let warm_weight = |line: &WeightedServer| line.1 / WARMUP_SHARES[self.warmup_step(now, line.0)];
+            let warm_weights: BTreeMap<ServerIndex, f64> =
+                target.iter().map(|line| (line.0, warm_weight(line))).collect();
+            let total_weight: f64 = warm_weights.values().sum();
+            let is_warm = |at: &ServerIndex| self.warmup_step(now, *at) == WARMUP_SHARES.len() - 1;
+            let warm_servers: Vec<ServerIndex> = warm_weights.keys().copied().filter(is_warm).collect();
+            let same_kind = |subset: &&mut Subset| {
+                (subset.target_index, subset.width, subset.full) == (target_index, width, false)
+            };
+            let mut subsets: Vec<&mut Subset> = self.state.subsets.iter_mut().filter(same_kind).collect();
+            subsets.iter_mut().for_each(|subset| subset.servers.retain(|at| warm_weights.contains_key(at)));
+            let count = subsets.len() as f64;
+            for (at, share) in &warm_weights {
+                let wanted = (share / total_weight * count * width as f64).round().clamp(1.0, count.max(1.0));
+                let mut memberships =
+                    subsets.iter().filter(|subset| subset.servers.contains(at)).count() as f64;
+                while memberships < wanted * MIN_MEMBERSHIP_SHARE {
+                    self.rng.shuffle(&mut subsets);
+                    let candidates = subsets.iter_mut().filter(|subset| !subset.servers.contains(at));
+                    let Some(subset) = candidates.min_by_key(|subset| subset.servers.len()) else { break };
+                    subset.servers.insert(*at);
+                    memberships += 1.0;
                 }
             }
-            // A part of cold servers alone was given all lines of its class: in a deploy these filled the
-            // channel.
-            let seats = |at: ServerIx| parts.iter().filter(|part| part.servers.contains(&at)).count();
-            let mut seated: Vec<(usize, ServerIx)> = ripe.iter().map(|at| (seats(*at), *at)).collect();
-            for part in parts.into_iter().filter(|part| !ripe.iter().any(|at| part.servers.contains(at))) {
-                seated.sort();
-                for (seats, at) in seated.iter_mut().take(COVER as usize) {
-                    *seats += 1;
-                    part.servers.insert(*at);
+            // A subset of only cold servers used to get all lines of its target, which filled the channel
+            // during deployments.
+            let count_memberships =
+                |at: ServerIndex| subsets.iter().filter(|subset| subset.servers.contains(&at)).count();
+            let mut memberships: Vec<(usize, ServerIndex)> =
+                warm_servers.iter().map(|at| (count_memberships(*at), *at)).collect();
+            for subset in subsets
+                .into_iter()
+                .filter(|subset| !warm_servers.iter().any(|at| subset.servers.contains(at)))
+            {
+                memberships.sort();
+                for (membership, at) in memberships.iter_mut().take(SUBSETS_PER_SERVER as usize) {
+                    *membership += 1;
+                    subset.servers.insert(*at);
                 }
             }
         }
     }
 
     fn plan(&mut self, now: Moment) {
-        (self.state.planned, self.state.stirred, self.state.pressed) = (now, false, false);
-        self.state.average = self.state.mean_rate(GUESS_CALLS);
-        let mut targets = self.targets(now);
+        (self.state.planned_at, self.state.plan_due, self.state.urgent) = (now, false, false);
+        self.state.mean_demand = self.state.mean_rate(PRIOR_CALLS);
+        let mut targets = self.zone_targets(now);
         if targets.is_empty() {
             return;
         }
-        self.seat(now, &targets);
-        self.shield_cold(now, &mut targets);
-        let held = self.state.held(|proxy| self.demand(proxy));
-        let mut rows: Vec<(Vec<Share>, f64)> = held.iter().map(|held| (Vec::new(), held.1)).collect();
-        let inside: Vec<usize> = (0..held.len()).filter(|part| held[*part].0 > 0).collect();
-        for (class, (target, all)) in targets.iter().enumerate() {
-            let mine = inside.iter().filter(|part| self.state.parts[**part].class == class);
-            let parts: Vec<_> = mine.clone().map(|at| (&self.state.parts[*at], held[*at].1)).collect();
-            let heard: f64 = parts.iter().map(|part| part.1).sum();
-            for (at, row) in mine.zip(spread(target, &parts, SWEEPS.0, SWEEPS.1)) {
-                // A part of cold servers alone would push them over; one of none would keep what drains.
-                let cold = row.iter().all(|line| self.warmth(now, line.0) < RAMP.len() - 1);
+        self.assign_subsets(now, &targets);
+        self.limit_cold_servers(now, &mut targets);
+        let subset_demand = self.state.subset_demand(|proxy| self.demand(proxy));
+        let mut rows: Vec<(Vec<WeightedServer>, f64)> =
+            subset_demand.iter().map(|subset_demand| (Vec::new(), subset_demand.1)).collect();
+        let active: Vec<usize> =
+            (0..subset_demand.len()).filter(|subset| subset_demand[*subset].0 > 0).collect();
+        for (target_index, (target, total_demand)) in targets.iter().enumerate() {
+            let of_target =
+                active.iter().filter(|subset| self.state.subsets[**subset].target_index == target_index);
+            let subsets: Vec<_> =
+                of_target.clone().map(|at| (&self.state.subsets[*at], subset_demand[*at].1)).collect();
+            let known_demand: f64 = subsets.iter().map(|subset| subset.1).sum();
+            for (at, row) in
+                of_target.zip(balance_subsets(target, &subsets, BALANCE_SWEEPS.0, BALANCE_SWEEPS.1))
+            {
+                // A subset of only cold servers would overload them, and an empty one would keep servers
+                // that drain.
+                let cold = row.iter().all(|line| self.warmup_step(now, line.0) < WARMUP_SHARES.len() - 1);
                 rows[*at].0 = if cold { target.clone() } else { row };
             }
-            rows.push((target.clone(), (all - heard).max(0.0)));
+            rows.push((target.clone(), (total_demand - known_demand).max(0.0)));
         }
-        self.shield_cold(now, &mut rows);
-        let lately = |proxy: &Proxy| proxy.bound.is_some_and(|at| now.since(at) < REBIND);
-        let member = |part: usize| Member {
-            part,
-            demand: held[part].1,
-            target: &rows[part].0,
-            group: self.state.parts[part].table,
-            settled: self.state.proxies.iter().any(|proxy| proxy.part == Some(part) && lately(proxy)),
+        self.limit_cold_servers(now, &mut rows);
+        let recently_bound = |proxy: &Proxy| proxy.bound_at.is_some_and(|at| now.since(at) < REBIND_INTERVAL);
+        let member = |subset: usize| GroupMember {
+            subset,
+            demand: subset_demand[subset].1,
+            target: &rows[subset].0,
+            group: self.state.subsets[subset].table,
+            settled: self
+                .state
+                .proxies
+                .iter()
+                .any(|proxy| proxy.subset == Some(subset) && recently_bound(proxy)),
         };
-        let members = inside.into_iter().map(member).collect();
-        self.pack(members);
+        let members = active.into_iter().map(member).collect();
+        self.assign_tables(members);
     }
 
-    /// Groups the parts where one has no table or the imbalance rose, and writes what tables should hold.
-    fn pack(&mut self, mut members: Vec<Member>) {
+    /// Groups the subsets into tables if one has no table or the imbalance rose, and sets the desired
+    /// contents of the tables.
+    fn assign_tables(&mut self, mut members: Vec<GroupMember>) {
         let newcomers = members.iter().any(|m| m.group.is_none());
-        let regroup = imbalance(&members) > self.state.packed + MARGIN;
+        let regroup = imbalance(&members) > self.state.grouping_imbalance + IMBALANCE_MARGIN;
         if newcomers || regroup {
-            let groups = group(&members);
-            let mut taken: Vec<TableNo> = Vec::new();
-            for kind in 0..=groups.iter().copied().max().unwrap_or(0) {
-                let mine = members.iter().zip(&groups).filter(|(_, group)| **group == kind).map(|m| m.0);
-                let free = mine.filter(|m| m.group.is_some_and(|table| !taken.contains(&table)));
-                let used = free.max_by(|a, b| a.demand.total_cmp(&b.demand)).and_then(|m| m.group);
-                let busy = |t: &TableNo| taken.contains(t) || members.iter().any(|m| m.group == Some(*t));
-                let known = self.state.tables.len();
-                let table = used.or_else(|| (0..known).find(|t| !busy(t))).unwrap_or(known);
-                self.state.tables.resize(known.max(table + 1), Table::default());
-                self.state.wanted.resize(known.max(table + 1), Vec::new());
-                taken.push(table);
-            }
-            for (member, kind) in members.iter_mut().zip(groups) {
+            let groups = group_members(&members);
+            let mut tables: Vec<TableIndex> = Vec::new();
+            for group_index in 0..=groups.iter().copied().max().unwrap_or(0) {
+                let in_group =
+                    members.iter().zip(&groups).filter(|(_, group)| **group == group_index).map(|m| m.0);
+                let unclaimed = in_group.filter(|m| m.group.is_some_and(|table| !tables.contains(&table)));
+                let reused = unclaimed.max_by(|a, b| a.demand.total_cmp(&b.demand)).and_then(|m| m.group);
+                let in_use =
+                    |t: &TableIndex| tables.contains(t) || members.iter().any(|m| m.group == Some(*t));
+                let table_count = self.state.tables.len();
+                let table = reused.or_else(|| (0..table_count).find(|t| !in_use(t))).unwrap_or(table_count);
+                self.state.tables.resize(table_count.max(table + 1), Table::default());
+                self.state.desired.resize(table_count.max(table + 1), Vec::new());
+                tables.push(table);
+            }
+            for (member, group_index) in members.iter_mut().zip(groups) {
                 if member.group.is_none() || regroup && !member.settled {
-                    member.group = Some(taken[kind]);
+                    member.group = Some(tables[group_index]);
                 }
             }
-            self.state.packed = imbalance(&members);
+            self.state.grouping_imbalance = imbalance(&members);
         }
-        members.iter().for_each(|member| self.state.move_part(member.part, member.group));
-        let zone: Vec<ZoneIx> = self.state.servers.iter().map(|s| s.zone).collect();
+        members.iter().for_each(|member| self.state.assign_table(member.subset, member.group));
+        let zones: Vec<ZoneIndex> = self.state.servers.iter().map(|s| s.zone).collect();
         for table in 0..self.state.tables.len() {
-            let inside: Vec<&Member> = members.iter().filter(|m| m.group == Some(table)).collect();
-            if inside.is_empty() {
-                // Proxies may still follow it, and wait to be given another.
-                let serves = |line: &Share| matches!(self.state.servers[line.0].stand, Open | Suspect);
-                self.state.wanted[table].retain(serves);
+            let sharing: Vec<&GroupMember> = members.iter().filter(|m| m.group == Some(table)).collect();
+            if sharing.is_empty() {
+                // Proxies may still use the table while they wait for another.
+                let in_service =
+                    |line: &WeightedServer| matches!(self.state.servers[line.0].state, InService | Suspect);
+                self.state.desired[table].retain(in_service);
             } else {
-                self.state.wanted[table] = trim(centre(inside.iter().copied()), &inside, &zone);
-            }
-        }
-    }
-
-    fn push(&mut self, now: Moment, orders: &mut Vec<Action>) {
-        let there_and_back = self.channel.max_transit.times(2.0);
-        let pace = self.state.measure_pace(now, there_and_back, self.channel.lines_per_s);
-        let claims = self.claims(pace);
-        self.state.pushed = now;
-        // Marks tell what has arrived, so this holds however slow the channel has become.
-        let mut queued = self.state.queued(now, self.empties());
-        let mut spent = vec![0.0; self.state.proxies.len()];
-        let head = self.channel.message_overhead + 1.0;
-        let mut users = self.state.users();
-        let leaves = |at: ServerIx| matches!(self.state.servers[at].stand, Stand::Gone | Draining | Out);
-        let leaving: Vec<bool> = (0..self.state.servers.len()).map(leaves).collect();
-        let leaves = |line: &Share| line.1 <= 0.0 && leaving[line.0];
-        let due = |table: TableNo| {
-            let standing = &self.state.tables[table];
-            let changes = deltas(&standing.lines, &self.state.wanted[table]);
-            let cold = changes.iter().any(|change| self.warmth(now, change.0) == 0);
-            let haste = if changes.iter().any(leaves) { 2 } else { usize::from(cold) };
-            let moved: f64 = changes.iter().map(|(at, weight)| (weight - standing.weight(*at)).abs()).sum();
-            (haste, moved * users[table].len() as f64, table, changes)
+                self.state.desired[table] = trim_lines(centroid(sharing.iter().copied()), &sharing, &zones);
+            }
+        }
+    }
+
+    fn send_changes(&mut self, now: Moment, actions: &mut Vec<Action>) {
+        let round_trip = self.channel.max_transit.times(2.0);
+        let throughput = self.state.measure_throughput(now, round_trip, self.channel.lines_per_s);
+        let limits = self.queue_limits(throughput);
+        self.state.pushed_at = now;
+        // Acknowledgements tell what has arrived, so this limit holds however slow the channel has become.
+        let mut queued = self.state.queued_lines(now, self.drain_time());
+        let mut message_cost = vec![0.0; self.state.proxies.len()];
+        let overhead = self.channel.message_overhead + 1.0;
+        let mut followers = self.state.followers();
+        let is_leaving = |at: ServerIndex| {
+            matches!(self.state.servers[at].state, ServerState::Absent | Draining | Ejected)
+        };
+        let leaving: Vec<bool> = (0..self.state.servers.len()).map(is_leaving).collect();
+        let is_removal = |line: &WeightedServer| line.1 <= 0.0 && leaving[line.0];
+        let pending_changes = |table: TableIndex| {
+            let current = &self.state.tables[table];
+            let changes = deltas(&current.lines, &self.state.desired[table]);
+            let cold = changes.iter().any(|change| self.warmup_step(now, change.0) == 0);
+            let priority = if changes.iter().any(is_removal) { 2 } else { usize::from(cold) };
+            let weight_moved: f64 =
+                changes.iter().map(|(at, weight)| (weight - current.weight(*at)).abs()).sum();
+            (priority, weight_moved * followers[table].len() as f64, table, changes)
         };
-        let mut due: Vec<(usize, f64, TableNo, Vec<Share>)> = (0..users.len()).map(due).collect();
-        due.sort_by(|a, b| b.0.cmp(&a.0).then(b.1.total_cmp(&a.1)));
-        // What removals alone would take. Where that passes their claim the smallest messages go first: so
-        // most proxies are told in time. Levels never go along beyond what ordinary lines may fill.
-        let gone = |changes: &[Share]| changes.iter().filter(|change| leaves(change)).count();
-        let urgent = due.iter().filter(|due| due.0 == 2);
-        let removals: f64 = urgent.map(|due| (gone(&due.3) as f64 + head) * users[due.2].len() as f64).sum();
-        let jammed = queued + removals > claims[2];
-        if jammed {
-            due.sort_by_key(|due| if due.0 == 2 { gone(&due.3) } else { usize::MAX });
-        }
-        let (mut binds, mut late) = (None, 0.0);
-        for (haste, _, table, mut changes) in due {
-            if haste < 2 && binds.is_none() && queued > claims[0] {
-                let bound = self.binds(now, claims[3], &mut queued, &mut spent);
-                // What changes in their tables after this goes to them too; uncounted it passed the limit.
-                bound.iter().for_each(|(proxy, table)| users[*table].push(*proxy));
+        let mut pending: Vec<(usize, f64, TableIndex, Vec<WeightedServer>)> =
+            (0..followers.len()).map(pending_changes).collect();
+        pending.sort_by(|a, b| b.0.cmp(&a.0).then(b.1.total_cmp(&a.1)));
+        // Lines that the removals alone would take. If they exceed their limit, the smallest messages go
+        // first, so that most proxies are updated in time. Levels are never included beyond the limit of
+        // ordinary lines.
+        let removal_count =
+            |changes: &[WeightedServer]| changes.iter().filter(|change| is_removal(change)).count();
+        let with_removals = pending.iter().filter(|pending| pending.0 == 2);
+        let removals: f64 = with_removals
+            .map(|pending| (removal_count(&pending.3) as f64 + overhead) * followers[pending.2].len() as f64)
+            .sum();
+        let congested = queued + removals > limits[2];
+        if congested {
+            pending
+                .sort_by_key(|pending| if pending.0 == 2 { removal_count(&pending.3) } else { usize::MAX });
+        }
+        let (mut binds, mut delayed) = (None, 0.0);
+        for (priority, _, table, mut changes) in pending {
+            if priority < 2 && binds.is_none() && queued > limits[0] {
+                let bound = self.pending_binds(now, limits[3], &mut queued, &mut message_cost);
+                // Later changes to their tables go to these proxies too. Without counting them, the queue
+                // exceeded its limit.
+                bound.iter().for_each(|(proxy, table)| followers[*table].push(*proxy));
                 binds = Some(bound);
             }
-            let users = &users[table];
-            let stale = |at: usize| at != self.state.step && self.capabilities.throttle == Throttle::Fraction;
-            let known = self.state.tables[table].gates;
-            let filled = jammed || queued > claims[0];
-            let gates = known.is_none_or(|step| stale(step) && !filled);
-            let head = head + if gates { self.routes.len() as f64 } else { 0.0 };
-            // What nobody follows is sent to nobody: held back, it kept the first of a zone from their table.
-            let room = if users.is_empty() { f64::INFINITY } else { claims[haste] - queued };
-            let fits = (room / users.len().max(1) as f64 - head).max(0.0) as usize;
-            let removed = |at: ServerIx| changes.iter().any(|change| change.0 == at && leaves(change));
-            let warm = |line: &Share| self.warmth(now, line.0) == RAMP.len() - 1;
-            let stays = self.state.tables[table].lines.iter().any(|line| warm(line) && !removed(line.0));
-            // An operator's hold: removals go on, and what a table without a warm line needs (rule 1).
-            let held = self.state.held && stays;
-            let crowded = fits < changes.len() || queued > claims[0] || held;
-            if haste == 2 && crowded {
-                // Drains go alone: they were seen to wait for seconds behind the lines of cold servers. Where
-                // only cold lines would be left, one took all calls and was pushed over: some go along.
-                let few = changes.iter().filter(|change| change.1 > 0.0).take(if stays { 0 } else { ALONG });
-                let along: BTreeSet<ServerIx> = few.map(|change| change.0).collect();
-                let goes = |line: &Share| leaves(line) || line.1 <= 0.0 && !warm(line);
-                changes.retain(|change| goes(change) || along.contains(&change.0));
-            }
-            if haste < 2 && held {
+            let followers = &followers[table];
+            let stale =
+                |at: usize| at != self.state.level_step && self.capabilities.throttle == Throttle::Fraction;
+            let sent_step = self.state.tables[table].level_step;
+            let queue_filled = congested || queued > limits[0];
+            let send_levels = sent_step.is_none_or(|step| stale(step) && !queue_filled);
+            let overhead = overhead + if send_levels { self.routes.len() as f64 } else { 0.0 };
+            // Lines of an unused table are sent to nobody. Holding them back kept the first proxies of a
+            // zone from getting their table.
+            let room = if followers.is_empty() { f64::INFINITY } else { limits[priority] - queued };
+            let fits = (room / followers.len().max(1) as f64 - overhead).max(0.0) as usize;
+            let removed = |at: ServerIndex| changes.iter().any(|change| change.0 == at && is_removal(change));
+            let is_warm = |line: &WeightedServer| self.warmup_step(now, line.0) == WARMUP_SHARES.len() - 1;
+            let keeps_warm =
+                self.state.tables[table].lines.iter().any(|line| is_warm(line) && !removed(line.0));
+            // During an operator's hold, removals continue, and so do the lines that a table without a warm
+            // server needs (rule 1).
+            let on_hold = self.state.changes_held && keeps_warm;
+            let limited = fits < changes.len() || queued > limits[0] || on_hold;
+            if priority == 2 && limited {
+                // Removals are sent alone, because they have waited for seconds behind lines of cold
+                // servers. If they would leave only cold servers, a few additions are sent with them:
+                // otherwise a single cold server got all calls and was overloaded.
+                let additions = changes.iter().filter(|change| change.1 > 0.0).take(if keeps_warm {
+                    0
+                } else {
+                    MAX_LINES_WITH_REMOVALS
+                });
+                let sent_along: BTreeSet<ServerIndex> = additions.map(|change| change.0).collect();
+                let allowed = |line: &WeightedServer| is_removal(line) || line.1 <= 0.0 && !is_warm(line);
+                changes.retain(|change| allowed(change) || sent_along.contains(&change.0));
+            }
+            if priority < 2 && on_hold {
                 changes.clear();
-            } else if haste < 2 && fits < changes.len() {
-                // What is cut off waits: a cold server's line ahead of warm ones had a quarter of a table.
-                let grows = |(at, weight): &Share| *weight > self.state.tables[table].weight(*at);
-                changes.sort_by_key(|change| grows(change) && !warm(change));
-            }
-            // Removals go whole, unless even an empty channel could not take them.
-            let whole = (claims[2] / users.len().max(1) as f64 - head).max(1.0) as usize;
-            changes.truncate(if haste == 2 { whole } else { fits });
-            let cost = changes.len() as f64 + head;
-            let full = !users.is_empty() && queued + cost * users.len() as f64 > claims[2];
-            let idle = changes.is_empty() && !gates;
-            late += if haste == 2 && full { cost * users.len() as f64 } else { 0.0 };
-            if idle || full || !users.iter().all(|p| self.may_tell(now, *p, haste)) {
+            } else if priority < 2 && fits < changes.len() {
+                // The lines beyond the limit wait, those of cold servers first: sent ahead of warm ones, a
+                // cold server once had a quarter of a table.
+                let increases =
+                    |(at, weight): &WeightedServer| *weight > self.state.tables[table].weight(*at);
+                changes.sort_by_key(|change| increases(change) && !is_warm(change));
+            }
+            // Removals are sent completely, unless even an empty channel could not take them.
+            let max_removals = (limits[2] / followers.len().max(1) as f64 - overhead).max(1.0) as usize;
+            changes.truncate(if priority == 2 { max_removals } else { fits });
+            let cost = changes.len() as f64 + overhead;
+            let over_limit = !followers.is_empty() && queued + cost * followers.len() as f64 > limits[2];
+            let nothing_due = changes.is_empty() && !send_levels;
+            delayed += if priority == 2 && over_limit { cost * followers.len() as f64 } else { 0.0 };
+            if nothing_due || over_limit || !followers.iter().all(|p| self.may_message(now, *p, priority)) {
                 continue;
             }
             for (server, weight) in changes {
-                orders.push(Action::SetLine { table, server, weight });
+                actions.push(Action::SetLine { table, server, weight });
                 self.state.tables[table].set((server, weight));
             }
-            if gates {
-                self.gate(table, orders);
+            if send_levels {
+                self.set_table_level(table, actions);
             }
-            queued += cost * users.len() as f64;
-            users.iter().for_each(|p| spent[*p] += cost);
+            queued += cost * followers.len() as f64;
+            followers.iter().for_each(|p| message_cost[*p] += cost);
         }
-        if late > 0.0 && self.state.reviewed == now {
-            let (beyond, wait) = (format!("{late:.0} lines beyond {queued:.0}"), (queued + late) / pace);
+        if delayed > 0.0 && self.state.reviewed_at == now {
+            let (beyond, wait) =
+                (format!("{delayed:.0} lines beyond {queued:.0}"), (queued + delayed) / throughput);
             let text = format!("removals wait: {beyond} in the channel, {wait:.1} s at its pace");
-            orders.push(Action::Log { text });
+            actions.push(Action::Log { text });
         }
-        let binds = binds.unwrap_or_else(|| self.binds(now, claims[3], &mut queued, &mut spent));
+        let binds =
+            binds.unwrap_or_else(|| self.pending_binds(now, limits[3], &mut queued, &mut message_cost));
         for (proxy, table) in binds {
-            let given = &mut self.state.proxies[proxy];
-            (given.bound, given.holds) = (Some(now), Some(table));
-            orders.push(Action::Bind { proxy, table, routes: 0 });
+            let record = &mut self.state.proxies[proxy];
+            (record.bound_at, record.current_table) = (Some(now), Some(table));
+            actions.push(Action::Bind { proxy, table, routes: 0 });
         }
-        orders.extend(self.state.mark_messages(now, &spent, self.channel.message_window));
+        actions.extend(self.state.record_messages(now, &message_cost, self.channel.message_window));
     }
 
-    /// Whom to hand a table, longest joined first: behind a cut, proxies kept what has drained meanwhile, and
-    /// were seen to wait for it behind cold servers' lines. In a filled channel their room is taken first.
-    fn binds(&self, now: Moment, most: f64, queued: &mut f64, spent: &mut [f64]) -> Vec<(ProxyIx, TableNo)> {
-        let waits = |at: &ProxyIx| self.state.proxies[*at].bound.is_none();
-        let mut waiting: Vec<ProxyIx> = (0..spent.len()).filter(waits).collect();
-        waiting.sort_by_key(|at| self.state.proxies[*at].joins);
+    /// Proxies to give a table, those that joined first at the front. After a partition, proxies still hold
+    /// servers that drained in the meantime, and they have waited behind lines of cold servers. In a filled
+    /// channel their room is reserved first.
+    fn pending_binds(
+        &self,
+        now: Moment,
+        limit: f64,
+        queued: &mut f64,
+        message_cost: &mut [f64],
+    ) -> Vec<(ProxyIndex, TableIndex)> {
+        let unbound = |at: &ProxyIndex| self.state.proxies[*at].bound_at.is_none();
+        let mut waiting: Vec<ProxyIndex> = (0..message_cost.len()).filter(unbound).collect();
+        waiting.sort_by_key(|at| self.state.proxies[*at].join_number);
         let mut binds = Vec::new();
         for proxy in waiting {
-            let Some(table) = self.state.table(&self.state.proxies[proxy]) else { continue };
-            let standing = &self.state.tables[table];
-            let gates = standing.gates.map_or(0, |_| self.routes.len());
-            let cost = (standing.lines.len() + gates) as f64 + self.channel.message_overhead + 2.0;
-            let fits = *queued + cost < most;
-            if !standing.lines.is_empty() && fits && self.may_tell(now, proxy, 2) {
+            let Some(table) = self.state.table_of(&self.state.proxies[proxy]) else { continue };
+            let current = &self.state.tables[table];
+            let level_lines = current.level_step.map_or(0, |_| self.routes.len());
+            let cost = (current.lines.len() + level_lines) as f64 + self.channel.message_overhead + 2.0;
+            let fits = *queued + cost < limit;
+            if !current.lines.is_empty() && fits && self.may_message(now, proxy, 2) {
                 binds.push((proxy, table));
-                spent[proxy] += cost;
+                message_cost[proxy] += cost;
                 *queued += cost;
             }
         }
         binds
     }
 
-    /// Messages to one proxy: half of the limit is for removals alone, cold servers' lines once took it all.
-    fn may_tell(&self, now: Moment, at: ProxyIx, haste: usize) -> bool {
-        let (told, most) = (&self.state.proxies[at].told, self.channel.max_messages);
-        let recent = told.iter().filter(|told| now.since(**told) <= self.channel.message_window).count();
-        let since = told.last().map_or(Span(u64::MAX), |last| now.since(*last));
-        let joined = since >= self.contract.drain_grace.times(0.4);
-        recent < most / 2 && (haste > 0 || since >= GAP) || haste == 2 && recent + 1 < most && joined
+    /// Whether a message may be sent to a proxy. Half of the message limit is reserved for removals,
+    /// because lines of cold servers once used all of it.
+    fn may_message(&self, now: Moment, at: ProxyIndex, priority: usize) -> bool {
+        let (sent, max_messages) = (&self.state.proxies[at].sent_at, self.channel.max_messages);
+        let recent = sent.iter().filter(|sent| now.since(**sent) <= self.channel.message_window).count();
+        let elapsed = sent.last().map_or(Span(u64::MAX), |last| now.since(*last));
+        let removal_gap_over = elapsed >= self.contract.drain_grace.times(0.4);
+        recent < max_messages / 2 && (priority > 0 || elapsed >= MESSAGE_GAP)
+            || priority == 2 && recent + 1 < max_messages && removal_gap_over
     }
 
-    fn gate(&mut self, table: TableNo, orders: &mut Vec<Action>) {
-        let step = self.state.step;
-        // Rule 2 by construction; and what one full server turns away only fills the next.
+    fn set_table_level(&mut self, table: TableIndex, actions: &mut Vec<Action>) {
+        let step = self.state.level_step;
+        // Enforces rule 2. Retries are never allowed: what one full server rejects would only fill the
+        // next.
         let set = |routes, level| Action::SetLevel { table, routes, level, resend: ResendPolicy::Never };
         match (self.capabilities.throttle, step) {
-            (Throttle::Fraction, step) if step > 0 || !self.state.caps.is_empty() => {
-                orders.extend((0..self.routes.len()).map(|at| set(1 << at, self.level(at, step))))
+            (Throttle::Fraction, step) if step > 0 || !self.state.route_caps.is_empty() => {
+                actions.extend((0..self.routes.len()).map(|at| set(1 << at, self.route_level(at, step))))
             }
-            _ => orders.push(set(0, UNLIMITED)),
+            _ => actions.push(set(0, UNLIMITED)),
         }
-        self.state.tables[table].gates = Some(step);
+        self.state.tables[table].level_step = Some(step);
     }
 
-    /// A slice whose server is not usable gets another, an exclusive one when no write can be left there.
-    fn mend_slices(&mut self, now: Moment, orders: &mut Vec<Action>) {
-        let carried = self.carried(now);
-        let usable: Vec<ServerIx> = (0..carried.len()).filter(|at| carried[*at] > 0.0).collect();
-        for (table, slice) in self.state.slices.iter_mut().enumerate().filter(|(_, slice)| slice.given) {
-            let (kept, lost): (Vec<Share>, _) = slice.lines.iter().partition(|l| carried[l.0] > 0.0);
+    /// Moves a slice whose server is not usable to another one. An exclusive slice moves only when no write
+    /// can be left at the old server.
+    fn repair_slices(&mut self, now: Moment, actions: &mut Vec<Action>) {
+        let weights = self.usable_weights(now);
+        let usable: Vec<ServerIndex> = (0..weights.len()).filter(|at| weights[*at] > 0.0).collect();
+        for (table, slice) in self.state.slices.iter_mut().enumerate().filter(|(_, slice)| slice.assigned) {
+            let (kept, lost): (Vec<WeightedServer>, _) = slice.lines.iter().partition(|l| weights[l.0] > 0.0);
             if usable.is_empty() || lost.is_empty() && !kept.is_empty() {
                 continue;
             }
-            let gate = |level| Action::SetLevel { table, routes: 0, level, resend: ResendPolicy::Never };
+            let set_level = |level| Action::SetLevel { table, routes: 0, level, resend: ResendPolicy::Never };
             if self.slicing.exclusive && !lost.is_empty() {
-                orders.extend(slice.held_until.is_none().then(|| gate(0.0)));
-                let rest = self.slicing.write_stop_delay + self.slicing.write_linger;
-                if now < *slice.held_until.get_or_insert(now + rest) {
+                actions.extend(slice.paused_until.is_none().then(|| set_level(0.0)));
+                let pause = self.slicing.write_stop_delay + self.slicing.write_linger;
+                if now < *slice.paused_until.get_or_insert(now + pause) {
                     continue;
                 }
             }
             let server = usable[table % usable.len()];
-            orders.push(Action::SetLine { table, server, weight: 1.0 });
-            orders.extend(slice.held_until.take().map(|_| gate(UNLIMITED)));
-            let gone = lost.iter().filter(|_| !self.slicing.exclusive);
-            orders.extend(gone.map(|(server, _)| Action::SetLine { table, server: *server, weight: 0.0 }));
+            actions.push(Action::SetLine { table, server, weight: 1.0 });
+            actions.extend(slice.paused_until.take().map(|_| set_level(UNLIMITED)));
+            let removed = lost.iter().filter(|_| !self.slicing.exclusive);
+            actions.extend(removed.map(|(server, _)| Action::SetLine {
+                table,
+                server: *server,
+                weight: 0.0,
+            }));
             slice.lines = kept.into_iter().filter(|line| line.0 != server).chain([(server, 1.0)]).collect();
         }
     }
 }
 
-/// Demand-weighted k-means, seeded by the heaviest proxies, with as few groups as the margin allows. While
-/// the seeds alone are far from it no means are taken: for a hundred parts these took most of a second.
-fn group(members: &[Member]) -> Vec<usize> {
-    let mut order: Vec<&Member> = members.iter().collect();
-    order.sort_by(|a, b| b.demand.total_cmp(&a.demand));
-    let mut seeds: Vec<&Member> = Vec::new();
+/// Demand-weighted k-means, seeded with the members of highest demand, with as few groups as the margin
+/// allows. While the seeds alone are far from the margin no means are computed: with a hundred subsets they
+/// took most of a second.
+fn group_members(members: &[GroupMember]) -> Vec<usize> {
+    let mut by_demand: Vec<&GroupMember> = members.iter().collect();
+    by_demand.sort_by(|a, b| b.demand.total_cmp(&a.demand));
+    let mut seeds: Vec<&GroupMember> = Vec::new();
     let mut nearest: Vec<(f64, usize)> = vec![(f64::INFINITY, 0); members.len()];
-    let most = MARGIN * members.iter().map(|m| m.demand).sum::<f64>();
-    for next in &order {
-        if seeds.iter().any(|seed| excess(seed.target, next.target) < MARGIN) {
+    let max_excess = IMBALANCE_MARGIN * members.iter().map(|m| m.demand).sum::<f64>();
+    for next in &by_demand {
+        if seeds.iter().any(|seed| excess(seed.target, next.target) < IMBALANCE_MARGIN) {
             continue;
         }
         for (member, near) in members.iter().zip(&mut nearest) {
@@ -877,76 +1086,87 @@
             *near = if cost < near.0 { (cost, seeds.len()) } else { *near };
         }
         seeds.push(next);
-        if members.iter().zip(&nearest).map(|(m, near)| m.demand * near.0).sum::<f64>() <= FAR * most {
-            let (groups, beyond) = means(members, &seeds);
-            if beyond <= most {
+        if members.iter().zip(&nearest).map(|(m, near)| m.demand * near.0).sum::<f64>()
+            <= SEED_MARGIN_FACTOR * max_excess
+        {
+            let (groups, total_excess) = k_means(members, &seeds);
+            if total_excess <= max_excess {
                 return groups;
             }
         }
     }
-    means(members, &seeds).0
+    k_means(members, &seeds).0
 }
 
-/// Groups round the means that the seeds lead to, and what these give beyond the members' targets.
-fn means(members: &[Member], seeds: &[&Member]) -> (Vec<usize>, f64) {
-    let mut centres: Vec<Vec<Share>> = seeds.iter().map(|seed| seed.target.to_vec()).collect();
+/// Groups around the means that the seeds lead to, and the weight that these give beyond the members'
+/// targets.
+fn k_means(members: &[GroupMember], seeds: &[&GroupMember]) -> (Vec<usize>, f64) {
+    let mut centres: Vec<Vec<WeightedServer>> = seeds.iter().map(|seed| seed.target.to_vec()).collect();
     let mut groups: Vec<usize> = vec![0; members.len()];
     for _ in 0..3 {
-        let nearest = |member: &Member| {
-            let cost: Vec<f64> = centres.iter().map(|middle| excess(middle, member.target)).collect();
+        let nearest = |member: &GroupMember| {
+            let cost: Vec<f64> = centres.iter().map(|centre| excess(centre, member.target)).collect();
             (0..cost.len()).min_by(|a, b| cost[*a].total_cmp(&cost[*b])).unwrap_or(0)
         };
         groups = members.iter().map(nearest).collect();
-        for (kind, middle) in centres.iter_mut().enumerate().filter(|(kind, _)| groups.contains(kind)) {
-            *middle = centre(members.iter().zip(&groups).filter(|p| *p.1 == kind).map(|p| p.0));
+        for (group, centre) in centres.iter_mut().enumerate().filter(|(group, _)| groups.contains(group)) {
+            *centre = centroid(members.iter().zip(&groups).filter(|p| *p.1 == group).map(|p| p.0));
         }
     }
-    let beyond = members.iter().zip(&groups).map(|(m, g)| m.demand * excess(&centres[*g], m.target)).sum();
-    (groups, beyond)
+    let total_excess =
+        members.iter().zip(&groups).map(|(m, g)| m.demand * excess(&centres[*g], m.target)).sum();
+    (groups, total_excess)
 }
 
-fn trim(mut table: Vec<Share>, members: &[&Member], zone: &[ZoneIx]) -> Vec<Share> {
+fn trim_lines(
+    mut table: Vec<WeightedServer>,
+    members: &[&GroupMember],
+    zones: &[ZoneIndex],
+) -> Vec<WeightedServer> {
     loop {
-        rescale(&mut table);
-        let bound = THIN / table.len().max(1) as f64;
-        let mut thin: Vec<&Share> = table.iter().filter(|line| line.1 < bound).collect();
+        normalize(&mut table);
+        let threshold = THIN_LINE_SHARE / table.len().max(1) as f64;
+        let mut thin: Vec<&WeightedServer> = table.iter().filter(|line| line.1 < threshold).collect();
         thin.sort_by(|a, b| a.1.total_cmp(&b.1));
-        let alone = |at: ServerIx| !table.iter().any(|l| l.0 != at && zone[l.0] == zone[at]);
-        let without = |thin: &Share| {
-            let mut left: Vec<Share> = table.iter().filter(|line| line.0 != thin.0).copied().collect();
-            rescale(&mut left);
-            (members.iter().map(|m| m.demand * excess(&left, m.target)).sum::<f64>(), left)
+        let last_in_zone = |at: ServerIndex| !table.iter().any(|l| l.0 != at && zones[l.0] == zones[at]);
+        let without = |thin: &WeightedServer| {
+            let mut remaining: Vec<WeightedServer> =
+                table.iter().filter(|line| line.0 != thin.0).copied().collect();
+            normalize(&mut remaining);
+            (members.iter().map(|m| m.demand * excess(&remaining, m.target)).sum::<f64>(), remaining)
         };
-        // The thinnest are looked at alone: all of a fleet that doubles is thin, and took the CPU.
-        let droppable = thin.into_iter().filter(|line| !alone(line.0)).take(LOOKED_AT);
-        let least = droppable.map(without).min_by(|a, b| a.0.total_cmp(&b.0));
-        let Some((_, left)) = least else { return table };
-        table = left;
+        // Only the thinnest lines are examined: after a fleet doubles all of its lines are thin, and
+        // examining all took too much CPU time.
+        let droppable = thin.into_iter().filter(|line| !last_in_zone(line.0)).take(TRIM_CANDIDATES);
+        let best = droppable.map(without).min_by(|a, b| a.0.total_cmp(&b.0));
+        let Some((_, remaining)) = best else { return table };
+        table = remaining;
     }
 }
 
-fn round(weight: f64) -> f64 {
-    let scale = 2f64.powi(weight.max(1e-9).log2().floor() as i32) / DIGITS;
+fn round_weight(weight: f64) -> f64 {
+    let scale = 2f64.powi(weight.max(1e-9).log2().floor() as i32) / WEIGHT_STEPS;
     (weight / scale).round() * scale
 }
 
-/// The lines to write, largest change first, additions ahead of removals. Only ratios count in a table: the
-/// new weights are put to the scale of the standing ones: a removal then rewrites no other line.
-fn deltas(standing: &[Share], wanted: &[Share]) -> Vec<Share> {
-    if wanted.is_empty() {
+/// Lines to write, largest change first and additions ahead of removals. Only weight ratios matter in a
+/// table, so the new weights are scaled to the current ones, and a removal does not rewrite other lines.
+fn deltas(current: &[WeightedServer], desired: &[WeightedServer]) -> Vec<WeightedServer> {
+    if desired.is_empty() {
         return Vec::new();
     }
-    let held = |at: ServerIx| standing.iter().find(|l| l.0 == at).map_or(0.0, |l| l.1);
-    let mut ratios: Vec<f64> = wanted.iter().map(|l| held(l.0) / l.1).filter(|ratio| *ratio > 0.0).collect();
+    let current_weight = |at: ServerIndex| current.iter().find(|l| l.0 == at).map_or(0.0, |l| l.1);
+    let mut ratios: Vec<f64> =
+        desired.iter().map(|l| current_weight(l.0) / l.1).filter(|ratio| *ratio > 0.0).collect();
     ratios.sort_by(f64::total_cmp);
     let scale = ratios.get(ratios.len() / 2).copied().filter(|r| (0.01..100.0).contains(r)).unwrap_or(1.0);
-    let mut changes: Vec<(ServerIx, f64, f64)> = wanted
+    let mut changes: Vec<(ServerIndex, f64, f64)> = desired
         .iter()
-        .map(|(at, weight)| (*at, weight * scale, held(*at)))
-        .filter(|(_, weight, held)| (weight - held).abs() > weight / DIGITS)
-        .map(|(at, weight, held)| (at, round(weight), (weight - held).abs()))
+        .map(|(at, weight)| (*at, weight * scale, current_weight(*at)))
+        .filter(|(_, weight, current_weight)| (weight - current_weight).abs() > weight / WEIGHT_STEPS)
+        .map(|(at, weight, current_weight)| (at, round_weight(weight), (weight - current_weight).abs()))
         .collect();
     changes.sort_by(|a, b| b.2.total_cmp(&a.2));
-    let gone = standing.iter().filter(|l| !wanted.iter().any(|w| w.0 == l.0)).map(|l| (l.0, 0.0));
-    changes.iter().map(|c| (c.0, c.1)).chain(gone).collect()
+    let removed = current.iter().filter(|l| !desired.iter().any(|w| w.0 == l.0)).map(|l| (l.0, 0.0));
+    changes.iter().map(|c| (c.0, c.1)).chain(removed).collect()
 }
--- a/crates/planner/src/histogram.rs
+++ b/crates/planner/src/histogram.rs
@@ -1,6 +1,6 @@
-//! A histogram with a few coarse bins; whoever fills it names the edges and halves it.
+//! A histogram with a few coarse bins. The caller supplies the bin edges and halves the counts to age them.
 
-/// Counts per bin; bin `i` ends below `edges[i]`, the last one is open.
+/// Bin `i` ends below `edges[i]`; the last bin is unbounded.
 #[derive(Clone, Debug, Default)]
 pub struct Histogram {
     edges: &'static [f64],
@@ -27,7 +27,7 @@
         self.counts.iter().sum()
     }
 
-    /// The mean, each bin counted at its middle and the last one at its edge.
+    /// Mean of the values, counting each bin at its middle and the last one at its lower edge.
     pub fn mean(&self) -> Option<f64> {
         let middle = |bin: usize| {
             let low = if bin == 0 { 0.0 } else { self.edges[bin - 1] };
--- a/crates/planner/src/interner.rs
+++ b/crates/planner/src/interner.rs
@@ -1,4 +1,4 @@
-//! The door: names from outside become small indices, in order of first sight; places given up are taken first.
+//! Maps external names to small indices, in order of first use. Released indices are reused first.
 
 use std::collections::{BTreeSet, HashMap};
 use std::hash::Hash;
@@ -7,7 +7,8 @@
 pub struct Interner<Id> {
     indices: HashMap<Id, usize>,
     names: Vec<Id>,
-    /// Places whose names were given up; lowest first, so that the same events lead to the same indices.
+    /// Released indices. The lowest is reused first, so that the same events always lead to the same
+    /// indices.
     free: BTreeSet<usize>,
 }
 
@@ -18,7 +19,7 @@
 }
 
 impl<Id: Clone + Eq + Hash> Interner<Id> {
-    /// The index of a name, a new one if it was never seen or has been forgotten.
+    /// Returns the index of a name, assigning one if the name is new or was released.
     pub fn intern(&mut self, name: &Id) -> usize {
         if let Some(index) = self.indices.get(name) {
             return *index;
@@ -37,7 +38,8 @@
         index
     }
 
-    /// Gives a place up; only when nothing names it any more. Its name is kept for the log until another has it.
+    /// Releases an index, which nothing may refer to any more. Its name is kept for logging until the index
+    /// is reused.
     pub fn release(&mut self, index: usize) {
         if self.indices.get(&self.names[index]) == Some(&index) {
             self.indices.remove(&self.names[index]);
@@ -45,12 +47,12 @@
         }
     }
 
-    /// The index of a name, if it was seen.
+    /// Returns the index of a name if it has one.
     pub fn get(&self, name: &Id) -> Option<usize> {
         self.indices.get(name).copied()
     }
 
-    /// Places so far, free ones too.
+    /// Number of indices ever assigned, including released ones.
     pub fn slots(&self) -> usize {
         self.names.len()
     }
--- a/crates/planner/src/lib.rs
+++ b/crates/planner/src/lib.rs
@@ -1,14 +1,14 @@
-//! The planner of pewtergap: events in, orders out, with no wire, clock or I/O of its own.
+//! The planner of pewtergap: turns events into actions, without any network, clock or I/O of its own.
 //!
-//! Build a [`Planner`], hand it each batch of [`Event`]s with the batch's [`Moment`], and carry out the
-//! [`Order`]s in the order given. All decisions are in `decide.rs`.
+//! Create a [`Planner`], pass it each batch of [`Event`]s with the batch's [`Moment`], and execute the
+//! returned [`Action`]s in order. All decisions are in `decide.rs`.
 #![forbid(unsafe_code)]
 
 mod decide;
 mod histogram;
 pub mod interner;
-mod shares;
 mod types;
+mod weights;
 
 pub use pewtergap_time as time;
 
--- a/crates/planner/src/types.rs
+++ b/crates/planner/src/types.rs
@@ -1,19 +1,18 @@
-//! What the planner is told, what it may order, and what it keeps; nothing here decides.
+//! Inputs, outputs and state of the planner. The decisions are in `decide.rs`.
 
 use crate::histogram::Histogram;
 use crate::time::{Moment, Span};
 use std::collections::BTreeSet;
 
-/// Indices handed out at the door, one space per instance.
-pub type ServerIx = usize;
-pub type ProxyIx = usize;
-pub type ZoneIx = usize;
-pub type TableNo = usize;
+/// Indices assigned by an [`Interner`](crate::interner::Interner), one index space per planner instance.
+pub type ServerIndex = usize;
+pub type ProxyIndex = usize;
+pub type ZoneIndex = usize;
+pub type TableIndex = usize;
 
-/// A server and its weight.
-pub type Share = (ServerIx, f64);
+pub type WeightedServer = (ServerIndex, f64);
 
-/// Where a repeat of a keyed call is dropped.
+/// Scope within which repeats of a keyed call are recognized and dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyScope {
     All,
@@ -34,16 +33,17 @@
     pub slo_time: Span,
     pub time_limit: Span,
     pub retry_safety: RetrySafety,
-    /// May only go to servers of the proxy's zone.
+    /// Calls may only go to servers in the proxy's own zone.
     pub zone_bound: bool,
     pub writes: bool,
 }
 
-/// A level that lets everything in, as a share and as a rate.
+/// Admission level without a limit, both as a fraction and as a rate.
 pub const UNLIMITED: f64 = 1e9;
 
-/// Whether a route is among the least important ones, where importance differs.
-pub fn gives_way(routes: &[Route], at: usize) -> bool {
+/// Returns whether a route is one of the least important ones. False for all if every route has the same
+/// importance.
+pub fn is_least_important(routes: &[Route], at: usize) -> bool {
     let own = routes[at].importance;
     routes.iter().all(|r| r.importance >= own) && routes.iter().any(|r| r.importance > own)
 }
@@ -55,23 +55,24 @@
     Off,
 }
 
-/// The fleet as it is known at start.
+/// What is known about the fleet at start.
 #[derive(Clone, Debug)]
 pub struct Fleet {
     pub zones: usize,
     pub proxies: usize,
     pub planners: usize,
-    /// The list must be asked for.
+    /// The server list is only sent on request.
     pub list_on_request: bool,
     pub list_request_interval: Span,
-    /// What a crossing call costs, in parts of a call's worth.
+    /// Cost of a call to another zone, as a fraction of the value of a call.
     pub cross_zone_cost: f64,
-    /// Connections that the smallest servers accept, and how long an idle one is kept; 0 where not told.
+    /// Connection limit of the smallest servers, and how long an idle connection is kept open. Unlimited if
+    /// not configured.
     pub min_server_connections: f64,
     pub keep_alive: Span,
 }
 
-/// Slices, where keys fall into them.
+/// Keyspace slices, for services that partition their keys.
 #[derive(Clone, Debug)]
 pub struct Slicing {
     pub slices: usize,
@@ -80,43 +81,44 @@
     pub write_linger: Span,
 }
 
-/// What the channel to the proxies takes.
+/// Limits of the channel that carries messages to the proxies.
 #[derive(Clone, Debug)]
 pub struct ChannelLimits {
+    /// Lines that a message costs in addition to its table lines.
     pub message_overhead: f64,
     pub max_queued_lines: f64,
-    /// Messages to one proxy within `messages_over`.
+    /// Messages allowed to one proxy within `message_window`.
     pub max_messages: usize,
     pub message_window: Span,
     pub lines_per_s: f64,
-    /// From leaving the channel to reaching the proxy, at most.
+    /// Longest time from leaving the channel to reaching the proxy.
     pub max_transit: Span,
 }
 
-/// The figures of the rules.
+/// Parameters of the service rules.
 #[derive(Clone, Debug)]
 pub struct Contract {
     pub drain_grace: Span,
-    /// Leaving the list binds as draining does.
+    /// A server missing from the list must be removed, as if it were draining.
     pub removal_is_binding: bool,
+    /// Capacity of a server at its start, as a fraction of its capacity when warm.
     pub cold_capacity: f64,
     pub warmup: Span,
-    /// A cold server falls when sent this many times what it can do.
+    /// A cold server fails when it is sent this many times its capacity for `overload_time`.
     pub overload_factor: f64,
-    /// For so long, that is.
     pub overload_time: Span,
 }
 
-/// What proxies and servers let the planner do and see.
+/// What proxies and servers support.
 #[derive(Clone, Debug)]
 pub struct Capabilities {
     pub throttle: Throttle,
     pub probes: bool,
-    /// Load reports come with probes only.
+    /// Servers report their load only in answers to probes.
     pub load_on_probe: bool,
-    /// Proxies keep away from servers that fail them several times in a row.
+    /// Proxies eject servers that fail several calls in a row.
     pub ejects_servers: bool,
-    /// How many times the SLO time a try waits before another may follow.
+    /// How long a try waits before the next one may start, as a multiple of the SLO time.
     pub resend_wait_factor: f64,
 }
 
@@ -129,8 +131,8 @@
 
 #[derive(Clone, Debug)]
 pub struct ListEntry {
-    pub server: ServerIx,
-    pub zone: ZoneIx,
+    pub server: ServerIndex,
+    pub zone: ZoneIndex,
     pub cell: u64,
     pub state: ListedState,
     pub weight: f64,
@@ -141,12 +143,12 @@
 pub enum ListKind {
     Changes,
     Complete,
-    /// The complete list as last held, possibly old.
+    /// The last complete list that was stored locally; it may be out of date.
     Kept,
     Failed,
 }
 
-/// A load report; what a site does not tell is absent.
+/// A load report. Values that the server does not report are `None`.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Load {
     pub util: Option<f64>,
@@ -156,13 +158,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeOutcome {
     Answered,
-    /// Turned away: alive, but not at ease.
+    /// Refused by the server: it is alive but overloaded.
     Rejected,
     /// Answered with an error.
     Error,
-    /// No answer in time: dead, cut off, or only busy.
+    /// No answer in time. The server may be dead, unreachable or only busy.
     TimedOut,
-    /// Nothing there to talk to.
+    /// The connection failed: nothing listens at the address.
     Unreachable,
 }
 
@@ -173,16 +175,16 @@
         entries: Vec<ListEntry>,
     },
     ProxyJoined {
-        proxy: ProxyIx,
-        zone: ZoneIx,
+        proxy: ProxyIndex,
+        zone: ZoneIndex,
         calls_per_s: f64,
     },
     ProxyLeft {
-        proxy: ProxyIx,
+        proxy: ProxyIndex,
     },
     ServerStats {
-        server: ServerIx,
-        zone: ZoneIx,
+        server: ServerIndex,
+        zone: ZoneIndex,
         tries: f64,
         dropped: f64,
         mean_latency: Span,
@@ -190,56 +192,58 @@
         load: Load,
     },
     Arrivals {
-        proxy: ProxyIx,
+        proxy: ProxyIndex,
         route: usize,
         calls: f64,
         dropped: f64,
         period: Span,
     },
     ProbeEnded {
-        server: ServerIx,
+        server: ServerIndex,
         outcome: ProbeOutcome,
         load: Load,
     },
     Applied {
-        proxy: ProxyIx,
+        proxy: ProxyIndex,
         mark: u64,
     },
     SliceAssigned {
-        slice: TableNo,
+        slice: TableIndex,
         assigned: bool,
     },
-    /// An operator lets in no more than this part of a route's calls; 1 takes that back.
+    /// An operator limits the admitted fraction of a route's calls. A level of 1 removes the limit.
     LimitRoute {
         route: usize,
         level: f64,
     },
-    /// An operator holds all changes of tables but removals, or lets them go on.
+    /// An operator suspends or resumes all table changes except removals.
     HoldChanges {
         on: bool,
     },
     SliceLine {
-        slice: TableNo,
-        server: ServerIx,
+        slice: TableIndex,
+        server: ServerIndex,
         weight: f64,
     },
-    /// Calls per second at the proxies of all other planners; none: nobody knows.
+    /// Calls per second at the proxies of all other planners, or `None` if unknown.
     OtherPlannersRate {
         calls_per_s: Option<f64>,
     },
-    /// Of what all proxies may bring a cold server, the part that those of this planner may; none: nobody has parted it.
+    /// Fraction of the load that all proxies together may send to cold servers which this planner's proxies
+    /// may use. `None` if the load was not divided between planners.
     ColdShare {
         share: Option<f64>,
     },
-    /// Others saw a server do badly: it is to weigh less by this part, 0 takes that back.
+    /// Other planners observed a failing server: its weight is reduced by this fraction. 0 removes the
+    /// reduction.
     ReduceWeight {
-        server: ServerIx,
+        server: ServerIndex,
         by: f64,
     },
     Tick,
 }
 
-/// When a proxy tries another server.
+/// When a proxy may retry a call at another server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResendPolicy {
     Never,
@@ -250,17 +254,17 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     SetLine {
-        table: TableNo,
-        server: ServerIx,
+        table: TableIndex,
+        server: ServerIndex,
         weight: f64,
     },
     Bind {
-        proxy: ProxyIx,
-        table: TableNo,
+        proxy: ProxyIndex,
+        table: TableIndex,
         routes: u64,
     },
     SetLevel {
-        table: TableNo,
+        table: TableIndex,
         routes: u64,
         level: f64,
         resend: ResendPolicy,
@@ -269,101 +273,102 @@
         mark: u64,
     },
     Probe {
-        server: ServerIx,
+        server: ServerIndex,
     },
     Wake {
         at: Moment,
     },
     Subscribe,
-    /// Nothing names this place any more: its server's name is given up, the next new one may have the place.
+    /// The index of a server is no longer referenced and may be assigned to a new server.
     ReleaseServer {
-        server: ServerIx,
+        server: ServerIndex,
     },
-    /// For the people on call.
+    /// A message for the operators' log.
     Log {
         text: String,
     },
 }
 
-/// Where a server stands.
+/// State of a server, as the planner sees it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Stand {
+pub enum ServerState {
     #[default]
-    Gone,
-    Open,
+    Absent,
+    InService,
     Suspect,
-    Out,
+    Ejected,
     Draining,
-    /// Newly listed, and not yet seen to answer.
-    Fresh,
+    /// Newly listed and not yet confirmed by a probe.
+    Unverified,
 }
 
-/// What is learned of a server.
+/// An observation about a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sign {
-    Runs,
-    /// Listed as running by a later list, unknown or gone before.
-    Appears,
-    /// Listed with a later start than known.
+pub enum Signal {
+    ListedRunning,
+    /// Listed as running after having been unknown or absent.
+    Appeared,
+    /// Listed with a later start time than the known one.
     Restarted,
-    Stops,
-    Gone,
-    /// No longer listed, where that does not bind.
+    StopListed,
+    ListedGone,
+    /// No longer listed, where leaving the list does not force a removal.
     Unlisted,
-    SumsBad,
-    SumsGood,
-    ProbeGood,
-    /// No answer in time: it may only be busy.
-    ProbeSilent,
-    /// Something answers, but not as a server of ours should.
-    ProbeErring,
-    ProbeDead,
-    Confirmed,
-    Recovered,
-}
-
-/// What follows from a sign.
+    TriesFailing,
+    TriesOk,
+    ProbeOk,
+    /// No answer in time. The server may only be busy.
+    ProbeTimedOut,
+    /// Answered with an error, as a foreign process at the address would.
+    ProbeError,
+    ProbeUnreachable,
+    FailureConfirmed,
+    RecoveryConfirmed,
+}
+
+/// Effect of a signal on a server's record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Let in by its listed start.
-    Enter,
-    /// Let in as if it had started now: what it went through is not known.
-    Return,
+    /// Put in service, with its warm-up counted from the listed start time.
+    Admit,
+    /// Put in service as if it had just started, because its state after an outage is unknown.
+    Readmit,
     Remove,
-    /// Ask the server itself.
-    Ask,
-    /// One more probe in a row that points the same way.
-    Strike,
-    /// Enough strikes at once.
-    Condemn,
-    Pardon,
+    /// Probe the server.
+    SendProbe,
+    /// Count one more consecutive probe with the same result.
+    CountStrike,
+    /// Count enough strikes at once to confirm the failure.
+    ConfirmFailure,
+    ClearStrikes,
 }
 
 #[derive(Clone, Debug, Default)]
 pub struct Server {
-    pub stand: Stand,
-    pub zone: ZoneIx,
+    pub state: ServerState,
+    pub zone: ZoneIndex,
     pub weight: f64,
-    /// Last start as listed or, after an outage, as seen by probes.
-    pub started: Option<Moment>,
+    /// Last start time as listed or, after an outage, as observed by probes.
+    pub started_at: Option<Moment>,
     pub strikes: usize,
-    pub probed: Option<Moment>,
+    pub probed_at: Option<Moment>,
     pub util: Histogram,
     pub tries: f64,
     pub dropped: f64,
-    /// Step of the correction to the listed weight, and how often a review asked for another.
-    pub step: i32,
-    pub asked: i32,
-    /// By which part it weighs less for what others saw.
-    pub lighter: f64,
-    /// Somebody has it; and since when nothing but the place itself remembers the server.
-    pub taken: bool,
-    pub left: Option<Moment>,
+    /// Index offset of the correction to the listed weight, and the net number of consecutive reviews that
+    /// asked for another step.
+    pub correction: i32,
+    pub correction_votes: i32,
+    /// Fraction by which the weight is reduced because other planners observed failures.
+    pub weight_reduction: f64,
+    /// Whether the index is assigned, and since when nothing but this record refers to the server.
+    pub in_use: bool,
+    pub unreferenced_since: Option<Moment>,
 }
 
 impl Server {
-    /// Nothing measured before counts any more.
-    pub fn forget(&mut self) {
+    /// Discards all earlier measurements.
+    pub fn reset_measurements(&mut self) {
         self.strikes = 0;
         self.tries = 0.0;
         self.dropped = 0.0;
@@ -374,64 +379,66 @@
 #[derive(Clone, Debug, Default)]
 pub struct Proxy {
     pub joined: bool,
-    pub zone: ZoneIx,
-    /// Joins counted when it joined: the order in which proxies came.
-    pub joins: u64,
-    pub first_guess: f64,
+    pub zone: ZoneIndex,
+    /// Sequence number of the join, which orders proxies by when they joined.
+    pub join_number: u64,
+    pub declared_rate: f64,
     pub calls: f64,
-    pub over: f64,
-    /// The part of the servers it goes to, and when it was given that one's table.
-    pub part: Option<usize>,
-    pub bound: Option<Moment>,
-    /// The table it follows until it is given another.
-    pub holds: Option<TableNo>,
-    /// Messages not known to have arrived: mark, lines, when ordered.
-    pub unapplied: Vec<(u64, f64, Moment)>,
-    pub told: Vec<Moment>,
+    pub observed_s: f64,
+    /// The subset of servers it uses, and when it was given the table of that subset.
+    pub subset: Option<usize>,
+    pub bound_at: Option<Moment>,
+    /// The table it uses until it receives another.
+    pub current_table: Option<TableIndex>,
+    /// Messages not yet acknowledged: mark, lines, time sent.
+    pub unacknowledged: Vec<(u64, f64, Moment)>,
+    pub sent_at: Vec<Moment>,
 }
 
 impl Proxy {
-    /// Calls per second: as heard, the figure told when it joined counting for so many calls; nothing if
-    /// neither is known.
-    pub fn rate(&self, guess_calls: f64) -> Option<f64> {
-        match self.first_guess {
-            guess if guess > 0.0 => Some((self.calls + guess_calls) / (self.over + guess_calls / guess)),
-            _ => (self.over > 0.0).then(|| self.calls / self.over),
+    /// Calls per second: the measured rate, with the rate declared at join weighted as `prior_calls` calls.
+    /// `None` if neither is known.
+    pub fn rate(&self, prior_calls: f64) -> Option<f64> {
+        match self.declared_rate {
+            declared if declared > 0.0 => {
+                Some((self.calls + prior_calls) / (self.observed_s + prior_calls / declared))
+            }
+            _ => (self.observed_s > 0.0).then(|| self.calls / self.observed_s),
         }
     }
 
-    /// The message with this mark and all before it have arrived.
-    pub fn applied(&mut self, mark: u64) -> impl Iterator<Item = (u64, f64, Moment)> + '_ {
-        let done = self.unapplied.iter().position(|sent| sent.0 == mark).map_or(0, |at| at + 1);
-        self.unapplied.drain(..done)
+    /// Removes and returns the message with this mark and all earlier ones.
+    pub fn take_acknowledged(&mut self, mark: u64) -> impl Iterator<Item = (u64, f64, Moment)> + '_ {
+        let acknowledged = self.unacknowledged.iter().position(|sent| sent.0 == mark).map_or(0, |at| at + 1);
+        self.unacknowledged.drain(..acknowledged)
     }
 }
 
 #[derive(Clone, Debug, Default)]
 pub struct Table {
-    pub lines: Vec<Share>,
-    /// Level step and resends as last set.
-    pub gates: Option<usize>,
+    pub lines: Vec<WeightedServer>,
+    /// Level step last sent to the proxies.
+    pub level_step: Option<usize>,
 }
 
-/// Servers that a group of proxies of a class goes to; the whole of them or some.
+/// Servers used by a group of proxies that share a target: all of them or a subset.
 #[derive(Clone, Debug, Default)]
-pub struct Part {
-    pub class: usize,
-    pub whole: bool,
-    /// Lines that its table was to have when the part was made.
+pub struct Subset {
+    pub target_index: usize,
+    pub full: bool,
+    /// Intended number of lines of its table when the subset was created.
     pub width: usize,
-    pub table: Option<TableNo>,
-    pub servers: BTreeSet<ServerIx>,
+    pub table: Option<TableIndex>,
+    pub servers: BTreeSet<ServerIndex>,
 }
 
 impl Table {
-    pub fn weight(&self, at: ServerIx) -> f64 {
+    pub fn weight(&self, at: ServerIndex) -> f64 {
         self.lines.iter().find(|line| line.0 == at).map_or(0.0, |line| line.1)
     }
 
     /// Sets a line; a weight of 0 removes it.
-    pub fn set(&mut self, (server, weight): Share) {
+    pub fn set(&mut self, (server, weight): WeightedServer) {
         self.lines.retain(|line| line.0 != server);
         self.lines.extend((weight > 0.0).then_some((server, weight)));
     }
@@ -439,105 +446,111 @@
 
 #[derive(Clone, Debug, Default)]
 pub struct Slice {
-    pub given: bool,
-    pub lines: Vec<Share>,
-    pub held_until: Option<Moment>,
+    pub assigned: bool,
+    pub lines: Vec<WeightedServer>,
+    pub paused_until: Option<Moment>,
 }
 
-/// A channel is not taken for slower than this part of its pace: it could not be seen to be quick again.
-const SLOWEST: f64 = 0.02;
+/// Lower bound of the measured throughput, as a fraction of the configured one. A lower estimate could
+/// never be seen to recover.
+const MIN_THROUGHPUT_FRACTION: f64 = 0.02;
 
-/// All that an instance remembers.
+/// State of a planner instance.
 #[derive(Clone, Debug, Default)]
 pub struct State {
     pub servers: Vec<Server>,
     pub proxies: Vec<Proxy>,
-    pub joins: u64,
+    pub join_count: u64,
     pub tables: Vec<Table>,
-    /// What each table should hold; deltas lead there.
-    pub wanted: Vec<Vec<Share>>,
-    pub parts: Vec<Part>,
-    /// Lines of a table that goes to a part of the servers, among all planners and with all proxies come here.
-    pub widths: Option<[usize; 2]>,
-    /// Mean demand of a proxy.
-    pub average: f64,
+    /// Desired contents of each table; the difference to the current contents is sent as changes.
+    pub desired: Vec<Vec<WeightedServer>>,
+    pub subsets: Vec<Subset>,
+    /// Intended lines of a subset's table: with the proxies spread over all planners, and with all proxies
+    /// at this one.
+    pub subset_widths: Option<[usize; 2]>,
+    pub mean_demand: f64,
     pub slices: Vec<Slice>,
-    /// Imbalance when the proxies were last grouped.
-    pub packed: f64,
-    /// Step of the levels.
-    pub step: usize,
-    /// Calls by route, lately.
-    pub by_route: Vec<f64>,
-    /// How busy warm servers are on average.
-    pub common: f64,
-    /// Weight that one call a second keeps busy, as seen while the fleet was at ease.
-    pub work: Option<f64>,
-    pub mark: u64,
-    /// Lines ordered lately, by turn, back to the oldest message that has not arrived.
-    pub ordered: Vec<(Moment, f64)>,
-    /// Messages that arrived lately: when, ordered when, lines. And the newest order that surely has left.
-    pub arrived: Vec<(Moment, Moment, f64)>,
-    pub front: Moment,
-    /// Lines a second that the channel was last seen to take.
-    pub pace: Option<f64>,
-    /// Lines for proxies that have left, and until when they count as waiting: nobody will confirm them.
-    pub departed: Vec<(Moment, f64)>,
-    /// What operators let in of each route at most, and whether they hold changes of tables.
-    pub caps: Vec<f64>,
-    pub held: bool,
-    /// What other planners told: calls per second at their proxies; the part of a cold server's budget that is ours.
-    pub elsewhere: Option<f64>,
-    pub share: Option<f64>,
+    /// Imbalance when the subsets were last grouped into tables.
+    pub grouping_imbalance: f64,
+    /// Index of the admission levels in force.
+    pub level_step: usize,
+    /// Recent calls by route.
+    pub calls_by_route: Vec<f64>,
+    /// Mean utilization of warm servers.
+    pub mean_util: f64,
+    /// Server weight that one call per second occupies, measured while the fleet was not overloaded.
+    pub weight_per_call: Option<f64>,
+    pub last_mark: u64,
+    /// Recently sent lines by turn, back to the oldest unacknowledged message.
+    pub sent: Vec<(Moment, f64)>,
+    /// Recently delivered messages (when delivered, when sent, lines), and the latest send time up to which
+    /// messages have certainly left the channel.
+    pub delivered: Vec<(Moment, Moment, f64)>,
+    pub delivered_front: Moment,
+    /// Last measured throughput of the channel, in lines per second.
+    pub throughput: Option<f64>,
+    /// Lines sent to proxies that have since left, and until when they count as queued. They will never be
+    /// acknowledged.
+    pub abandoned: Vec<(Moment, f64)>,
+    /// Operators' limits on the admitted fraction of each route, and whether they suspended table changes.
+    pub route_caps: Vec<f64>,
+    pub changes_held: bool,
+    /// Reported by other planners: calls per second at their proxies, and the fraction of the load for cold
+    /// servers that this planner may use.
+    pub other_planners_rate: Option<f64>,
+    pub cold_share: Option<f64>,
     /// Servers to probe in this turn.
-    pub ask: Vec<ServerIx>,
+    pub to_probe: Vec<ServerIndex>,
     pub notes: Vec<String>,
-    /// Something changed; and it cannot wait.
-    pub stirred: bool,
-    pub pressed: bool,
-    pub pushed: Moment,
-    pub planned: Moment,
-    pub reviewed: Moment,
-    pub leveled: Moment,
-    pub woken: Moment,
-    pub asked_list: Option<Moment>,
+    /// A new plan is due, and whether it must not wait for the push interval.
+    pub plan_due: bool,
+    pub urgent: bool,
+    pub pushed_at: Moment,
+    pub planned_at: Moment,
+    pub reviewed_at: Moment,
+    pub level_changed_at: Moment,
+    pub wake_at: Moment,
+    pub list_requested_at: Option<Moment>,
 }
 
 impl State {
-    /// A server's record, made at first sight.
-    pub fn server(&mut self, at: ServerIx) -> &mut Server {
+    /// Returns a server's record, creating it on first use.
+    pub fn server(&mut self, at: ServerIndex) -> &mut Server {
         if self.servers.len() <= at {
             self.servers.resize(at + 1, Server::default());
         }
         let server = &mut self.servers[at];
-        // Whoever speaks of it begins its time anew: one that came and went between two looks was forgotten early.
-        (server.taken, server.left) = (true, None);
+        // Any mention restarts the retention time. Otherwise a server that came and went between two checks
+        // was released too early.
+        (server.in_use, server.unreferenced_since) = (true, None);
         server
     }
 
-    /// Places taken by servers that are gone and stand in no table, part, slice or question, since when. Those
-    /// that a message under way may name are none of them: it is older than the place is bare.
-    pub fn bare(&mut self, now: Moment) -> Vec<(ServerIx, Moment)> {
-        let mut named = vec![false; self.servers.len()];
-        let lines = self.tables.iter().map(|table| &table.lines).chain(&self.wanted);
+    /// Indices of absent servers that no table, subset, slice or pending probe refers to, and since when.
+    /// Excludes those that an unacknowledged message may still refer to, because it was sent before the
+    /// last reference went away.
+    pub fn unreferenced_servers(&mut self, now: Moment) -> Vec<(ServerIndex, Moment)> {
+        let mut referenced = vec![false; self.servers.len()];
+        let lines = self.tables.iter().map(|table| &table.lines).chain(&self.desired);
         let lines = lines.chain(self.slices.iter().map(|slice| &slice.lines)).flatten().map(|line| line.0);
-        let parts = self.parts.iter().flat_map(|part| part.servers.iter().copied());
-        lines.chain(parts).chain(self.ask.iter().copied()).for_each(|at| named[at] = true);
-        let under_way = self.proxies.iter().flat_map(|p| &p.unapplied).map(|sent| sent.2).min();
-        let mut bare = Vec::new();
+        let subset_servers = self.subsets.iter().flat_map(|subset| subset.servers.iter().copied());
+        lines.chain(subset_servers).chain(self.to_probe.iter().copied()).for_each(|at| referenced[at] = true);
+        let oldest_sent = self.proxies.iter().flat_map(|p| &p.unacknowledged).map(|sent| sent.2).min();
+        let mut unreferenced = Vec::new();
         for (at, server) in self.servers.iter_mut().enumerate() {
-            if named[at] || server.stand != Stand::Gone || !server.taken {
-                server.left = None;
+            if referenced[at] || server.state != ServerState::Absent || !server.in_use {
+                server.unreferenced_since = None;
                 continue;
             }
-            let left = *server.left.get_or_insert(now);
-            bare.extend(under_way.is_none_or(|ordered| ordered > left).then_some((at, left)));
+            let since = *server.unreferenced_since.get_or_insert(now);
+            unreferenced.extend(oldest_sent.is_none_or(|sent| sent > since).then_some((at, since)));
         }
-        bare
+        unreferenced
     }
 
-    /// Halves what was measured, so that it fades.
-    pub fn halve(&mut self) {
-        self.by_route.iter_mut().for_each(|calls| *calls /= 2.0);
+    /// Halves all measurements so that older ones fade out.
+    pub fn decay(&mut self) {
+        self.calls_by_route.iter_mut().for_each(|calls| *calls /= 2.0);
         for server in &mut self.servers {
             server.util.halve();
             server.tries /= 2.0;
@@ -545,203 +558,208 @@
         }
         for proxy in &mut self.proxies {
             proxy.calls /= 2.0;
-            proxy.over /= 2.0;
+            proxy.observed_s /= 2.0;
         }
     }
 
-    /// Tries and dropped ones, lately, at the servers that count; at least one try.
-    pub fn tally(&self, counts: impl Fn(&Server) -> bool) -> (f64, f64) {
+    /// Recent tries and dropped tries at the servers that match, counting at least one try.
+    pub fn try_totals(&self, counts: impl Fn(&Server) -> bool) -> (f64, f64) {
         let servers = self.servers.iter().filter(|s| counts(s));
         servers.fold((1.0, 0.0), |sum, s| (sum.0 + s.tries, sum.1 + s.dropped))
     }
 
-    /// Mean demand of the proxies of which something is known.
-    pub fn mean_rate(&self, guess_calls: f64) -> f64 {
-        let rates = self.proxies.iter().filter_map(|p| p.rate(guess_calls));
+    /// Mean demand of the proxies whose rate is known.
+    pub fn mean_rate(&self, prior_calls: f64) -> f64 {
+        let rates = self.proxies.iter().filter_map(|p| p.rate(prior_calls));
         let (sum, count) = rates.fold((0.0, 0), |a, rate| (a.0 + rate, a.1 + 1));
         sum / f64::from(count.max(1))
     }
 
-    /// What joined proxies ask together.
-    pub fn seen(&self, demand: impl Fn(&Proxy) -> f64) -> f64 {
+    /// Total demand of the joined proxies.
+    pub fn joined_demand(&self, demand: impl Fn(&Proxy) -> f64) -> f64 {
         self.proxies.iter().filter(|p| p.joined).map(demand).sum()
     }
 
-    /// Marks the messages of a turn, by what each proxy's costs, so that their arrival will be told.
-    pub fn mark_messages(&mut self, now: Moment, costs: &[f64], kept: Span) -> Option<Action> {
-        let mark = (self.mark + 1) % 65_536;
+    /// Records the messages of a turn by their cost per proxy, and returns the mark that the proxies will
+    /// acknowledge.
+    pub fn record_messages(&mut self, now: Moment, costs: &[f64], window: Span) -> Option<Action> {
+        let mark = (self.last_mark + 1) % 65_536;
         let lines: f64 = costs.iter().sum();
-        self.ordered.extend((lines > 0.0).then_some((now, lines)));
+        self.sent.extend((lines > 0.0).then_some((now, lines)));
         for (proxy, cost) in self.proxies.iter_mut().zip(costs).filter(|(_, cost)| **cost > 0.0) {
-            self.mark = mark;
-            proxy.unapplied.push((mark, *cost, now));
-            proxy.told.retain(|told| now.since(*told) <= kept);
-            proxy.told.push(now);
+            self.last_mark = mark;
+            proxy.unacknowledged.push((mark, *cost, now));
+            proxy.sent_at.retain(|sent| now.since(*sent) <= window);
+            proxy.sent_at.push(now);
         }
-        (self.mark == mark).then_some(Action::Mark { mark })
+        (self.last_mark == mark).then_some(Action::Mark { mark })
     }
 
-    /// Lines on their way to proxies, at most. While marks come back within the time a full channel takes to
-    /// empty, what they have not confirmed; beyond it all that was ordered after the oldest such message:
-    /// once streams have broken, later messages overtake those that stay.
-    pub fn queued(&mut self, now: Moment, full: Span) -> f64 {
-        self.departed.retain(|left| left.0 > now);
-        let waiting = self.proxies.iter().flat_map(|p| &p.unapplied);
-        let held = waiting.clone().map(|sent| sent.1).chain(self.departed.iter().map(|left| left.1)).sum();
-        let oldest = waiting.map(|sent| sent.2).min().unwrap_or(now);
-        self.ordered.retain(|turn| turn.0 >= oldest);
-        let since = self.ordered.iter().map(|turn| turn.1).sum();
-        if now.since(oldest) > full {
-            f64::max(held, since)
+    /// Upper bound on the lines still on their way to proxies. While acknowledgements arrive within the
+    /// time a full channel takes to drain, only unacknowledged messages count. After that, everything sent
+    /// since the oldest of them counts: once streams have broken, later messages overtake earlier ones that
+    /// remain queued.
+    pub fn queued_lines(&mut self, now: Moment, drain_time: Span) -> f64 {
+        self.abandoned.retain(|abandoned| abandoned.0 > now);
+        let queued = self.proxies.iter().flat_map(|p| &p.unacknowledged);
+        let unacknowledged =
+            queued.clone().map(|sent| sent.1).chain(self.abandoned.iter().map(|abandoned| abandoned.1)).sum();
+        let oldest = queued.map(|sent| sent.2).min().unwrap_or(now);
+        self.sent.retain(|turn| turn.0 >= oldest);
+        let sent_since = self.sent.iter().map(|turn| turn.1).sum();
+        if now.since(oldest) > drain_time {
+            f64::max(unacknowledged, sent_since)
         } else {
-            held
+            unacknowledged
         }
     }
 
-    pub fn applied(&mut self, now: Moment, proxy: ProxyIx, mark: u64) {
-        let done: Vec<(u64, f64, Moment)> = self.proxy(proxy).applied(mark).collect();
-        self.arrived.extend(done.into_iter().map(|sent| (now, sent.2, sent.1)));
+    pub fn acknowledge(&mut self, now: Moment, proxy: ProxyIndex, mark: u64) {
+        let acknowledged: Vec<(u64, f64, Moment)> = self.proxy(proxy).take_acknowledged(mark).collect();
+        self.delivered.extend(acknowledged.into_iter().map(|sent| (now, sent.2, sent.1)));
     }
 
-    /// Lines a second that the channel takes. Messages leave in the order they were ordered in: since the
-    /// oldest that may still stand in it the channel was never idle, and what arrived since tells how fast it
-    /// is. One that was overtaken a whole way ago is lost or its proxy stands still. `way`: there and back.
-    pub fn measure_pace(&mut self, now: Moment, way: Span, stated: f64) -> f64 {
-        let old = |arrived: &&(Moment, Moment, f64)| now.since(arrived.0) > way;
-        let left = self.arrived.iter().filter(old).map(|arrived| arrived.1).max();
-        self.front = self.front.max(left.unwrap_or(self.front));
-        let standing = self.proxies.iter().flat_map(|p| &p.unapplied).map(|sent| sent.2);
-        let oldest = standing.filter(|ordered| *ordered > self.front).min().unwrap_or(now);
-        self.arrived.retain(|arrived| arrived.0 >= oldest || now.since(arrived.0) <= way);
-        let before = self.pace.unwrap_or(stated);
-        let span = now.since(self.pushed).seconds();
-        let busy = now.since(oldest).seconds() - way.seconds();
-        let since = self.arrived.iter().filter(|arrived| arrived.0 >= oldest).map(|arrived| arrived.2);
-        let pace = if busy > 0.0 { since.sum::<f64>() / busy } else { before * (1.0 + span) };
-        let pace = pace.clamp(SLOWEST * stated, stated);
-        self.pace = Some(pace);
-        pace
+    /// Estimates the throughput of the channel in lines per second. Messages leave in the order in which
+    /// they were sent, so the channel has not been idle since the oldest message that may still be queued,
+    /// and the lines delivered since then give its rate. A message overtaken more than a round trip ago is
+    /// lost, or its proxy has stalled. `round_trip` is the longest time to a proxy and back.
+    pub fn measure_throughput(&mut self, now: Moment, round_trip: Span, configured: f64) -> f64 {
+        let settled = |delivered: &&(Moment, Moment, f64)| now.since(delivered.0) > round_trip;
+        let latest_sent = self.delivered.iter().filter(settled).map(|delivered| delivered.1).max();
+        self.delivered_front = self.delivered_front.max(latest_sent.unwrap_or(self.delivered_front));
+        let queued = self.proxies.iter().flat_map(|p| &p.unacknowledged).map(|sent| sent.2);
+        let oldest = queued.filter(|sent| *sent > self.delivered_front).min().unwrap_or(now);
+        self.delivered.retain(|delivered| delivered.0 >= oldest || now.since(delivered.0) <= round_trip);
+        let previous = self.throughput.unwrap_or(configured);
+        let elapsed = now.since(self.pushed_at).seconds();
+        let busy = now.since(oldest).seconds() - round_trip.seconds();
+        let lines =
+            self.delivered.iter().filter(|delivered| delivered.0 >= oldest).map(|delivered| delivered.2);
+        let throughput = if busy > 0.0 { lines.sum::<f64>() / busy } else { previous * (1.0 + elapsed) };
+        let throughput = throughput.clamp(MIN_THROUGHPUT_FRACTION * configured, configured);
+        self.throughput = Some(throughput);
+        throughput
     }
 
-    /// A proxy leaves, or comes anew: what was on its way stays in the channel for a while.
-    pub fn depart(&mut self, at: ProxyIx, until: Moment) {
-        let lines: f64 = self.proxy(at).unapplied.drain(..).map(|sent| sent.1).sum();
-        self.departed.extend((lines > 0.0).then_some((until, lines)));
+    /// The proxy left or joined again: its unacknowledged messages stay in the channel for a while.
+    pub fn abandon_messages(&mut self, at: ProxyIndex, until: Moment) {
+        let lines: f64 = self.proxy(at).unacknowledged.drain(..).map(|sent| sent.1).sum();
+        self.abandoned.extend((lines > 0.0).then_some((until, lines)));
     }
 
-    /// The proxies that follow each table, also where they wait to be given another.
-    pub fn users(&self) -> Vec<Vec<ProxyIx>> {
-        let mut users: Vec<Vec<ProxyIx>> = vec![Vec::new(); self.tables.len()];
+    /// Proxies that use each table, including those waiting to be given another one.
+    pub fn followers(&self) -> Vec<Vec<ProxyIndex>> {
+        let mut followers: Vec<Vec<ProxyIndex>> = vec![Vec::new(); self.tables.len()];
         for (at, proxy) in self.proxies.iter().enumerate() {
-            proxy.holds.iter().for_each(|table| users[*table].push(at));
+            proxy.current_table.iter().for_each(|table| followers[*table].push(at));
         }
-        users
+        followers
     }
 
-    /// The table a proxy should have.
-    pub fn table(&self, proxy: &Proxy) -> Option<TableNo> {
-        proxy.part.and_then(|part| self.parts[part].table)
+    /// The table that a proxy should use.
+    pub fn table_of(&self, proxy: &Proxy) -> Option<TableIndex> {
+        proxy.subset.and_then(|subset| self.subsets[subset].table)
     }
 
-    /// Puts a part on a table; its proxies wait to be given it.
-    pub fn move_part(&mut self, part: usize, table: Option<TableNo>) {
-        if self.parts[part].table != table {
-            self.parts[part].table = table;
-            self.proxies.iter_mut().filter(|p| p.part == Some(part)).for_each(|p| p.bound = None);
+    /// Assigns a table to a subset. The proxies of the subset then wait to be given it.
+    pub fn assign_table(&mut self, subset: usize, table: Option<TableIndex>) {
+        if self.subsets[subset].table != table {
+            self.subsets[subset].table = table;
+            self.proxies.iter_mut().filter(|p| p.subset == Some(subset)).for_each(|p| p.bound_at = None);
         }
     }
 
-    /// Proxies in each part, and what they ask.
-    pub fn held(&self, demand: impl Fn(&Proxy) -> f64) -> Vec<(usize, f64)> {
-        let mut held: Vec<(usize, f64)> = vec![(0, 0.0); self.parts.len()];
+    /// Number of proxies in each subset, and their demand.
+    pub fn subset_demand(&self, demand: impl Fn(&Proxy) -> f64) -> Vec<(usize, f64)> {
+        let mut totals: Vec<(usize, f64)> = vec![(0, 0.0); self.subsets.len()];
         for proxy in self.proxies.iter().filter(|p| p.joined) {
-            if let Some(part) = proxy.part {
-                held[part] = (held[part].0 + 1, held[part].1 + demand(proxy));
+            if let Some(subset) = proxy.subset {
+                totals[subset] = (totals[subset].0 + 1, totals[subset].1 + demand(proxy));
             }
         }
-        held
+        totals
     }
 
-    pub fn note_load(&mut self, at: ServerIx, edges: &'static [f64], util: Option<f64>, times: f64) {
+    pub fn record_load(&mut self, at: ServerIndex, edges: &'static [f64], util: Option<f64>, weight: f64) {
         if let Some(util) = util {
-            self.server(at).util.add(edges, util, times);
+            self.server(at).util.add(edges, util, weight);
         }
     }
 
-    /// What needs no more than to be kept.
-    pub fn note(&mut self, event: &Event) {
+    /// Applies an event that only changes stored values.
+    pub fn apply_event(&mut self, event: &Event) {
         match event {
             Event::ProxyJoined { proxy, zone, calls_per_s } => self.join(*proxy, *zone, *calls_per_s),
             Event::ProxyLeft { proxy } => *self.proxy(*proxy) = Proxy::default(),
-            Event::Arrivals { proxy, route, calls, period: over, .. } => {
-                self.arrive(*proxy, *route, *calls, *over)
+            Event::Arrivals { proxy, route, calls, period, .. } => {
+                self.record_arrivals(*proxy, *route, *calls, *period)
             }
-            Event::LimitRoute { route, level } => self.cap(*route, *level),
-            Event::HoldChanges { on } => self.held = *on,
-            Event::OtherPlannersRate { calls_per_s: calls } => self.elsewhere = *calls,
-            Event::ColdShare { share: part } => {
-                self.stirred |= std::mem::replace(&mut self.share, *part) != *part
+            Event::LimitRoute { route, level } => self.set_route_cap(*route, *level),
+            Event::HoldChanges { on } => self.changes_held = *on,
+            Event::OtherPlannersRate { calls_per_s } => self.other_planners_rate = *calls_per_s,
+            Event::ColdShare { share } => {
+                self.plan_due |= std::mem::replace(&mut self.cold_share, *share) != *share
             }
-            Event::ReduceWeight { server, by: part } => {
-                let before = std::mem::replace(&mut self.server(*server).lighter, *part);
-                self.stirred |= before != *part;
+            Event::ReduceWeight { server, by } => {
+                let before = std::mem::replace(&mut self.server(*server).weight_reduction, *by);
+                self.plan_due |= before != *by;
             }
-            Event::SliceAssigned { slice, assigned: given } => self.give_slice(*slice, *given),
-            Event::SliceLine { slice, server, weight } => self.slice_line(*slice, *server, *weight),
+            Event::SliceAssigned { slice, assigned } => self.assign_slice(*slice, *assigned),
+            Event::SliceLine { slice, server, weight } => self.add_slice_line(*slice, *server, *weight),
             _ => {}
         }
     }
 
-    /// A proxy joined: nothing known of it before counts.
-    pub fn join(&mut self, proxy: ProxyIx, zone: ZoneIx, first_guess: f64) {
-        self.joins += 1;
-        let joins = self.joins;
-        *self.proxy(proxy) = Proxy { joined: true, joins, zone, first_guess, ..Proxy::default() };
-        self.stirred = true;
+    /// Registers a proxy, discarding what was known about an earlier one with this index.
+    pub fn join(&mut self, proxy: ProxyIndex, zone: ZoneIndex, declared_rate: f64) {
+        self.join_count += 1;
+        let join_number = self.join_count;
+        *self.proxy(proxy) = Proxy { joined: true, join_number, zone, declared_rate, ..Proxy::default() };
+        self.plan_due = true;
     }
 
-    /// A cap changes: all tables are to be told their levels anew.
-    pub fn cap(&mut self, route: usize, level: f64) {
-        self.caps.resize(self.caps.len().max(route + 1), 1.0);
-        if std::mem::replace(&mut self.caps[route], level) == level {
+    /// Changes the limit of a route. The levels of all tables have to be sent again.
+    pub fn set_route_cap(&mut self, route: usize, level: f64) {
+        self.route_caps.resize(self.route_caps.len().max(route + 1), 1.0);
+        if std::mem::replace(&mut self.route_caps[route], level) == level {
             return;
         }
-        self.tables.iter_mut().for_each(|table| table.gates = table.gates.map(|_| usize::MAX));
+        self.tables.iter_mut().for_each(|table| table.level_step = table.level_step.map(|_| usize::MAX));
     }
 
-    /// Every route tells of the same period; the first stands for all.
-    pub fn arrive(&mut self, proxy: ProxyIx, route: usize, calls: f64, over: Span) {
-        self.by_route.resize(self.by_route.len().max(route + 1), 0.0);
-        self.by_route[route] += calls;
-        let known = self.proxy(proxy);
-        known.calls += calls;
-        known.over += if route == 0 { over.seconds() } else { 0.0 };
+    /// All routes report the same period, so only the first one is counted.
+    pub fn record_arrivals(&mut self, proxy: ProxyIndex, route: usize, calls: f64, period: Span) {
+        self.calls_by_route.resize(self.calls_by_route.len().max(route + 1), 0.0);
+        self.calls_by_route[route] += calls;
+        let record = self.proxy(proxy);
+        record.calls += calls;
+        record.observed_s += if route == 0 { period.seconds() } else { 0.0 };
     }
 
-    /// Adds tries to a server's count and answers with its counts of late.
-    pub fn note_tries(&mut self, server: ServerIx, tries: f64, dropped: f64) -> (f64, f64) {
-        let known = self.server(server);
-        known.tries += tries;
-        known.dropped += dropped;
-        (known.tries, known.dropped)
+    /// Adds tries to a server's recent counts and returns the sums.
+    pub fn record_tries(&mut self, server: ServerIndex, tries: f64, dropped: f64) -> (f64, f64) {
+        let record = self.server(server);
+        record.tries += tries;
+        record.dropped += dropped;
+        (record.tries, record.dropped)
     }
 
-    pub fn give_slice(&mut self, slice: TableNo, given: bool) {
+    pub fn assign_slice(&mut self, slice: TableIndex, assigned: bool) {
         if self.slices.len() <= slice {
             self.slices.resize(slice + 1, Slice::default());
         }
-        self.slices[slice] = Slice { given, ..Slice::default() };
+        self.slices[slice] = Slice { assigned, ..Slice::default() };
     }
 
-    pub fn slice_line(&mut self, slice: TableNo, server: ServerIx, weight: f64) {
+    pub fn add_slice_line(&mut self, slice: TableIndex, server: ServerIndex, weight: f64) {
         self.server(server);
-        if let Some(slice) = self.slices.get_mut(slice).filter(|slice| slice.given) {
+        if let Some(slice) = self.slices.get_mut(slice).filter(|slice| slice.assigned) {
             slice.lines.push((server, weight));
         }
     }
 
-    /// A proxy's record, made at first sight.
-    pub fn proxy(&mut self, at: ProxyIx) -> &mut Proxy {
+    /// Returns a proxy's record, creating it on first use.
+    pub fn proxy(&mut self, at: ProxyIndex) -> &mut Proxy {
         if self.proxies.len() <= at {
             self.proxies.resize(at + 1, Proxy::default());
         }
@@ -749,17 +767,17 @@
     }
 }
 
-/// Proxies of one target and table, as the grouping sees them.
-pub struct Member<'a> {
-    pub part: usize,
+/// A subset with its demand and current table, as input to the grouping.
+pub struct GroupMember<'a> {
+    pub subset: usize,
     pub demand: f64,
-    pub target: &'a [Share],
-    pub group: Option<TableNo>,
-    /// Some of them were given the table lately.
+    pub target: &'a [WeightedServer],
+    pub group: Option<TableIndex>,
+    /// Some of its proxies were given the table recently.
     pub settled: bool,
 }
 
-/// One instance: what it read at start, its chance and its state. `decide.rs` has what it does.
+/// A planner instance: its configuration, random generator and state. Its methods are in `decide.rs`.
 pub struct Planner {
     pub(crate) rng: fastrand::Rng,
     pub(crate) fleet: Fleet,
@@ -783,7 +801,13 @@
         capabilities: Capabilities,
         slicing: Slicing,
     ) -> Planner {
-        let state = State { planned: now, reviewed: now, leveled: now, woken: now, ..State::default() };
+        let state = State {
+            planned_at: now,
+            reviewed_at: now,
+            level_changed_at: now,
+            wake_at: now,
+            ..State::default()
+        };
         let rng = fastrand::Rng::with_seed(seed);
         Planner { rng, fleet, routes, channel, contract, capabilities, slicing, state }
     }
