--- a/crates/planner/tests/stage/mod.rs
+++ b/crates/planner/tests/harness/mod.rs
@@ -1,54 +1,54 @@
-//! A planner on a bare stage: events in by short calls, orders out as text.
+//! Test harness for a planner: passes events in and records the actions as text.
 
-// Each test file uses its own part.
+// Each test file uses only some of the items.
 #![allow(dead_code)]
 
 use pewtergap_planner::*;
 use std::fmt::Write;
 
-pub struct Stage {
+pub struct Harness {
     pub planner: Planner,
     pub now: Moment,
     pub trace: String,
-    /// So many proxies confirm by the next call what they are told.
-    pub confirming: usize,
+    /// Number of proxies that acknowledge each message by the next turn.
+    pub acknowledging: usize,
     pub marks: Vec<u64>,
 }
 
-pub struct Terms {
+pub struct Setup {
     pub zones: usize,
     pub proxies: usize,
     pub planners: usize,
-    pub crossing_price: f64,
-    pub messages_most: usize,
-    pub most_waiting: f64,
-    pub longest_way: Span,
+    pub cross_zone_cost: f64,
+    pub max_messages: usize,
+    pub max_queued_lines: f64,
+    pub max_transit: Span,
     pub throttle: Throttle,
-    pub shuns: bool,
-    pub conns_least: f64,
-    pub removal_binds: bool,
+    pub ejects_servers: bool,
+    pub min_server_connections: f64,
+    pub removal_is_binding: bool,
     pub slices: usize,
     pub exclusive: bool,
-    pub repeats: Vec<(f64, RetrySafety)>,
+    pub routes: Vec<(f64, RetrySafety)>,
 }
 
-pub fn terms() -> Terms {
-    let repeats = vec![(1.0, RetrySafety::Repeatable), (3.0, RetrySafety::Mutating)];
-    Terms {
+pub fn setup() -> Setup {
+    let routes = vec![(1.0, RetrySafety::Repeatable), (3.0, RetrySafety::Mutating)];
+    Setup {
         zones: 2,
         proxies: 4,
         planners: 1,
-        crossing_price: 0.08,
-        messages_most: usize::MAX,
-        most_waiting: 4000.0,
-        longest_way: ms(100),
+        cross_zone_cost: 0.08,
+        max_messages: usize::MAX,
+        max_queued_lines: 4000.0,
+        max_transit: ms(100),
         throttle: Throttle::Fraction,
-        shuns: false,
-        conns_least: f64::INFINITY,
-        removal_binds: true,
+        ejects_servers: false,
+        min_server_connections: f64::INFINITY,
+        removal_is_binding: true,
         slices: 0,
         exclusive: false,
-        repeats,
+        routes,
     }
 }
 
@@ -58,74 +58,74 @@
     Span::millis(ms)
 }
 
-impl Stage {
-    pub fn new(t: Terms) -> Stage {
-        let route = |(importance, repeats): &(f64, RetrySafety)| Route {
+impl Harness {
+    pub fn new(setup: Setup) -> Harness {
+        let route = |(importance, retry_safety): &(f64, RetrySafety)| Route {
             importance: *importance,
             slo_time: ms(1000),
             time_limit: ms(3000),
-            retry_safety: *repeats,
+            retry_safety: *retry_safety,
             zone_bound: false,
-            writes: *repeats == RetrySafety::Mutating,
+            writes: *retry_safety == RetrySafety::Mutating,
         };
         let planner = Planner::new(
             START,
             7,
             Fleet {
-                zones: t.zones,
-                proxies: t.proxies,
-                planners: t.planners,
+                zones: setup.zones,
+                proxies: setup.proxies,
+                planners: setup.planners,
                 list_on_request: false,
                 list_request_interval: ms(0),
-                cross_zone_cost: t.crossing_price,
-                min_server_connections: t.conns_least,
+                cross_zone_cost: setup.cross_zone_cost,
+                min_server_connections: setup.min_server_connections,
                 keep_alive: ms(15_000),
             },
-            t.repeats.iter().map(route).collect(),
+            setup.routes.iter().map(route).collect(),
             ChannelLimits {
                 message_overhead: 3.0,
-                max_queued_lines: t.most_waiting,
-                max_messages: t.messages_most,
+                max_queued_lines: setup.max_queued_lines,
+                max_messages: setup.max_messages,
                 message_window: ms(10_000),
                 lines_per_s: 2000.0,
-                max_transit: t.longest_way,
+                max_transit: setup.max_transit,
             },
             Contract {
                 drain_grace: ms(2000),
-                removal_is_binding: t.removal_binds,
+                removal_is_binding: setup.removal_is_binding,
                 cold_capacity: 0.2,
                 warmup: ms(16_000),
                 overload_factor: 3.0,
                 overload_time: ms(3000),
             },
             Capabilities {
-                throttle: t.throttle,
+                throttle: setup.throttle,
                 probes: true,
                 load_on_probe: false,
-                ejects_servers: t.shuns,
+                ejects_servers: setup.ejects_servers,
                 resend_wait_factor: 1.0,
             },
             Slicing {
-                slices: t.slices,
-                exclusive: t.exclusive,
+                slices: setup.slices,
+                exclusive: setup.exclusive,
                 write_stop_delay: ms(2500),
                 write_linger: ms(1500),
             },
         );
-        Stage { planner, now: START, trace: String::new(), confirming: 0, marks: Vec::new() }
+        Harness { planner, now: START, trace: String::new(), acknowledging: 0, marks: Vec::new() }
     }
 
-    /// Hands events over at a time after the start; prints the orders, wake-ups aside.
+    /// Runs a turn at a time after the start and records the actions except wake-ups.
     pub fn at(&mut self, after_ms: u64, events: &[Event]) {
         self.now = START + ms(after_ms);
         let marks: Vec<u64> = self.marks.drain(..).collect();
-        let applied = |mark: u64| (0..self.confirming).map(move |proxy| Event::Applied { proxy, mark });
+        let applied = |mark: u64| (0..self.acknowledging).map(move |proxy| Event::Applied { proxy, mark });
         let events: Vec<Event> = marks.into_iter().flat_map(applied).chain(events.iter().cloned()).collect();
-        for order in self.planner.turn(self.now, &events) {
-            if let Action::Mark { mark } = order {
+        for action in self.planner.turn(self.now, &events) {
+            if let Action::Mark { mark } = action {
                 self.marks.push(mark);
             }
-            let line = match order {
+            let line = match action {
                 Action::Wake { .. } => continue,
                 Action::SetLine { table, server, weight } => format!("line t{table} s{server} {weight:.3}"),
                 Action::Bind { proxy, table, routes } => format!("bind p{proxy} t{table} routes {routes}"),
@@ -138,14 +138,14 @@
         }
     }
 
-    /// Lets time pass in half-second steps.
-    pub fn pass(&mut self, from_ms: u64, to_ms: u64) {
+    /// Runs empty turns every half second.
+    pub fn advance(&mut self, from_ms: u64, to_ms: u64) {
         for at in (from_ms..=to_ms).step_by(500) {
             self.at(at, &[Event::Tick]);
         }
     }
 
-    pub fn note(&mut self, text: &str) {
+    pub fn comment(&mut self, text: &str) {
         let _ = writeln!(self.trace, "# {text}");
     }
 }
@@ -161,14 +161,14 @@
     ListEntry { server, zone, cell: 0, state, weight, last_start }
 }
 
-/// Servers by zone, all running and warm.
-pub fn kept(zones: &[usize]) -> Event {
+/// A stored list of servers by zone, all running and warm.
+pub fn stored_list(zones: &[usize]) -> Event {
     let entries =
         zones.iter().enumerate().map(|(s, z)| entry(s, *z, ListedState::Running, 1.0, None)).collect();
     Event::List { kind: ListKind::Kept, entries }
 }
 
-pub fn change(entry: ListEntry) -> Event {
+pub fn list_change(entry: ListEntry) -> Event {
     Event::List { kind: ListKind::Changes, entries: vec![entry] }
 }
 
@@ -176,11 +176,11 @@
     Event::ProxyJoined { proxy, zone, calls_per_s }
 }
 
-pub fn sums(server: usize, tries: f64, dropped: f64, util: Option<f64>) -> Event {
+pub fn server_stats(server: usize, tries: f64, dropped: f64, util: Option<f64>) -> Event {
     let load = Load { util, in_flight: None };
     Event::ServerStats { server, zone: 0, tries, dropped, mean_latency: ms(100), period: ms(1000), load }
 }
 
-pub fn probed(server: usize, end: ProbeOutcome) -> Event {
-    Event::ProbeEnded { server, outcome: end, load: Load::default() }
+pub fn probe_ended(server: usize, outcome: ProbeOutcome) -> Event {
+    Event::ProbeEnded { server, outcome, load: Load::default() }
 }
--- /dev/null
+++ b/crates/planner/tests/reconnect.rs
@@ -0,0 +1,130 @@
+//! All proxies reconnect to one planner while servers drain, over a channel with limited throughput.
+
+mod harness;
+
+use harness::*;
+use pewtergap_planner::*;
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+
+/// Lines that a message costs in addition to its table lines: its overhead and its mark.
+const MESSAGE_OVERHEAD: usize = 4;
+const LINES_PER_S: usize = 2_000;
+const STEP_MS: u64 = 50;
+
+/// A queued message: proxy, mark, lines, and the servers that its proxy uses once it is applied.
+type QueuedMessage = (usize, u64, usize, BTreeSet<usize>);
+
+#[derive(Default)]
+struct SimulatedChannel {
+    tables: BTreeMap<usize, BTreeSet<usize>>,
+    follows: BTreeMap<usize, usize>,
+    queue: VecDeque<QueuedMessage>,
+    /// Lines that the channel could have carried since its last message left.
+    credit: usize,
+    /// Servers last received by each proxy. A proxy that received nothing keeps the table of its former
+    /// planner.
+    applied_servers: BTreeMap<usize, BTreeSet<usize>>,
+}
+
+impl SimulatedChannel {
+    fn write(&mut self, actions: &[Action]) {
+        let mut changed: BTreeMap<usize, usize> = BTreeMap::new();
+        let (mut bound, mut marked) = (BTreeSet::new(), None);
+        for action in actions {
+            match action {
+                Action::SetLine { table, server, weight } => {
+                    let lines = self.tables.entry(*table).or_default();
+                    let _ = if *weight > 0.0 { lines.insert(*server) } else { lines.remove(server) };
+                    *changed.entry(*table).or_default() += 1;
+                }
+                Action::Bind { proxy, table, .. } => {
+                    self.follows.insert(*proxy, *table);
+                    bound.insert(*proxy);
+                }
+                Action::Mark { mark } => marked = Some(*mark),
+                _ => {}
+            }
+        }
+        let Some(mark) = marked else { return };
+        for (proxy, table) in &self.follows {
+            let lines = match (bound.contains(proxy), changed.get(table)) {
+                (true, _) => 1 + self.tables[table].len(),
+                (false, Some(lines)) => *lines,
+                (false, None) => continue,
+            };
+            self.queue.push_back((*proxy, mark, lines + MESSAGE_OVERHEAD, self.tables[table].clone()));
+        }
+    }
+
+    /// Delivers the lines of one time step and returns the acknowledgements.
+    fn step(&mut self) -> Vec<Event> {
+        self.credit += LINES_PER_S * STEP_MS as usize / 1_000;
+        let mut applied = Vec::new();
+        while let Some((_, _, lines, _)) = self.queue.front() {
+            if *lines > self.credit {
+                return applied;
+            }
+            self.credit -= lines;
+            let Some((proxy, mark, _, servers)) = self.queue.pop_front() else { break };
+            self.applied_servers.insert(proxy, servers);
+            applied.push(Event::Applied { proxy, mark });
+        }
+        self.credit = 0;
+        applied
+    }
+}
+
+/// Kills four of five planners and drains 30 servers. Returns how many of the 240 proxies use no drained
+/// server 2.3 s after the planner received the drain. `rate` gives the calls per second of the proxies that
+/// come from the killed planners.
+fn count_updated(rate: impl Fn(usize) -> f64) -> usize {
+    let setup = Setup {
+        zones: 3,
+        proxies: 240,
+        planners: 5,
+        max_queued_lines: 4_400.0,
+        max_transit: ms(300),
+        ..setup()
+    };
+    let mut harness = Harness::new(setup);
+    let mut channel = SimulatedChannel::default();
+    let drained: BTreeSet<usize> = (0..30).map(|server| server * 5).collect();
+    let zones: Vec<usize> = (0..200).map(|server| server % 3).collect();
+    for at in (0..8_300).step_by(STEP_MS as usize) {
+        let mut events = channel.step();
+        match at {
+            0 => {
+                events.push(stored_list(&zones));
+                events.extend((0..48).map(|proxy| joined(proxy, 0, 6.0)));
+            }
+            // The other four planners are killed, and their proxies reconnect within 0.6 s.
+            5_000..5_600 => {
+                let first = 48 + (at - 5_000) as usize / STEP_MS as usize * 16;
+                events.extend((first..first + 16).map(|proxy| joined(proxy, proxy % 3, rate(proxy))));
+            }
+            6_000 => {
+                let entries = drained.iter().map(|at| entry(*at, at % 3, ListedState::Stopping, 1.0, None));
+                events.push(Event::List { kind: ListKind::Changes, entries: entries.collect() });
+            }
+            _ => {}
+        }
+        events.push(Event::Tick);
+        let actions = harness.planner.turn(START + ms(at), &events);
+        channel.write(&actions);
+    }
+    channel.applied_servers.values().filter(|servers| servers.is_disjoint(&drained)).count()
+}
+
+#[test]
+fn all_proxies_of_one_planner_receive_a_drain_within_its_grace() {
+    let updated = count_updated(|_| 6.0);
+    assert_eq!(updated, 240, "proxies without a drained server 2.3 s after the planner received the drain");
+}
+
+#[test]
+fn a_mass_reconnect_with_heavy_proxies_is_updated_in_time_too() {
+    // Guards against wide tables for heavy proxies: sixteen tables with all servers took the channel for as
+    // long as the other 176 tables together.
+    let updated = count_updated(|proxy| if proxy % 12 == 0 { 40.0 } else { 6.0 });
+    assert_eq!(updated, 240, "proxies without a drained server 2.3 s after the planner received the drain");
+}
