--- a/crates/benchlink/src/lib.rs
+++ b/crates/benchlink/src/lib.rs
@@ -1,6 +1,6 @@
-//! The simulator's wire, joined to the planner.
+//! Connects planner instances to the simulator's line protocol.
 #![forbid(unsafe_code)]
 
 mod wire;
 
-pub use wire::Link;
+pub use wire::Host;
--- a/crates/benchlink/src/wire.rs
+++ b/crates/benchlink/src/wire.rs
@@ -1,4 +1,5 @@
-//! The wire, line by line: batches of events in, one reply out. No decision is taken here.
+//! The simulator's line protocol: each batch of events is answered with one reply. No decisions are made
+//! here.
 
 use pewtergap_planner::interner::Interner;
 use pewtergap_planner::{
@@ -8,7 +9,7 @@
 use std::fmt::Write;
 use std::io::BufRead;
 
-/// What one instance needs besides its planner: its names, and how its classes and zones are called.
+/// A planner instance with its interned names, its zones and routes, and the events of the current batch.
 struct Instance {
     planner: Planner,
     servers: Interner<String>,
@@ -16,11 +17,11 @@
     zones: Vec<String>,
     routes: Vec<String>,
     slices: bool,
-    inbox: Vec<Event>,
+    events: Vec<Event>,
 }
 
 #[derive(Clone)]
-struct Row {
+struct ListRow {
     server: String,
     zone: String,
     cell: u64,
@@ -30,12 +31,12 @@
 }
 
 #[derive(Default)]
-pub struct Link {
+pub struct Host {
     instances: BTreeMap<u64, Instance>,
-    banks: HashMap<u64, Vec<Row>>,
+    banks: HashMap<u64, Vec<ListRow>>,
 }
 
-/// The fields of one line, read in order; each failure names its field.
+/// The tab-separated fields of a line, read in order. Each error names its field.
 struct Fields<'a> {
     parts: std::str::Split<'a, char>,
 }
@@ -45,12 +46,12 @@
         self.parts.next().ok_or(format!("field {field} is missing"))
     }
 
-    fn whole(&mut self, field: &str) -> Result<u64, String> {
+    fn integer(&mut self, field: &str) -> Result<u64, String> {
         let text = self.text(field)?;
         text.parse().map_err(|_| format!("field {field}: '{text}' is not a whole number"))
     }
 
-    fn whole_or(&mut self, field: &str, absent: u64) -> Result<u64, String> {
+    fn integer_or(&mut self, field: &str, absent: u64) -> Result<u64, String> {
         match self.text(field)? {
             "-" => Ok(absent),
             text => text.parse().map_err(|_| format!("field {field}: '{text}' is not a whole number")),
@@ -101,11 +102,11 @@
     }
 }
 
-fn place(names: &[String], name: &str, field: &str) -> Result<usize, String> {
+fn index_of(names: &[String], name: &str, field: &str) -> Result<usize, String> {
     names.iter().position(|known| known == name).ok_or(format!("field {field}: '{name}' is not known"))
 }
 
-fn row(line: &str) -> Result<Row, String> {
+fn parse_row(line: &str) -> Result<ListRow, String> {
     let mut fields = Fields { parts: line.split('\t') };
     if fields.text("row")? != "row" {
         return Err("field row: a list is shorter than its count".into());
@@ -113,7 +114,7 @@
     let server = fields.text("Server")?.to_string();
     let zone = fields.text("Zone")?.to_string();
     fields.text("Sku")?;
-    let cell = fields.whole_or("Cluster", 0)?;
+    let cell = fields.integer_or("Cluster", 0)?;
     let state = match fields.text("State")? {
         "Running" => ListedState::Running,
         "Stopping" => ListedState::Stopping,
@@ -121,13 +122,13 @@
         other => return Err(format!("field State: '{other}' is not known")),
     };
     let weight = fields.number_or("Weight", 1.0)?;
-    let last_start = Some(fields.whole_or("LastStartNs", 0)?).filter(|at| *at > 0).map(Moment);
+    let last_start = Some(fields.integer_or("LastStartNs", 0)?).filter(|at| *at > 0).map(Moment);
     fields.end()?;
-    Ok(Row { server, zone, cell, state, weight, last_start })
+    Ok(ListRow { server, zone, cell, state, weight, last_start })
 }
 
-impl Link {
-    /// Runs until the input ends; an error says which line of which batch is wrong.
+impl Host {
+    /// Runs until the end of the input. An error names the batch and line at fault.
     pub fn run(&mut self, input: impl BufRead, mut output: impl std::io::Write) -> Result<(), String> {
         let mut lines = input.lines();
         while let Some(first) = lines.next() {
@@ -136,16 +137,16 @@
                 continue;
             }
             let mut fields = Fields { parts: first.split('\t') };
-            let start = |e: String| format!("batch line 1: {e}");
-            if fields.text("sync").map_err(start)? != "sync" {
+            let in_first_line = |e: String| format!("batch line 1: {e}");
+            if fields.text("sync").map_err(in_first_line)? != "sync" {
                 return Err(format!("batch line 1: message '{first}' where sync was due"));
             }
-            let now = Moment(fields.whole("TimeNs").map_err(start)?);
-            let number = fields.whole("frame").map_err(start)?;
+            let now = Moment(fields.integer("TimeNs").map_err(in_first_line)?);
+            let number = fields.integer("frame").map_err(in_first_line)?;
             let at = format!("batch {number}");
             let mut count = 1;
             loop {
-                let mut next = || {
+                let mut next_line = || {
                     count += 1;
                     match lines.next() {
                         Some(Ok(line)) => Ok((count, line)),
@@ -153,7 +154,7 @@
                         None => Err(format!("{at} line {count}: the input ends inside a batch")),
                     }
                 };
-                let (line_no, line) = next()?;
+                let (line_no, line) = next_line()?;
                 if line == "go" {
                     break;
                 }
@@ -161,27 +162,27 @@
                     let mut fields = Fields { parts: line.split('\t') };
                     fields.text("ledger")?;
                     let wrong = |e: String| format!("{at} line {line_no}: ledger: {e}");
-                    let bank = fields.whole("Bank").map_err(wrong)?;
-                    let entries = fields.whole("MembersList").map_err(wrong)?;
+                    let bank = fields.integer("Bank").map_err(wrong)?;
+                    let entries = fields.integer("MembersList").map_err(wrong)?;
                     fields.end().map_err(wrong)?;
                     let mut rows = Vec::new();
                     for _ in 0..entries {
-                        let (row_no, text) = next()?;
-                        rows.push(row(&text).map_err(|e| format!("{at} line {row_no}: row: {e}"))?);
+                        let (row_no, text) = next_line()?;
+                        rows.push(parse_row(&text).map_err(|e| format!("{at} line {row_no}: row: {e}"))?);
                     }
                     self.banks.insert(bank, rows);
                 } else {
-                    self.event(now, &line).map_err(|e| format!("{at} line {line_no}: {e}"))?;
+                    self.parse_event(now, &line).map_err(|e| format!("{at} line {line_no}: {e}"))?;
                 }
             }
-            // The whole reply is made before any of it is written, so it is never left half done.
+            // The reply is built completely before it is written, so an error never leaves half a reply.
             let mut reply = String::new();
             for (who, instance) in &mut self.instances {
-                if !instance.inbox.is_empty() {
-                    let inbox = std::mem::take(&mut instance.inbox);
-                    for order in instance.planner.turn(now, &inbox) {
-                        instance.write(*who, &order, &mut reply);
-                        if let Action::ReleaseServer { server } = order {
+                if !instance.events.is_empty() {
+                    let events = std::mem::take(&mut instance.events);
+                    for action in instance.planner.turn(now, &events) {
+                        instance.write_action(*who, &action, &mut reply);
+                        if let Action::ReleaseServer { server } = action {
                             instance.servers.release(server);
                         }
                     }
@@ -196,14 +197,14 @@
         Ok(())
     }
 
-    fn event(&mut self, now: Moment, line: &str) -> Result<(), String> {
+    fn parse_event(&mut self, now: Moment, line: &str) -> Result<(), String> {
         let mut fields = Fields { parts: line.split('\t') };
         let name = fields.text("message")?;
         self.dispatch(now, name, &mut fields).map_err(|e| format!("{name}: {e}"))
     }
 
     fn dispatch(&mut self, now: Moment, name: &str, fields: &mut Fields) -> Result<(), String> {
-        const KNOWN: [&str; 14] = [
+        const MESSAGES: [&str; 14] = [
             "provision",
             "crash_now",
             "members",
@@ -219,12 +220,12 @@
             "standing_line",
             "confirmed",
         ];
-        if !KNOWN.contains(&name) {
+        if !MESSAGES.contains(&name) {
             return Err("the message is not known".into());
         }
-        let who = fields.whole("Who")?;
+        let who = fields.integer("Who")?;
         if name == "provision" {
-            return self.provision(now, who, fields);
+            return self.create_instance(now, who, fields);
         }
         if name == "crash_now" {
             self.instances.remove(&who).ok_or(format!("field Who: instance {who} is not known"))?;
@@ -233,14 +234,14 @@
         let banks = &self.banks;
         let instance =
             self.instances.get_mut(&who).ok_or(format!("field Who: instance {who} is not known"))?;
-        let event = instance.read(name, fields, banks)?;
+        let event = instance.parse(name, fields, banks)?;
         fields.end()?;
-        instance.inbox.push(event);
+        instance.events.push(event);
         Ok(())
     }
 
-    fn provision(&mut self, now: Moment, who: u64, fields: &mut Fields) -> Result<(), String> {
-        let seed = fields.whole("RngSeed")?;
+    fn create_instance(&mut self, now: Moment, who: u64, fields: &mut Fields) -> Result<(), String> {
+        let seed = fields.integer("RngSeed")?;
         let mut text = fields.text("BootInfo")?.to_string();
         for more in fields.parts.by_ref() {
             text = text + "\t" + more;
@@ -257,7 +258,7 @@
             zones: start.zone_names,
             routes: start.route_names,
             slices,
-            inbox: vec![Event::Tick],
+            events: vec![Event::Tick],
         };
         self.instances.insert(who, instance);
         Ok(())
@@ -265,11 +266,11 @@
 }
 
 impl Instance {
-    fn read(
+    fn parse(
         &mut self,
         name: &str,
         fields: &mut Fields,
-        banks: &HashMap<u64, Vec<Row>>,
+        banks: &HashMap<u64, Vec<ListRow>>,
     ) -> Result<Event, String> {
         Ok(match name {
             "members" => {
@@ -280,9 +281,9 @@
                     "error" => ListKind::Failed,
                     other => return Err(format!("field How: '{other}' is not known")),
                 };
-                fields.whole_or("Epoch", 0)?;
-                let bank = fields.whole_or("Bank", 0)?;
-                let rows: &[Row] = match kind {
+                fields.integer_or("Epoch", 0)?;
+                let bank = fields.integer_or("Bank", 0)?;
+                let rows: &[ListRow] = match kind {
                     ListKind::Failed => &[],
                     _ => banks.get(&bank).ok_or(format!("field Bank: list {bank} is not known"))?,
                 };
@@ -290,7 +291,7 @@
                 for row in rows {
                     entries.push(ListEntry {
                         server: self.servers.intern(&row.server),
-                        zone: place(&self.zones, &row.zone, "Zone")?,
+                        zone: index_of(&self.zones, &row.zone, "Zone")?,
                         cell: row.cell,
                         state: row.state,
                         weight: row.weight,
@@ -300,12 +301,12 @@
                 Event::List { kind, entries }
             }
             "reminder" => {
-                fields.whole("Label")?;
+                fields.integer("Label")?;
                 Event::Tick
             }
             "echo" => {
                 let server = self.servers.intern(&fields.text("Server")?.to_string());
-                let end = match fields.text("How")? {
+                let outcome = match fields.text("How")? {
                     "ok" => ProbeOutcome::Answered,
                     "error" => ProbeOutcome::Error,
                     "full" => ProbeOutcome::Rejected,
@@ -313,68 +314,68 @@
                     "connect_failed" | "reset" => ProbeOutcome::Unreachable,
                     other => return Err(format!("field How: '{other}' is not known")),
                 };
-                fields.whole_or("CostTimeNs", 0)?;
-                Event::ProbeEnded { server, outcome: end, load: fields.load("Metrics")? }
+                fields.integer_or("CostTimeNs", 0)?;
+                Event::ProbeEnded { server, outcome, load: fields.load("Metrics")? }
             }
             "whisper" => {
-                fields.whole("Neighbour")?;
+                fields.integer("Neighbour")?;
                 fields.text("Contents")?;
                 Event::Tick
             }
             "joined" => {
-                let proxy = self.proxies.intern(&fields.whole("Agent")?);
-                let zone = place(&self.zones, fields.text("Zone")?, "Zone")?;
+                let proxy = self.proxies.intern(&fields.integer("Agent")?);
+                let zone = index_of(&self.zones, fields.text("Zone")?, "Zone")?;
                 let calls_per_s = fields.number_or("Weight", 0.0)?;
                 fields.flag("Active")?;
                 Event::ProxyJoined { proxy, zone, calls_per_s }
             }
-            "disconnected" => Event::ProxyLeft { proxy: self.proxies.intern(&fields.whole("Agent")?) },
+            "disconnected" => Event::ProxyLeft { proxy: self.proxies.intern(&fields.integer("Agent")?) },
             "roundup" => {
-                let dropped = fields.whole_or("Lost", 0)? as f64;
-                let over = Span(fields.whole_or("WindowNs", 0)?);
-                let mean = Span(fields.whole_or("CostTimeNs", 0)?);
-                let zone = place(&self.zones, fields.text("Zone")?, "Zone")?;
-                let tries = fields.whole_or("Number", 0)? as f64;
+                let dropped = fields.integer_or("Lost", 0)? as f64;
+                let period = Span(fields.integer_or("WindowNs", 0)?);
+                let mean_latency = Span(fields.integer_or("CostTimeNs", 0)?);
+                let zone = index_of(&self.zones, fields.text("Zone")?, "Zone")?;
+                let tries = fields.integer_or("Number", 0)? as f64;
                 let server = self.servers.intern(&fields.text("Server")?.to_string());
                 let load = fields.load("Metrics")?;
-                Event::ServerStats { server, zone, tries, dropped, mean_latency: mean, period: over, load }
+                Event::ServerStats { server, zone, tries, dropped, mean_latency, period, load }
             }
             "arrivals" => {
-                let proxy = self.proxies.intern(&fields.whole("Agent")?);
-                let route = place(&self.routes, fields.text("Service")?, "Service")?;
-                let calls = fields.whole_or("Number", 0)? as f64;
-                let dropped = fields.whole_or("Lost", 0)? as f64;
-                let over = Span(fields.whole_or("WindowNs", 0)?);
-                Event::Arrivals { proxy, route, calls, dropped, period: over }
+                let proxy = self.proxies.intern(&fields.integer("Agent")?);
+                let route = index_of(&self.routes, fields.text("Service")?, "Service")?;
+                let calls = fields.integer_or("Number", 0)? as f64;
+                let dropped = fields.integer_or("Lost", 0)? as f64;
+                let period = Span(fields.integer_or("WindowNs", 0)?);
+                Event::Arrivals { proxy, route, calls, dropped, period }
             }
             "hotness" => {
-                fields.whole("RouteTable")?;
-                place(&self.routes, fields.text("Service")?, "Service")?;
-                fields.whole_or("Number", 0)?;
-                fields.whole_or("Lost", 0)?;
-                fields.whole_or("WindowNs", 0)?;
+                fields.integer("RouteTable")?;
+                index_of(&self.routes, fields.text("Service")?, "Service")?;
+                fields.integer_or("Number", 0)?;
+                fields.integer_or("Lost", 0)?;
+                fields.integer_or("WindowNs", 0)?;
                 Event::Tick
             }
             "mandate" => {
-                let slice = fields.whole("RouteTable")? as usize;
+                let slice = fields.integer("RouteTable")? as usize;
                 Event::SliceAssigned { slice, assigned: fields.flag("Active")? }
             }
             "standing_line" => {
                 let server = self.servers.intern(&fields.text("Server")?.to_string());
-                let slice = fields.whole("RouteTable")? as usize;
+                let slice = fields.integer("RouteTable")? as usize;
                 Event::SliceLine { slice, server, weight: fields.number_or("Weight", 1.0)? }
             }
             _ => {
-                let proxy = self.proxies.intern(&fields.whole("Agent")?);
-                let mark = fields.whole("Epoch")?;
-                fields.whole_or("CostTimeNs", 0)?;
+                let proxy = self.proxies.intern(&fields.integer("Agent")?);
+                let mark = fields.integer("Epoch")?;
+                fields.integer_or("CostTimeNs", 0)?;
                 Event::Applied { proxy, mark }
             }
         })
     }
 
-    fn write(&self, who: u64, order: &Action, reply: &mut String) {
-        let _ = match order {
+    fn write_action(&self, who: u64, action: &Action, reply: &mut String) {
+        let _ = match action {
             Action::SetLine { table, server, weight } => {
                 writeln!(reply, "put_line\t{who}\t{table}\t{}\t{weight}", self.servers.name(*server))
             }
--- a/crates/benchlink/tests/refusals.rs
+++ b/crates/benchlink/tests/refusals.rs
@@ -1,21 +1,21 @@
-//! Malformed input is named by line and field, and no reply is left half written.
+//! Malformed input is reported with its line and field, and no reply is written partially.
 
-use pewtergap_benchlink::Link;
+use pewtergap_benchlink::Host;
 
 const START: &str = r#"provision	0	7	{"Zones":["a"],"Profiles":[{"Name":"r","Semantics":"free"}]}"#;
 
-/// The error for one event line after a good start, and what was written before it.
-fn refusal(line: &str) -> String {
+/// The error for one event line after a valid start. Also checks that only complete replies were written.
+fn rejection(line: &str) -> String {
     let input = format!("sync\t1\t1\n{START}\ngo\nsync\t2\t2\n{line}\ngo\n");
     let mut output = Vec::new();
-    let error = Link::default().run(input.as_bytes(), &mut output).err().unwrap_or("accepted".into());
+    let error = Host::default().run(input.as_bytes(), &mut output).err().unwrap_or("accepted".into());
     let text = String::from_utf8_lossy(&output).into_owned();
-    assert!(text.ends_with("next\t1\n") || text.ends_with("next\t2\n"), "half a reply: {text}");
+    assert!(text.ends_with("next\t1\n") || text.ends_with("next\t2\n"), "incomplete reply: {text}");
     format!("{:<44} -> {error}", line.replace('\t', " "))
 }
 
 #[test]
-fn malformed_lines_are_named() {
+fn malformed_lines_are_reported_with_their_field() {
     let lines = [
         "reminder\t0\t1",
         "gossip\t0",
@@ -41,14 +41,14 @@
         "provision\t1\t7\t{\"Zones\":1,\"Profiles\":[{\"Name\":\"r\",\"Semantics\":\"free\"}]}",
         "crash_now\t4",
     ];
-    insta::assert_snapshot!(lines.map(refusal).join("\n"));
+    insta::assert_snapshot!(lines.map(rejection).join("\n"));
 }
 
 #[test]
-fn a_batch_that_is_cut_off_gets_no_reply() {
+fn an_incomplete_batch_gets_no_reply() {
     let mut output = Vec::new();
     let input = format!("sync\t1\t1\n{START}\n");
-    let error = Link::default().run(input.as_bytes(), &mut output);
+    let error = Host::default().run(input.as_bytes(), &mut output);
     assert!(output.is_empty());
     insta::assert_snapshot!(error.err().unwrap_or_default());
 }
@@ -60,7 +60,7 @@
     let input =
         format!("sync\t1\t1\n{START}\n{}{}joined\t0\t3\ta\t1\t1\ngo\n", row("10.0.0.1:1"), row("10.0.0.2:1"));
     let mut output = Vec::new();
-    let done = Link::default().run(input.as_bytes(), &mut output);
+    let done = Host::default().run(input.as_bytes(), &mut output);
     assert_eq!(done, Ok(()));
     let kept = |line: &&str| !line.starts_with("timer");
     let text = String::from_utf8_lossy(&output).into_owned();
@@ -68,21 +68,21 @@
 }
 
 #[test]
-fn a_place_that_is_used_again_goes_by_its_new_name() {
-    // One server at a time, replaced every 5 s for 10 minutes: places are given up after two.
+fn a_reused_index_is_written_with_its_new_name() {
+    // One server at a time, replaced every 5 s for 10 minutes. Indices are released after two minutes.
     let mut input = format!("sync\t1\t0\n{START}\njoined\t0\t3\ta\t1\t1\ngo\n");
     for step in 1..=120u64 {
         let (ns, row) = (step * 5_000_000_000, format!("row\ts-{step}\ta\tk\t0\tRunning\t1\t-"));
         input +=
             &format!("sync\t{ns}\t{step}\nledger\t{step}\t1\n{row}\nmembers\t0\tsnapshot\t{step}\t{step}\n");
-        // Whatever its mark was, the last message is confirmed.
+        // Acknowledges the last message, whatever its mark was.
         for mark in step.saturating_sub(3)..2 * step + 2 {
             input += &format!("confirmed\t0\t3\t{mark}\t0\n");
         }
         input += "reminder\t0\t1\ngo\n";
     }
     let mut output = Vec::new();
-    assert_eq!(Link::default().run(input.as_bytes(), &mut output), Ok(()));
+    assert_eq!(Host::default().run(input.as_bytes(), &mut output), Ok(()));
     let (mut step, mut named) = (0, 0);
     for line in String::from_utf8_lossy(&output).lines() {
         let fields: Vec<&str> = line.split('\t').collect();
