--- a/crates/platform/src/boot.rs
+++ b/crates/platform/src/boot.rs
@@ -1,7 +1,7 @@
-//! From the start of the process to a planner: reads what the platform tells it, and again while it cannot be read.
+//! Process startup: reads the platform's configuration, retrying while it cannot be read, and starts the planner.
 //!
-//! The file is read by the node and not before it, so that a signal which comes meanwhile is one the process has
-//! caught, and so that a file which is just being replaced is no refusal to start.
+//! The node itself reads the file, so that signals during startup are already handled by the process, and so that a
+//! file that is being replaced does not make the start fail.
 
 use crate::config::Config;
 use crate::node::Platform;
@@ -9,23 +9,23 @@
 use pewtergap_time::{Moment, Span};
 use std::any::Any;
 
-/// A file that cannot be read is read again so long apart, up to so long after the start.
-const READ: (Span, Span) = (Span::millis(100), Span::millis(3_000));
-/// None of the planner's own timers; one that is left over means nothing to it.
-const AGAIN: u64 = 0;
+/// Retry interval for an unreadable file, and how long after the start reading is retried.
+const READ_RETRY: (Span, Span) = (Span::millis(100), Span::millis(3_000));
+/// Differs from all of the planner's timers, which ignores one that is still pending.
+const RETRY_TIMER: u64 = 0;
 
-type Variables = Box<dyn Fn(&str) -> Option<String> + Send>;
+type VariableLookup = Box<dyn Fn(&str) -> Option<String> + Send>;
 
 enum Stage {
-    /// Until when the file may be unreadable.
+    /// Reading the file, which may be unreadable until this time.
     Reading(Moment),
     Running(Box<Platform>),
 }
 
 pub struct Boot {
     file: String,
-    /// Looks up one of the platform's variables.
-    variables: Variables,
+    /// Looks up an environment variable set by the platform.
+    variables: VariableLookup,
     stage: Stage,
 }
 
@@ -34,8 +34,8 @@
         Boot { file, variables: Box::new(variables), stage: Stage::Reading(Moment(0)) }
     }
 
-    fn read(&mut self, now: Moment, until: Moment, bytes: Result<&[u8], String>, out: &mut Outbox) {
-        match Config::of_file(bytes, &self.variables) {
+    fn read(&mut self, now: Moment, deadline: Moment, bytes: Result<&[u8], String>, out: &mut Outbox) {
+        match Config::parse_file(bytes, &self.variables) {
             Ok(config) => {
                 let mut planner = Box::new(Platform::new(now, config, self.file.clone()));
                 planner.handle(now, Input::Start, out);
@@ -44,8 +44,8 @@
             Err(why) => {
                 let why = format!("{}: {why}", self.file);
                 out.log(Level::Error, "configuration_refused", vec![("why", why)]);
-                if now < until {
-                    out.wake(AGAIN, now + READ.0);
+                if now < deadline {
+                    out.wake(RETRY_TIMER, now + READ_RETRY.0);
                 } else {
                     out.push(Effect::Exit { code: 2 });
                 }
@@ -56,25 +56,25 @@
 
 impl Node for Boot {
     fn handle(&mut self, now: Moment, input: Input<'_>, out: &mut Outbox) {
-        let until = match &mut self.stage {
+        let deadline = match &mut self.stage {
             Stage::Running(planner) => return planner.handle(now, input, out),
-            Stage::Reading(until) => until,
+            Stage::Reading(deadline) => deadline,
         };
         match input {
             Input::Start => {
-                *until = now + READ.1;
+                *deadline = now + READ_RETRY.1;
                 out.push(Effect::Fetch { name: self.file.clone() });
             }
-            Input::Due { timer: AGAIN } => out.push(Effect::Fetch { name: self.file.clone() }),
+            Input::Due { timer: RETRY_TIMER } => out.push(Effect::Fetch { name: self.file.clone() }),
             Input::File { bytes, .. } => {
-                let until = *until;
-                self.read(now, until, bytes, out);
+                let deadline = *deadline;
+                self.read(now, deadline, bytes, out);
             }
             Input::Stop => {
                 out.log(Level::Info, "stopped", vec![]);
                 out.push(Effect::Exit { code: 0 });
             }
-            // A reload asks for what is under way.
+            // A reload would only request the read that is already in progress.
             _ => {}
         }
     }
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -1,92 +1,97 @@
-//! Follows discovery: the whole list, then watches on a kept connection, each going on at once.
+//! Discovery client: requests the whole list, then long-polls for changes over a persistent connection.
 //!
-//! What goes wrong ends the connection; the next one begins with the whole list, which repairs whatever was
-//! missed. A connection that ends as its last answer announced has missed nothing: the next one goes on from there.
-//! No wait is so long that a change could count as told while a silent connection is still waited on.
+//! Any error closes the connection, and the next one starts with the whole list, which makes up for missed changes.
+//! If the server announced the end of the connection with its last answer, nothing was missed, and the next
+//! connection continues from that version. All timeouts are short enough that a silent connection is given up before
+//! a change counts as announced to this planner.
 
 use pewtergap_http::{request, Bounds, Part, Reader, Side};
 use pewtergap_node::{Link, Outbox};
 use pewtergap_time::{Moment, Span};
 use std::net::SocketAddr;
 
-/// What a watch asks to be held for.
-const WATCH: Span = Span::millis(1_500);
-/// For an answer beyond that, and for one that should come at once; and for more of it while it comes in pieces.
-const ANSWER: Span = Span::millis(700);
-/// However many pieces: by then a change that was held back with them would count as told.
-const LONGEST: Span = Span::millis(5_000);
-const DIAL: Span = Span::millis(500);
-/// Between attempts: the first, and the longest.
+/// Long-poll timeout requested from the server.
+const POLL_TIMEOUT: Span = Span::millis(1_500);
+/// Time allowed for an immediate answer, for a long-poll answer beyond its timeout, and between pieces of an answer.
+const ANSWER_TIMEOUT: Span = Span::millis(700);
+/// Time allowed for a whole answer, in however many pieces: after it, a change delayed with them would already
+/// count as announced.
+const MAX_ANSWER_TIME: Span = Span::millis(5_000);
+const CONNECT_TIMEOUT: Span = Span::millis(500);
+/// Delay between connection attempts: the first, and the longest.
 const BACK_OFF: (Span, Span) = (Span::millis(40), Span::millis(640));
-const BOUNDS: Bounds = Bounds { head: 16 * 1024, body: 4 * 1024 * 1024 };
+const HTTP_BOUNDS: Bounds = Bounds { head: 16 * 1024, body: 4 * 1024 * 1024 };
 const PATH: &str = "/discovery/hosts";
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// Until it is time to dial.
-    Resting,
-    Dialling,
-    /// The whole list is asked for; changes are.
+    /// Waiting to connect.
+    Waiting,
+    Connecting,
+    /// The whole list was requested.
     Listing,
+    /// Changes were requested.
     Watching,
 }
 
 pub struct Discovery {
-    at: SocketAddr,
+    address: SocketAddr,
     phase: Phase,
-    until: Moment,
+    /// When the current phase times out.
+    deadline: Moment,
     link: Option<Link>,
     reader: Reader,
     body: Vec<u8>,
     status: u16,
     failures: i32,
-    /// When the answer that is waited for was asked.
-    asked: Moment,
-    /// The answer announced that the connection ends with it; and from which version the next one goes on.
-    last: bool,
-    follow: Option<u64>,
+    /// When the pending request was sent.
+    requested: Moment,
+    /// The answer announced that the connection ends with it.
+    last_answer: bool,
+    /// The version from which the next connection continues.
+    resume_from: Option<u64>,
 }
 
 impl Discovery {
-    pub fn new(at: SocketAddr) -> Discovery {
+    pub fn new(address: SocketAddr) -> Discovery {
         Discovery {
-            at,
-            phase: Phase::Resting,
-            until: Moment(0),
+            address,
+            phase: Phase::Waiting,
+            deadline: Moment(0),
             link: None,
-            reader: Reader::new(Side::Answers, BOUNDS),
+            reader: Reader::new(Side::Answers, HTTP_BOUNDS),
             body: Vec::new(),
             status: 0,
             failures: 0,
-            asked: Moment(0),
-            last: false,
-            follow: None,
+            requested: Moment(0),
+            last_answer: false,
+            resume_from: None,
         }
     }
 
-    pub fn at(&self) -> SocketAddr {
-        self.at
+    pub fn address(&self) -> SocketAddr {
+        self.address
     }
 
-    pub fn has(&self, link: Link) -> bool {
+    pub fn owns_link(&self, link: Link) -> bool {
         self.link == Some(link)
     }
 
-    /// When to look again.
-    pub fn until(&self) -> Moment {
-        self.until
+    /// When `due` is to be called next.
+    pub fn deadline(&self) -> Moment {
+        self.deadline
     }
 
-    /// Attempts in a row that came to nothing.
+    /// Consecutive failures.
     pub fn failures(&self) -> i32 {
         self.failures
     }
 
-    /// Discovery is at another address now.
-    pub fn move_to(&mut self, now: Moment, at: SocketAddr, out: &mut Outbox) {
+    /// Switches to another address.
+    pub fn set_address(&mut self, now: Moment, address: SocketAddr, out: &mut Outbox) {
         self.drop_link(out);
-        (self.at, self.failures, self.follow) = (at, 0, None);
-        self.dial(now, out);
+        (self.address, self.failures, self.resume_from) = (address, 0, None);
+        self.connect(now, out);
     }
 
     fn drop_link(&mut self, out: &mut Outbox) {
@@ -95,101 +100,103 @@
         }
     }
 
-    fn dial(&mut self, now: Moment, out: &mut Outbox) {
-        self.link = Some(out.connect(self.at, None));
-        (self.phase, self.until) = (Phase::Dialling, now + DIAL);
-        self.reader = Reader::new(Side::Answers, BOUNDS);
+    fn connect(&mut self, now: Moment, out: &mut Outbox) {
+        self.link = Some(out.connect(self.address, None));
+        (self.phase, self.deadline) = (Phase::Connecting, now + CONNECT_TIMEOUT);
+        self.reader = Reader::new(Side::Answers, HTTP_BOUNDS);
         self.body = Vec::new();
-        self.last = false;
+        self.last_answer = false;
     }
 
-    /// Its time is up: dial, or say what did not come.
+    /// Connects when the delay is over, or returns what timed out.
     pub fn due(&mut self, now: Moment, out: &mut Outbox) -> Option<&'static str> {
-        if now < self.until {
+        if now < self.deadline {
             return None;
         }
         match self.phase {
-            Phase::Resting => {
-                self.dial(now, out);
+            Phase::Waiting => {
+                self.connect(now, out);
                 None
             }
-            Phase::Dialling => Some("no connection in time"),
-            Phase::Listing | Phase::Watching => Some("no answer in time"),
+            Phase::Connecting => Some("connecting timed out"),
+            Phase::Listing | Phase::Watching => Some("the answer timed out"),
         }
     }
 
-    /// Gives the connection up and rests.
+    /// Closes the connection and schedules the next attempt.
     pub fn fail(&mut self, now: Moment, out: &mut Outbox) {
         self.drop_link(out);
-        let rest = BACK_OFF.0.times(2f64.powi(self.failures.min(16))).min(BACK_OFF.1);
+        let delay = BACK_OFF.0.times(2f64.powi(self.failures.min(16))).min(BACK_OFF.1);
         self.failures += 1;
-        self.follow = None;
-        (self.phase, self.until) = (Phase::Resting, now + rest);
+        self.resume_from = None;
+        (self.phase, self.deadline) = (Phase::Waiting, now + delay);
     }
 
     pub fn opened(&mut self, now: Moment, out: &mut Outbox) {
-        match self.follow.take() {
+        match self.resume_from.take() {
             Some(since) => self.watch(now, since, out),
-            None => self.ask(now, PATH.to_string(), Phase::Listing, ANSWER, out),
+            None => self.request(now, PATH.to_string(), Phase::Listing, ANSWER_TIMEOUT, out),
         }
     }
 
-    /// Goes on with a watch for what is newer.
+    /// Requests the changes after a version.
     pub fn watch(&mut self, now: Moment, since: u64, out: &mut Outbox) {
-        if std::mem::take(&mut self.last) {
+        if std::mem::take(&mut self.last_answer) {
             self.drop_link(out);
-            self.follow = Some(since);
-            // One that answers at once and closes each time would be dialled as fast as it answers.
-            (self.phase, self.until) = (Phase::Resting, now + BACK_OFF.0);
+            self.resume_from = Some(since);
+            // A server that closes the connection after each immediate answer must not cause a tight reconnect loop.
+            (self.phase, self.deadline) = (Phase::Waiting, now + BACK_OFF.0);
             return;
         }
-        let target = format!("{PATH}?since={since}&timeout_ms={}", WATCH.0 / 1_000_000);
-        self.ask(now, target, Phase::Watching, WATCH + ANSWER, out);
+        let target = format!("{PATH}?since={since}&timeout_ms={}", POLL_TIMEOUT.0 / 1_000_000);
+        self.request(now, target, Phase::Watching, POLL_TIMEOUT + ANSWER_TIMEOUT, out);
     }
 
-    fn ask(&mut self, now: Moment, target: String, phase: Phase, within: Span, out: &mut Outbox) {
+    fn request(&mut self, now: Moment, target: String, phase: Phase, timeout: Span, out: &mut Outbox) {
         let Some(link) = self.link else { return };
-        let host = self.at.to_string();
+        let host = self.address.to_string();
         out.send(link, request("GET", &target, &[("host", &host)], None));
-        (self.phase, self.until, self.asked) = (phase, now + within, now);
+        (self.phase, self.deadline, self.requested) = (phase, now + timeout, now);
     }
 
-    /// The bodies of answers that are complete; what cannot be read is an error.
-    pub fn bytes(&mut self, now: Moment, bytes: &[u8]) -> Result<Option<Vec<u8>>, &'static str> {
+    /// Processes received bytes and returns the body of a complete answer.
+    pub fn receive(&mut self, now: Moment, bytes: &[u8]) -> Result<Option<Vec<u8>>, &'static str> {
         self.reader.push(bytes);
-        self.until = self.until.max((now + ANSWER).min(self.asked + LONGEST));
+        self.deadline = self.deadline.max((now + ANSWER_TIMEOUT).min(self.requested + MAX_ANSWER_TIME));
         loop {
             match self.reader.take() {
                 Ok(None) => return Ok(None),
                 Ok(Some(_)) if !matches!(self.phase, Phase::Listing | Phase::Watching) => {
-                    return Err("an answer that was not asked for");
+                    return Err("an answer without a request");
                 }
                 Ok(Some(Part::Head(head))) => {
-                    (self.status, self.last) = (head.status(), !head.keep_alive);
+                    (self.status, self.last_answer) = (head.status(), !head.keep_alive);
                     self.body.clear();
                 }
                 Ok(Some(Part::Data(data))) => self.body.extend(data),
-                Ok(Some(Part::End)) if self.status != 200 => return Err("an answer other than 200"),
+                Ok(Some(Part::End)) if self.status != 200 => {
+                    return Err("an answer with a status other than 200")
+                }
                 Ok(Some(Part::End)) => return Ok(Some(std::mem::take(&mut self.body))),
-                Err(_) => return Err("not HTTP"),
+                Err(_) => return Err("an answer that is not valid HTTP"),
             }
         }
     }
 
-    /// The peer ended the connection in order: an answer without a length is complete with it.
-    pub fn ended(&mut self) -> Option<Vec<u8>> {
+    /// The server closed the connection in order, which completes an answer without a length.
+    pub fn closed(&mut self) -> Option<Vec<u8>> {
         self.link = None;
-        let whole = self.reader.close() == Ok(Some(Part::End)) && self.status == 200;
-        whole.then(|| std::mem::take(&mut self.body))
+        let complete = self.reader.close() == Ok(Some(Part::End)) && self.status == 200;
+        complete.then(|| std::mem::take(&mut self.body))
     }
 
-    /// Something stands behind the answer that nobody asked for.
-    pub fn overran(&self) -> bool {
+    /// Whether bytes follow the answer that belong to no request.
+    pub fn has_excess_bytes(&self) -> bool {
         self.link.is_some() && !self.reader.idle()
     }
 
-    /// An answer was good; what follows goes on from it.
-    pub fn went_well(&mut self) {
+    /// A valid answer was received.
+    pub fn succeeded(&mut self) {
         self.failures = 0;
     }
 }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,10 +1,10 @@
-//! The planner as the platform runs it: a node that speaks the platform's protocol.
+//! The planner as a node that speaks the platform's protocol.
 //!
-//! [`Platform`] is one more way in and out of the module, beside the service of `pewtergap-control`. Messages
-//! become events, orders become messages; it decides nothing of calls, routes, importance, weights or health.
-//! What it settles by itself is in parts without I/O: what it is told at its start (`boot`, `config`), what of
-//! discovery is believed (`discovery`, `server_list`), who stands behind a connection (`peers`), what each stream
-//! holds (`tables`).
+//! [`Platform`] connects the planner core to the platform, as the service of `pewtergap-control` connects it to the
+//! proxies' own protocol. It converts messages to events and the core's actions to messages, and makes no decision
+//! about calls, routes, importance, weights or health. The rest is in modules without I/O: startup configuration
+//! (`boot`, `config`), following discovery and validating its answers (`discovery`, `server_list`), the roles of
+//! connected peers (`peers`) and the table each stream holds (`tables`).
 #![forbid(unsafe_code)]
 
 mod boot;
--- a/crates/platform/src/node.rs
+++ b/crates/platform/src/node.rs
@@ -1,10 +1,10 @@
-//! The platform's planner as a node: messages to events, orders to messages.
+//! The platform's planner as a node: converts messages to events, and the planner core's actions to messages.
 
 use crate::config::{Config, Limits};
 use crate::discovery::Discovery;
-use crate::peers::{kind, transition, Effect as Does, Kind, Peer, Peers, Stand, Stream};
-use crate::peers::{JOINED, MOST_MARKS, STRANGERS};
-use crate::server_list::{Answer, News, ServerList, Target};
+use crate::peers::{kind, transition, Effect as MessageEffect, Kind, Peer, PeerRole, Peers, Stream};
+use crate::peers::{JOINED, MAX_MARKS, UNIDENTIFIED};
+use crate::server_list::{Answer, ListUpdate, ServerList, Target};
 use crate::tables::Tables;
 use pewtergap_control::probes::Probes;
 use pewtergap_control::ProbeConfig;
@@ -17,42 +17,42 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-const DOOR: u32 = 0;
-
-/// Events that come within this time share a turn.
-const ROUND: Span = Span::millis(2);
-const SWEEP: Span = Span::millis(100);
-/// Who has not joined by then is closed.
-const PATIENCE: Span = Span::millis(1_050);
-/// Sockets for discovery, its successor, the listener and what a process has open anyway.
-const OWN_SOCKETS: usize = 32;
-const MOST_PROBES: usize = 32;
-/// Where the channel has no limit told, or a very long one.
-const LONGEST_EMPTIES: Span = Span::millis(5_000);
-/// No answer to a probe by then is silence.
-const PROBED: Span = Span::millis(400);
-/// Incomplete messages of all peers together may take one part in so many of the memory.
-const HELD: u64 = 16;
-/// A file that is being replaced is read again so often, so long apart; from then on this far apart.
-const READ_AGAIN: (u32, Span, Span) = (5, Span::millis(100), Span::millis(1_000));
-/// After so many failures of discovery in a row the file is read: its address may have been written late, or the file
-/// may have stood unreadable while the signal was heard.
-const LOST: i32 = 4;
-/// An address that the process before still holds is tried again so long apart, up to so long.
-const HELD_ADDRESS: (Span, Span) = (Span::millis(100), Span::millis(10_000));
-/// Connections of one zone's collector: the present one, and former ones that the network has not ended yet.
-const MOST_COLLECTORS: usize = 4;
-/// Log lines in a second; what goes beyond is counted.
-const MOST_LOGGED: f64 = 40.0;
-const TALLY: Span = Span::millis(5_000);
-/// Servers or changes named in one line.
-const SHOWN: usize = 6;
+const LISTENER: u32 = 0;
+
+/// Events within this time are processed in one turn.
+const TURN_DELAY: Span = Span::millis(2);
+const SWEEP_INTERVAL: Span = Span::millis(100);
+/// A connection that has not joined by then is closed.
+const JOIN_TIMEOUT: Span = Span::millis(1_050);
+/// Descriptors for the discovery connection and its successor, the listener, and what a process has open anyway.
+const RESERVED_SOCKETS: usize = 32;
+const MAX_PROBES: usize = 32;
+/// Upper bound on the time a full channel takes to drain; used if the settings give no or a larger limit.
+const MAX_CHANNEL_DRAIN: Span = Span::millis(5_000);
+const PROBE_TIMEOUT: Span = Span::millis(400);
+/// Incomplete messages of all peers together may use the memory limit divided by this.
+const BUFFER_MEMORY_DIVISOR: u64 = 16;
+/// Retries of an unreadable configuration file, which may be in the middle of a replacement: the number of quick
+/// retries, their interval, and the interval after them.
+const RELOAD_RETRY: (u32, Span, Span) = (5, Span::millis(100), Span::millis(1_000));
+/// After this many consecutive failures of discovery the file is read again: the address may have been written late,
+/// or the file may have been unreadable when the reload signal came.
+const FAILURES_BEFORE_RELOAD: i32 = 4;
+/// Retry interval for a listening address that the previous process still holds, and how long it is retried.
+const LISTEN_RETRY: (Span, Span) = (Span::millis(100), Span::millis(10_000));
+/// Maximum connections per zone from collectors: the current one, and old ones that the network has not closed yet.
+const MAX_COLLECTORS: usize = 4;
+/// Maximum log lines per second; lines beyond it are only counted.
+const MAX_LOG_LINES_PER_S: f64 = 40.0;
+const TALLY_INTERVAL: Span = Span::millis(5_000);
+/// Maximum servers or changes named in one log line.
+const MAX_NAMED: usize = 6;
 
 mod streams;
 
 mod timer {
     pub const TURN: u64 = 1;
-    pub const WOKEN: u64 = 2;
+    pub const WAKE: u64 = 2;
     pub const SWEEP: u64 = 3;
     pub const DISCOVERY: u64 = 4;
     pub const PROBES: u64 = 5;
@@ -60,7 +60,7 @@
     pub const LISTEN: u64 = 7;
 }
 
-/// Counted since the last tally line.
+/// Counters since the last `tally` log line, which prints them under these names.
 #[derive(Debug, Default)]
 struct Tally {
     turns: u64,
@@ -72,15 +72,15 @@
     applied: u64,
     worst_applied: Span,
     sums: u64,
-    /// Sums that came with a load report.
+    /// Server statistics that included a load report.
     reports: u64,
     arrivals: u64,
-    /// Tries and dropped ones by server.
+    /// Tries and dropped tries by server.
     tries: BTreeMap<usize, (u64, u64)>,
     probes: BTreeMap<&'static str, u64>,
-    /// Probes that were answered with a load report.
+    /// Probes whose answer included a load report.
     probe_reports: u64,
-    /// Messages left out, by reason; reasons are of a fixed set.
+    /// Ignored messages by reason, out of a fixed set of reasons.
     omitted: BTreeMap<&'static str, u64>,
     turned_away: u64,
     unlogged: u64,
@@ -88,19 +88,19 @@
 
 pub struct Platform {
     name: String,
-    /// The file that is read again on a reload.
-    file: String,
+    /// The configuration file, which is read again on a reload.
+    config_file: String,
     listen: SocketAddr,
     limits: Limits,
     zones: Vec<String>,
     routes: Vec<String>,
-    most_proxies: u64,
-    /// A stream that leaves a message unanswered and says nothing for so long counts as left.
+    max_proxies: u64,
+    /// A proxy whose stream leaves marks unacknowledged and sends nothing for this long counts as having left.
     unresponsive_after: Span,
     planner: Planner,
     servers: Interner<String>,
     proxies: Interner<u64>,
-    /// Where each server is probed and when it started, by index.
+    /// Address and start time of each server, by index.
     endpoints: Vec<Option<(SocketAddr, Option<Moment>)>>,
     server_list: ServerList,
     discovery: Discovery,
@@ -109,79 +109,82 @@
     probes: Probes,
     events: Vec<Event>,
     turn_set: bool,
-    woken: Option<Moment>,
-    read_again: u32,
-    /// When the file is read next, if that is due; when it was read last without a signal.
-    reload: Option<Moment>,
-    reread: Moment,
+    wake_at: Option<Moment>,
+    /// Quick retries left for reading the configuration file.
+    reload_retries: u32,
+    /// When reading the file is retried, if it is.
+    reload_at: Option<Moment>,
+    /// When the file was last read because of failures of discovery.
+    last_unprompted_read: Moment,
     started: Moment,
     tally: Tally,
-    tallied: Moment,
-    /// When a line was logged last, and how many more may be.
-    logged: (Moment, f64),
+    last_tally: Moment,
+    /// When the log allowance was last updated, and the lines it leaves.
+    log_allowance: (Moment, f64),
 }
 
-/// Probes at once: few where sockets are few.
-fn most_probes(limits: Limits) -> usize {
-    MOST_PROBES.min(limits.sockets / 8)
+/// Maximum concurrent probes, fewer if sockets are scarce.
+fn max_probes(limits: Limits) -> usize {
+    MAX_PROBES.min(limits.sockets / 8)
 }
 
 impl Platform {
-    pub fn new(now: Moment, config: Config, file: String) -> Platform {
+    pub fn new(now: Moment, config: Config, config_file: String) -> Platform {
         let Config { name, listen, discovery, seed, limits, known, start } = config;
-        let most_proxies = start.fleet.proxies as u64;
-        // Twice what a full channel takes to empty, and the way there and back.
-        let empties = start.channel.max_queued_lines / start.channel.lines_per_s;
-        let empties = if empties.is_finite() { Span::of_seconds(empties) } else { LONGEST_EMPTIES };
+        let max_proxies = start.fleet.proxies as u64;
+        // Twice the time in which a full channel drains, plus the round trip.
+        let drain_time = start.channel.max_queued_lines / start.channel.lines_per_s;
+        let drain_time =
+            if drain_time.is_finite() { Span::of_seconds(drain_time) } else { MAX_CHANNEL_DRAIN };
         let unresponsive_after =
-            empties.min(LONGEST_EMPTIES).times(2.0) + start.channel.max_transit.times(2.0);
+            drain_time.min(MAX_CHANNEL_DRAIN).times(2.0) + start.channel.max_transit.times(2.0);
         let drain_grace = start.contract.drain_grace;
         let planner = start.build_planner(now, seed);
         let probing = ProbeConfig {
             path: "/metrics/load".into(),
-            timeout: PROBED,
-            max_open: most_probes(limits),
+            timeout: PROBE_TIMEOUT,
+            max_open: max_probes(limits),
             body_fields: Some((UTIL, IN_FLIGHT)),
         };
         Platform {
             name,
-            file,
+            config_file,
             listen,
             limits,
             zones: start.zone_names,
             routes: start.route_names,
-            most_proxies,
+            max_proxies,
             unresponsive_after,
             planner,
             servers: Interner::default(),
             proxies: Interner::default(),
             endpoints: Vec::new(),
-            server_list: ServerList::kept(now, known.0, known.1, drain_grace),
+            server_list: ServerList::from_saved(now, known.0, known.1, drain_grace),
             discovery: Discovery::new(discovery),
             peers: Peers::default(),
             tables: Tables::default(),
             probes: Probes::new(probing),
             events: vec![Event::Tick],
             turn_set: false,
-            woken: None,
-            read_again: 0,
-            reload: None,
-            reread: now,
+            wake_at: None,
+            reload_retries: 0,
+            reload_at: None,
+            last_unprompted_read: now,
             started: now,
             tally: Tally::default(),
-            tallied: now,
-            logged: (now, MOST_LOGGED),
+            last_tally: now,
+            log_allowance: (now, MAX_LOG_LINES_PER_S),
         }
     }
 
     fn start(&mut self, now: Moment, out: &mut Outbox) {
         let known: Vec<Target> = self.server_list.known().cloned().collect();
         if !known.is_empty() {
-            self.tell_list(now, ListKind::Kept, &known, out);
+            self.apply_list(now, ListKind::Kept, &known, out);
         }
-        out.push(Effect::Listen { door: DOOR, at: self.listen });
-        out.wake(timer::SWEEP, now + SWEEP);
-        self.look(now, out);
+        out.push(Effect::Listen { door: LISTENER, at: self.listen });
+        out.wake(timer::SWEEP, now + SWEEP_INTERVAL);
+        self.check_discovery(now, out);
         self.turn(now, out);
     }
 
@@ -193,99 +196,99 @@
         fields: Vec<(&'static str, String)>,
         out: &mut Outbox,
     ) {
-        let saved = self.logged.1 + now.since(self.logged.0).seconds() * MOST_LOGGED;
-        self.logged = (now, saved.min(MOST_LOGGED));
-        if self.logged.1 < 1.0 {
+        let allowance =
+            self.log_allowance.1 + now.since(self.log_allowance.0).seconds() * MAX_LOG_LINES_PER_S;
+        self.log_allowance = (now, allowance.min(MAX_LOG_LINES_PER_S));
+        if self.log_allowance.1 < 1.0 {
             self.tally.unlogged += 1;
             return;
         }
-        self.logged.1 -= 1.0;
+        self.log_allowance.1 -= 1.0;
         out.log(level, event, fields);
     }
 
     // ---- the list
 
-    /// Whatever discovery is due for, and the next look.
-    fn look(&mut self, now: Moment, out: &mut Outbox) {
+    /// Runs discovery's due step and schedules the next one.
+    fn check_discovery(&mut self, now: Moment, out: &mut Outbox) {
         match self.discovery.due(now, out) {
             Some(why) => self.discovery_failed(now, why, out),
-            None => out.wake(timer::DISCOVERY, self.discovery.until()),
+            None => out.wake(timer::DISCOVERY, self.discovery.deadline()),
         }
     }
 
     fn discovery_failed(&mut self, now: Moment, why: &'static str, out: &mut Outbox) {
         self.discovery.fail(now, out);
         self.log(now, Level::Warn, "discovery_failed", vec![("why", why.into())], out);
-        out.wake(timer::DISCOVERY, self.discovery.until());
-        if self.discovery.failures() >= LOST
-            && now.since(self.reread) >= READ_AGAIN.2
-            && self.reload.is_none()
+        out.wake(timer::DISCOVERY, self.discovery.deadline());
+        if self.discovery.failures() >= FAILURES_BEFORE_RELOAD
+            && now.since(self.last_unprompted_read) >= RELOAD_RETRY.2
+            && self.reload_at.is_none()
         {
-            self.reread = now;
-            out.push(Effect::Fetch { name: self.file.clone() });
+            self.last_unprompted_read = now;
+            out.push(Effect::Fetch { name: self.config_file.clone() });
         }
     }
 
-    fn discovery_heard(&mut self, now: Moment, bytes: &[u8], out: &mut Outbox) {
-        match self.discovery.bytes(now, bytes) {
+    fn discovery_received(&mut self, now: Moment, bytes: &[u8], out: &mut Outbox) {
+        match self.discovery.receive(now, bytes) {
             Ok(None) => {}
-            Ok(Some(body)) => self.answered(now, &body, out),
+            Ok(Some(body)) => self.apply_answer(now, &body, out),
             Err(why) => self.discovery_failed(now, why, out),
         }
     }
 
-    /// The connection to discovery ended; with it an answer may be complete.
-    fn discovery_ended(&mut self, now: Moment, why: Ended, out: &mut Outbox) {
-        match Some(why).filter(|why| *why == Ended::Done).and_then(|_| self.discovery.ended()) {
-            Some(body) => self.answered(now, &body, out),
+    /// The connection to discovery was closed, which may complete an answer.
+    fn discovery_closed(&mut self, now: Moment, why: Ended, out: &mut Outbox) {
+        match Some(why).filter(|why| *why == Ended::Done).and_then(|_| self.discovery.closed()) {
+            Some(body) => self.apply_answer(now, &body, out),
             None => self.discovery_failed(now, "the connection broke", out),
         }
     }
 
-    /// Takes an answer of discovery in.
-    fn answered(&mut self, now: Moment, body: &[u8], out: &mut Outbox) {
-        let Ok(answer) = Answer::read(body) else {
-            return self.discovery_failed(now, "an answer that is no list", out);
+    fn apply_answer(&mut self, now: Moment, body: &[u8], out: &mut Outbox) {
+        let Ok(answer) = Answer::parse(body) else {
+            return self.discovery_failed(now, "an answer that is not a server list", out);
         };
-        for unread in answer.targets.iter().filter_map(|target| target.as_ref().err()) {
-            let name = unread.name.clone().unwrap_or_default();
-            let fields = vec![("server", name), ("why", unread.what.clone())];
+        for invalid in answer.targets.iter().filter_map(|target| target.as_ref().err()) {
+            let name = invalid.name.clone().unwrap_or_default();
+            let fields = vec![("server", name), ("why", invalid.reason.clone())];
             self.log(now, Level::Warn, "list_entry_refused", fields, out);
         }
         let version = answer.version;
-        match self.server_list.take(now, answer) {
-            News::Nothing => {}
-            News::Stale => {
+        match self.server_list.apply(now, answer) {
+            ListUpdate::Unchanged => {}
+            ListUpdate::Stale => {
                 let fields =
                     vec![("version", version.to_string()), ("known", self.server_list.version().to_string())];
                 self.log(now, Level::Warn, "list_stale", fields, out);
             }
-            News::Changes(changes) => self.tell_list(now, ListKind::Changes, &changes, out),
-            News::Complete(all) => self.tell_list(now, ListKind::Complete, &all, out),
+            ListUpdate::Changes(changes) => self.apply_list(now, ListKind::Changes, &changes, out),
+            ListUpdate::Complete(all) => self.apply_list(now, ListKind::Complete, &all, out),
         }
-        // A watch from a version that discovery has not reached yet would say nothing.
-        if self.server_list.doubts() {
+        // A watch from a version that discovery has not reached would return nothing.
+        if self.server_list.awaits_confirmation() {
             return self.discovery_failed(now, "a whole list of a lower version", out);
         }
-        // Taken for the answer to the next question, it would put each later answer to the wrong one.
-        if self.discovery.overran() {
+        // Excess bytes would be taken for the answer to the next request and shift all later answers by one.
+        if self.discovery.has_excess_bytes() {
             return self.discovery_failed(now, "more than the answer", out);
         }
-        self.discovery.went_well();
+        self.discovery.succeeded();
         self.discovery.watch(now, self.server_list.version(), out);
-        out.wake(timer::DISCOVERY, self.discovery.until());
+        out.wake(timer::DISCOVERY, self.discovery.deadline());
     }
 
-    fn tell_list(&mut self, now: Moment, kind: ListKind, targets: &[Target], out: &mut Outbox) {
+    fn apply_list(&mut self, now: Moment, kind: ListKind, targets: &[Target], out: &mut Outbox) {
         let before = self.endpoints.clone();
         if kind != ListKind::Changes {
             self.endpoints.fill(None);
         }
         let mut entries = Vec::new();
-        let mut shown = Vec::new();
+        let mut logged_changes = Vec::new();
         for target in targets {
             let Some(zone) = self.zones.iter().position(|zone| *zone == target.zone) else {
-                let why = format!("zone '{}' is not among ours", target.zone);
+                let why = format!("zone '{}' is not configured", target.zone);
                 let fields = vec![("server", target.name.clone()), ("why", why)];
                 self.log(now, Level::Warn, "list_entry_refused", fields, out);
                 continue;
@@ -294,35 +297,36 @@
             if self.endpoints.len() <= server {
                 self.endpoints.resize(server + 1, None);
             }
-            let stays = target.state != ListedState::Deleted;
-            self.endpoints[server] = stays.then_some((target.at, target.started));
+            let exists = target.state != ListedState::Deleted;
+            self.endpoints[server] = exists.then_some((target.address, target.started));
             let (cell, state, weight) = (target.cell, target.state, target.weight);
             entries.push(ListEntry { server, zone, cell, state, weight, last_start: target.started });
-            if kind == ListKind::Changes && shown.len() < SHOWN {
+            if kind == ListKind::Changes && logged_changes.len() < MAX_NAMED {
                 let started = target.started.map_or(String::new(), |at| format!("@{}", at.0 / 1_000_000));
-                shown.push(format!("{}={state:?}{started}", target.name));
+                logged_changes.push(format!("{}={state:?}{started}", target.name));
             }
         }
         for (server, known) in before.into_iter().enumerate().filter(|(_, known)| known.is_some()) {
             if self.endpoints[server] != known {
-                self.former_probe(server, out);
+                self.reset_probe(server, out);
             }
         }
         let fields = vec![
             ("kind", format!("{kind:?}")),
             ("version", self.server_list.version().to_string()),
             ("entries", entries.len().to_string()),
-            ("changes", shown.join(" ")),
+            ("changes", logged_changes.join(" ")),
         ];
         self.log(now, Level::Info, "list", fields, out);
         self.event(now, Event::List { kind, entries }, out);
-        self.ask_next(now, out);
+        self.start_probes(now, out);
     }
 
-    /// A server is another one, or none, under its name: what its probe brings would be told of the wrong one.
-    fn former_probe(&mut self, server: usize, out: &mut Outbox) {
-        let gone = self.endpoints[server].is_none();
-        let link = if gone { self.probes.remove(server) } else { self.probes.restart(server) };
+    /// Aborts the probe of a server that was replaced or removed under its name, since the result would be attributed to
+    /// the wrong one.
+    fn reset_probe(&mut self, server: usize, out: &mut Outbox) {
+        let removed = self.endpoints[server].is_none();
+        let link = if removed { self.probes.remove(server) } else { self.probes.restart(server) };
         if let Some(link) = link {
             out.cut(link);
         }
@@ -334,7 +338,7 @@
         self.events.push(event);
         if !self.turn_set {
             self.turn_set = true;
-            out.wake(timer::TURN, now + ROUND);
+            out.wake(timer::TURN, now + TURN_DELAY);
         }
     }
 
@@ -346,13 +350,13 @@
         }
         self.tally.turns += 1;
         self.tally.events += events.len() as u64;
-        let orders = self.planner.turn(now, &events);
-        for order in &orders {
-            match order {
+        let actions = self.planner.turn(now, &events);
+        for action in &actions {
+            match action {
                 Action::Probe { server } => self.probes.enqueue(*server),
                 Action::Wake { at } => {
-                    self.woken = Some(*at);
-                    out.wake(timer::WOKEN, *at);
+                    self.wake_at = Some(*at);
+                    out.wake(timer::WAKE, *at);
                 }
                 Action::Log { text } => {
                     self.log(now, Level::Info, "planner", vec![("text", text.clone())], out)
@@ -364,7 +368,7 @@
                     self.tally.tries.remove(server);
                     self.servers.release(*server);
                 }
-                // Discovery is watched all the time; nothing has to be asked for.
+                // Discovery is followed at all times, there is nothing to request.
                 Action::Subscribe
                 | Action::SetLine { .. }
                 | Action::Bind { .. }
@@ -372,12 +376,12 @@
                 | Action::Mark { .. } => {}
             }
         }
-        let (mark, messages) = self.tables.carry_out(&orders, &self.servers, &self.routes);
+        let (mark, messages) = self.tables.apply(&actions, &self.servers, &self.routes);
         if !messages.is_empty() {
             let lines: usize = messages.iter().map(|message| message.lines).sum();
             self.tally.messages += messages.len() as u64;
             self.tally.lines += lines as u64;
-            let binds = orders.iter().filter(|order| matches!(order, Action::Bind { .. })).count();
+            let binds = actions.iter().filter(|action| matches!(action, Action::Bind { .. })).count();
             let fields = vec![
                 ("events", events.len().to_string()),
                 ("messages", messages.len().to_string()),
@@ -390,19 +394,19 @@
         for message in messages {
             let Some(stream) = self.peers.streams.get_mut(&message.proxy) else { continue };
             if let Some(mark) = mark {
-                if stream.marks.len() == MOST_MARKS {
+                if stream.marks.len() == MAX_MARKS {
                     stream.marks.pop_front();
                 }
                 stream.marks.push_back((mark, now));
             }
             out.send(stream.link, message.bytes.to_vec());
         }
-        self.ask_next(now, out);
+        self.start_probes(now, out);
     }
 
     // ---- probes
 
-    fn ask_next(&mut self, now: Moment, out: &mut Outbox) {
+    fn start_probes(&mut self, now: Moment, out: &mut Outbox) {
         while let Some(server) = self.probes.next_server() {
             let Some((at, _)) = self.endpoints.get(server).copied().flatten() else { continue };
             let link = out.connect(at, None);
@@ -411,62 +415,67 @@
         }
     }
 
-    fn probed(&mut self, now: Moment, (server, end, load): (usize, ProbeOutcome, Load), out: &mut Outbox) {
-        let word = match end {
+    fn probe_ended(
+        &mut self,
+        now: Moment,
+        (server, end, load): (usize, ProbeOutcome, Load),
+        out: &mut Outbox,
+    ) {
+        let name = match end {
             ProbeOutcome::Answered => "answered",
             ProbeOutcome::Rejected => "refused",
             ProbeOutcome::Error => "erring",
             ProbeOutcome::TimedOut => "silent",
             ProbeOutcome::Unreachable => "dead",
         };
-        *self.tally.probes.entry(word).or_default() += 1;
+        *self.tally.probes.entry(name).or_default() += 1;
         self.tally.probe_reports += u64::from(load.util.is_some());
         if matches!(end, ProbeOutcome::Error | ProbeOutcome::TimedOut | ProbeOutcome::Unreachable) {
-            let fields = vec![("server", self.servers.name(server).clone()), ("end", word.into())];
+            let fields = vec![("server", self.servers.name(server).clone()), ("end", name.into())];
             self.log(now, Level::Info, "probe", fields, out);
         }
         self.event(now, Event::ProbeEnded { server, outcome: end, load }, out);
-        self.ask_next(now, out);
+        self.start_probes(now, out);
     }
 
-    /// A probe had no room on this side. Others that wait would have none either; they are asked with the next.
-    fn no_room(&mut self, now: Moment, out: &mut Outbox) {
+    /// This process had no resources for a probe. Waiting probes would fail likewise and are started later.
+    fn probe_overflowed(&mut self, now: Moment, out: &mut Outbox) {
         *self.tally.probes.entry("no room").or_default() += 1;
         self.log(now, Level::Warn, "probe_without_room", vec![], out);
     }
 
-    fn late_probes(&mut self, now: Moment, out: &mut Outbox) {
+    fn time_out_probes(&mut self, now: Moment, out: &mut Outbox) {
         for (link, server) in self.probes.take_timed_out(now) {
             out.cut(link);
-            self.probed(now, (server, ProbeOutcome::TimedOut, Load::default()), out);
+            self.probe_ended(now, (server, ProbeOutcome::TimedOut, Load::default()), out);
         }
     }
 
     fn sweep(&mut self, now: Moment, out: &mut Outbox) {
-        out.wake(timer::SWEEP, now + SWEEP);
-        let late: Vec<Link> = self
+        out.wake(timer::SWEEP, now + SWEEP_INTERVAL);
+        let overdue: Vec<Link> = self
             .peers
-            .loose()
-            .filter(|(_, peer)| now.since(peer.since) >= PATIENCE)
-            .map(|loose| loose.0)
+            .unjoined()
+            .filter(|(_, peer)| now.since(peer.since) >= JOIN_TIMEOUT)
+            .map(|unjoined| unjoined.0)
             .collect();
-        for link in late {
-            self.turn_away(now, link, "no joining in time", out);
+        for link in overdue {
+            self.reject(now, link, "no joining in time", out);
         }
-        self.silence(now, out);
-        self.tell_anew(now, out);
-        // An answer that comes in pieces moved its time on.
-        if now >= self.discovery.until() {
-            self.look(now, out);
+        self.drop_unresponsive(now, out);
+        self.resend_unacknowledged(now, out);
+        // An answer in pieces may have extended the deadline.
+        if now >= self.discovery.deadline() {
+            self.check_discovery(now, out);
         }
-        if now.since(self.tallied) >= TALLY {
-            self.tallied = now;
+        if now.since(self.last_tally) >= TALLY_INTERVAL {
+            self.last_tally = now;
             let mut tally = std::mem::take(&mut self.tally);
-            // Of the servers, those that dropped most.
+            // The servers that dropped most tries.
             let mut worst: Vec<_> =
                 std::mem::take(&mut tally.tries).into_iter().filter(|t| t.1 .1 > 0).collect();
-            worst.sort_by_key(|tried| std::cmp::Reverse(tried.1 .1));
-            worst.truncate(SHOWN);
+            worst.sort_by_key(|entry| std::cmp::Reverse(entry.1 .1));
+            worst.truncate(MAX_NAMED);
             let worst: Vec<String> =
                 worst.iter().map(|(at, (n, bad))| format!("{}:{bad}/{n}", self.servers.name(*at))).collect();
             let unanswered: usize = self.peers.streams.values().map(|stream| stream.marks.len()).sum();
@@ -485,32 +494,32 @@
     // ---- signals
 
     fn reload(&mut self, now: Moment, bytes: Result<&[u8], String>, out: &mut Outbox) {
-        let told = |name: &str| match name {
+        let variable = |name: &str| match name {
             "NODE_NAME" => Some(self.name.clone()),
             "NODE_LISTEN" => Some(self.listen.to_string()),
-            "NODE_DISCOVERY" => Some(self.discovery.at().to_string()),
+            "NODE_DISCOVERY" => Some(self.discovery.address().to_string()),
             _ => None,
         };
-        match Config::of_file(bytes, told) {
+        match Config::parse_file(bytes, variable) {
             Err(why) => {
                 self.log(now, Level::Error, "configuration_refused", vec![("why", why)], out);
-                // However many signals came, one timer counts: each would keep its own going.
-                if self.reload.is_none() {
-                    let rest = if self.read_again > 0 { READ_AGAIN.1 } else { READ_AGAIN.2 };
-                    self.read_again = self.read_again.saturating_sub(1);
-                    self.reload = Some(now + rest);
-                    out.wake(timer::RELOAD, now + rest);
+                // One retry timer at a time: otherwise each reload signal would start a timer that keeps itself going.
+                if self.reload_at.is_none() {
+                    let delay = if self.reload_retries > 0 { RELOAD_RETRY.1 } else { RELOAD_RETRY.2 };
+                    self.reload_retries = self.reload_retries.saturating_sub(1);
+                    self.reload_at = Some(now + delay);
+                    out.wake(timer::RELOAD, now + delay);
                 }
             }
             Ok(config) => {
-                (self.read_again, self.reload) = (0, None);
+                (self.reload_retries, self.reload_at) = (0, None);
                 let fields = vec![("discovery", config.discovery.to_string())];
                 self.log(now, Level::Info, "configuration", fields, out);
                 self.limits = config.limits;
-                self.probes.set_max_open(most_probes(self.limits));
-                if config.discovery != self.discovery.at() {
-                    self.discovery.move_to(now, config.discovery, out);
-                    out.wake(timer::DISCOVERY, self.discovery.until());
+                self.probes.set_max_open(max_probes(self.limits));
+                if config.discovery != self.discovery.address() {
+                    self.discovery.set_address(now, config.discovery, out);
+                    out.wake(timer::DISCOVERY, self.discovery.deadline());
                 }
             }
         }
@@ -524,54 +533,62 @@
             Input::Listening { at, .. } => out.log(Level::Info, "listening", vec![("at", at.to_string())]),
             Input::NotListening { why, .. } => {
                 out.log(Level::Error, "not_listening", vec![("why", why)]);
-                if now.since(self.started) < HELD_ADDRESS.1 {
-                    out.wake(timer::LISTEN, now + HELD_ADDRESS.0);
+                if now.since(self.started) < LISTEN_RETRY.1 {
+                    out.wake(timer::LISTEN, now + LISTEN_RETRY.0);
                 } else {
                     out.push(Effect::Exit { code: 3 });
                 }
             }
-            Input::Due { timer: timer::LISTEN } => out.push(Effect::Listen { door: DOOR, at: self.listen }),
+            Input::Due { timer: timer::LISTEN } => {
+                out.push(Effect::Listen { door: LISTENER, at: self.listen })
+            }
             Input::Accepted { link, .. } => self.accepted(now, link, out),
-            Input::Opened { link } if self.discovery.has(link) => {
+            Input::Opened { link } if self.discovery.owns_link(link) => {
                 self.discovery.opened(now, out);
-                out.wake(timer::DISCOVERY, self.discovery.until());
+                out.wake(timer::DISCOVERY, self.discovery.deadline());
             }
             Input::Opened { link } if self.probes.owns_link(link) => {
-                let call = self.probes.request(&self.name);
-                out.send(link, call);
+                let request = self.probes.request(&self.name);
+                out.send(link, request);
             }
             Input::Opened { .. } => {}
-            Input::Bytes { link, bytes } if self.discovery.has(link) => self.discovery_heard(now, bytes, out),
+            Input::Bytes { link, bytes } if self.discovery.owns_link(link) => {
+                self.discovery_received(now, bytes, out)
+            }
             Input::Bytes { link, bytes } if self.probes.owns_link(link) => {
-                if let Some(probed) = self.probes.receive(link, bytes) {
+                if let Some(ended) = self.probes.receive(link, bytes) {
                     out.cut(link);
-                    self.probed(now, probed, out);
+                    self.probe_ended(now, ended, out);
                 }
             }
-            Input::Bytes { link, bytes } => self.heard(now, link, bytes, out),
-            Input::Closed { link, why } if self.discovery.has(link) => self.discovery_ended(now, why, out),
+            Input::Bytes { link, bytes } => self.receive(now, link, bytes, out),
+            Input::Closed { link, why } if self.discovery.owns_link(link) => {
+                self.discovery_closed(now, why, out)
+            }
             Input::Closed { link, why } if self.probes.owns_link(link) => match self.probes.closed(link, why)
             {
-                Some(probed) => self.probed(now, probed, out),
-                None => self.no_room(now, out),
+                Some(ended) => self.probe_ended(now, ended, out),
+                None => self.probe_overflowed(now, out),
             },
             Input::Closed { link, why } => self.closed(now, link, why, out),
             Input::Due { timer: timer::TURN } => self.turn(now, out),
-            Input::Due { timer: timer::WOKEN } if self.woken.is_some_and(|at| at <= now) => {
-                self.woken = None;
+            Input::Due { timer: timer::WAKE } if self.wake_at.is_some_and(|at| at <= now) => {
+                self.wake_at = None;
                 self.event(now, Event::Tick, out);
             }
             Input::Due { timer: timer::SWEEP } => self.sweep(now, out),
-            Input::Due { timer: timer::DISCOVERY } if now >= self.discovery.until() => self.look(now, out),
-            Input::Due { timer: timer::PROBES } => self.late_probes(now, out),
+            Input::Due { timer: timer::DISCOVERY } if now >= self.discovery.deadline() => {
+                self.check_discovery(now, out)
+            }
+            Input::Due { timer: timer::PROBES } => self.time_out_probes(now, out),
             Input::Reload => {
-                // A reading that waits for its second was meant for the file as it was.
-                (self.read_again, self.reload) = (READ_AGAIN.0, None);
-                out.push(Effect::Fetch { name: self.file.clone() });
+                // A scheduled retry was for the old contents of the file.
+                (self.reload_retries, self.reload_at) = (RELOAD_RETRY.0, None);
+                out.push(Effect::Fetch { name: self.config_file.clone() });
             }
-            Input::Due { timer: timer::RELOAD } if self.reload.is_some_and(|at| at <= now) => {
-                self.reload = None;
-                out.push(Effect::Fetch { name: self.file.clone() });
+            Input::Due { timer: timer::RELOAD } if self.reload_at.is_some_and(|at| at <= now) => {
+                self.reload_at = None;
+                out.push(Effect::Fetch { name: self.config_file.clone() });
             }
             Input::File { bytes, .. } => self.reload(now, bytes, out),
             Input::Stop => {
--- a/crates/platform/src/peers.rs
+++ b/crates/platform/src/peers.rs
@@ -1,45 +1,45 @@
-//! Who stands behind a connection, and what a message from such a one does.
+//! The roles of connected peers, and what a message from a peer of each role does.
 
 use pewtergap_node::Link;
 use pewtergap_resp::{Bounds, Message, Reader};
 use pewtergap_time::{Moment, Span};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Before it has joined, a connection may hold this much; afterwards a message may be as long as the platform has
-/// them.
-pub const STRANGERS: Bounds = Bounds { bytes: 4 * 1024, items: 64 };
+/// Message bounds before a peer has identified itself, and after it has joined, when a message may have the platform's
+/// full length.
+pub const UNIDENTIFIED: Bounds = Bounds { bytes: 4 * 1024, items: 64 };
 pub const JOINED: Bounds = Bounds { bytes: 1024 * 1024, items: 4 * 1024 };
-/// Marks of one stream that are not answered; the module's account refuses far earlier.
-pub const MOST_MARKS: usize = 256;
+/// Maximum number of unacknowledged marks of a stream; the planner core's own accounting stops well before it.
+pub const MAX_MARKS: usize = 256;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stand {
-    /// Has not said who it is.
+pub enum PeerRole {
+    /// Has not identified itself.
     Stranger,
     Collector,
     Proxy,
-    /// A proxy's stream that another one has taken over.
+    /// A proxy's stream that was replaced by a newer one.
     Former,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
     Ping,
-    Collects,
-    Sums,
-    Joins,
+    Register,
+    ServerStats,
+    Subscribe,
     Applied,
     Arrivals,
-    /// Framed as it should be, but spoilt.
-    Spoilt,
+    /// Framed correctly, but otherwise invalid.
+    Invalid,
 }
 
-pub fn kind(said: &Message) -> Kind {
-    match said {
+pub fn kind(message: &Message) -> Kind {
+    match message {
         Message::Ping => Kind::Ping,
-        Message::Collects { .. } => Kind::Collects,
-        Message::ServerStats(_) => Kind::Sums,
-        Message::Joins { .. } => Kind::Joins,
+        Message::Register { .. } => Kind::Register,
+        Message::ServerStats(_) => Kind::ServerStats,
+        Message::Subscribe { .. } => Kind::Subscribe,
         Message::Applied { .. } => Kind::Applied,
         Message::Arrivals { .. } => Kind::Arrivals,
     }
@@ -48,47 +48,47 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     Pong,
-    /// Take it in as what it says it is, if that exists.
+    /// Assign the peer the role it claims, if the names in the message exist.
     Admit,
-    /// Tell the module, if all it names exists.
-    Tell,
-    /// Turn it away.
-    Refuse,
-    /// Leave the message out.
-    Omit,
+    /// Pass the message to the planner core, if the names in it exist.
+    Forward,
+    /// Close the connection.
+    Reject,
+    /// Ignore the message.
+    Ignore,
 }
 
 use Effect::*;
 use Kind::*;
-use Stand::{Collector, Former, Proxy, Stranger};
+use PeerRole::{Collector, Former, Proxy, Stranger};
 
-/// The first row that fits counts. Who has not joined is turned away at the first wrong word; who has joined
-/// loses no more than the message.
-pub const TRANSITIONS: &[(&[Stand], &[Kind], Stand, Effect)] = &[
+/// The first matching row applies. A peer that has not joined is disconnected at its first invalid message; a joined
+/// peer loses only the message.
+pub const TRANSITIONS: &[(&[PeerRole], &[Kind], PeerRole, Effect)] = &[
     (&[Stranger], &[Ping], Stranger, Pong),
     (&[Collector], &[Ping], Collector, Pong),
     (&[Proxy], &[Ping], Proxy, Pong),
-    (&[Stranger], &[Collects], Collector, Admit),
-    (&[Stranger], &[Joins], Proxy, Admit),
-    (&[Stranger], &[Sums, Applied, Arrivals, Spoilt], Stranger, Refuse),
-    (&[Collector], &[Sums, Arrivals], Collector, Tell),
-    (&[Collector], &[Collects, Joins, Applied, Spoilt], Collector, Omit),
-    (&[Proxy], &[Applied, Arrivals], Proxy, Tell),
-    (&[Proxy], &[Collects, Joins, Sums, Spoilt], Proxy, Omit),
-    (&[Former], &[Ping, Collects, Sums, Joins, Applied, Arrivals, Spoilt], Former, Omit),
+    (&[Stranger], &[Register], Collector, Admit),
+    (&[Stranger], &[Subscribe], Proxy, Admit),
+    (&[Stranger], &[ServerStats, Applied, Arrivals, Invalid], Stranger, Reject),
+    (&[Collector], &[ServerStats, Arrivals], Collector, Forward),
+    (&[Collector], &[Register, Subscribe, Applied, Invalid], Collector, Ignore),
+    (&[Proxy], &[Applied, Arrivals], Proxy, Forward),
+    (&[Proxy], &[Register, Subscribe, ServerStats, Invalid], Proxy, Ignore),
+    (&[Former], &[Ping, Register, ServerStats, Subscribe, Applied, Arrivals, Invalid], Former, Ignore),
 ];
 
-pub fn transition(stand: Stand, kind: Kind) -> (Stand, Effect) {
-    let row = TRANSITIONS.iter().find(|row| row.0.contains(&stand) && row.1.contains(&kind));
-    row.map_or((stand, Omit), |row| (row.2, row.3))
+pub fn transition(role: PeerRole, kind: Kind) -> (PeerRole, Effect) {
+    let row = TRANSITIONS.iter().find(|row| row.0.contains(&role) && row.1.contains(&kind));
+    row.map_or((role, Ignore), |row| (row.2, row.3))
 }
 
 pub struct Peer {
-    pub stand: Stand,
+    pub role: PeerRole,
     pub reader: Reader,
-    /// Since when it stands as it does.
+    /// When it took its present role.
     pub since: Moment,
-    /// Index of the proxy, where it is one; of the zone, where it collects.
+    /// Index of the proxy, and of the collector's zone.
     pub proxy: usize,
     pub zone: usize,
 }
@@ -97,47 +97,49 @@
 #[derive(Debug)]
 pub struct Stream {
     pub link: Link,
-    /// Marks sent and not answered, and when.
+    /// Unacknowledged marks and when each was sent.
     pub marks: VecDeque<(u64, Moment)>,
-    pub heard: Moment,
-    /// What it said when it joined.
+    pub last_contact: Moment,
+    /// As given by the proxy when it joined.
     pub zone: usize,
     pub calls_per_s: f64,
-    /// Nothing came for so long that the module was told it had left.
+    /// Nothing was received for so long that the planner core was told that the proxy left.
     pub silent: bool,
-    /// When something that could not be read came last.
-    pub spoilt: Option<Moment>,
+    /// When the last invalid message was received.
+    pub invalid_at: Option<Moment>,
 }
 
 impl Stream {
-    /// A healthy one would have said something by now: messages wait for their answers, and nothing else came. Two
-    /// of them: one answer may have come spoilt, and a proxy that is only idle must still be told of drains.
-    pub fn overdue(&self, now: Moment, unresponsive_after: Span) -> bool {
+    /// Whether a healthy proxy would have sent something by now: marks are unacknowledged and nothing else was received.
+    /// Two marks are required, since one acknowledgement may have been invalid, and an idle proxy must still be notified
+    /// of drains.
+    pub fn is_unresponsive(&self, now: Moment, unresponsive_after: Span) -> bool {
         let unanswered = self.marks.get(1).is_some_and(|sent| now.since(sent.1) > unresponsive_after);
-        !self.silent && unanswered && now.since(self.heard) > unresponsive_after
+        !self.silent && unanswered && now.since(self.last_contact) > unresponsive_after
     }
 
-    /// A mark is open for long, and since it was sent something came that could not be read.
-    pub fn unsure(&self, now: Moment, unresponsive_after: Span) -> bool {
+    /// Whether a mark has long been unacknowledged and an invalid message was received since it was sent.
+    pub fn may_have_lost_ack(&self, now: Moment, unresponsive_after: Span) -> bool {
         self.marks.front().is_some_and(|(_, sent)| {
-            now.since(*sent) > unresponsive_after && self.spoilt.is_some_and(|spoilt| spoilt >= *sent)
+            now.since(*sent) > unresponsive_after
+                && self.invalid_at.is_some_and(|invalid_at| invalid_at >= *sent)
         })
     }
 }
 
-/// All connections that came in at the door, and the streams among them.
+/// All accepted connections, and the proxies' streams among them.
 #[derive(Default)]
 pub struct Peers {
     pub all: BTreeMap<Link, Peer>,
     pub streams: BTreeMap<usize, Stream>,
-    /// Bytes held of messages that are not complete, of all together.
-    pub held: usize,
+    /// Bytes buffered of incomplete messages, of all peers together.
+    pub buffered: usize,
 }
 
 impl Peers {
-    /// Connections that have not joined, oldest first.
-    pub fn loose(&self) -> impl Iterator<Item = (Link, &Peer)> + '_ {
-        let loose = |peer: &Peer| matches!(peer.stand, Stranger | Former);
-        self.all.iter().filter(move |(_, peer)| loose(peer)).map(|(link, peer)| (*link, peer))
+    /// Connections that have not joined or were replaced, oldest first.
+    pub fn unjoined(&self) -> impl Iterator<Item = (Link, &Peer)> + '_ {
+        let unjoined = |peer: &Peer| matches!(peer.role, Stranger | Former);
+        self.all.iter().filter(move |(_, peer)| unjoined(peer)).map(|(link, peer)| (*link, peer))
     }
 }
--- a/crates/platform/src/server_list.rs
+++ b/crates/platform/src/server_list.rs
@@ -1,4 +1,4 @@
-//! The servers as discovery lists them, and what of an answer is news.
+//! The server list as received from discovery, and the changes that an answer makes to it.
 
 use pewtergap_planner::ListedState;
 use pewtergap_time::{Moment, Span};
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Target {
     pub name: String,
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     pub zone: String,
     pub cell: u64,
     pub state: ListedState,
@@ -19,28 +19,28 @@
     pub started: Option<Moment>,
 }
 
-/// A list or the changes since another; an entry that cannot be read tells the name it is about, if it has one.
+/// A whole list, or the changes since another. An invalid entry keeps the name it is about, if it has one.
 pub struct Answer {
     pub version: u64,
     pub whole: bool,
-    pub targets: Vec<Result<Target, Unread>>,
+    pub targets: Vec<Result<Target, InvalidEntry>>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Unread {
+pub struct InvalidEntry {
     pub name: Option<String>,
-    pub what: String,
+    pub reason: String,
 }
 
 #[derive(Deserialize)]
-struct Wire {
+struct AnswerJson {
     rev: u64,
     all: bool,
     targets: Vec<Value>,
 }
 
 #[derive(Deserialize)]
-struct Row {
+struct TargetJson {
     uid: String,
     endpoint: String,
     az: String,
@@ -53,16 +53,20 @@
     boot_ms: Option<f64>,
 }
 
-/// Longer names are no names of servers: they stand in every line of every message.
-const MOST_NAME: usize = 128;
+/// Maximum length of a server's name, which is part of every line of every message.
+const MAX_NAME_LEN: usize = 128;
 
-fn target(row: Value) -> Result<Target, String> {
-    let row: Row = serde_json::from_value(row).map_err(|e| e.to_string())?;
-    // These would end a line or a field of an order.
-    if row.uid.is_empty() || row.uid.len() > MOST_NAME || row.uid.contains([':', ',', '+', '\r', '\n', ' ']) {
+fn parse_target(row: Value) -> Result<Target, String> {
+    let row: TargetJson = serde_json::from_value(row).map_err(|e| e.to_string())?;
+    // These characters would end a line or a field of a message.
+    if row.uid.is_empty()
+        || row.uid.len() > MAX_NAME_LEN
+        || row.uid.contains([':', ',', '+', '\r', '\n', ' '])
+    {
         return Err("uid is not the name of a server".into());
     }
-    let at = row.endpoint.parse().map_err(|_| format!("endpoint '{}' is no address", row.endpoint))?;
+    let address =
+        row.endpoint.parse().map_err(|_| format!("endpoint '{}' is not an address", row.endpoint))?;
     let state = match row.state.as_str() {
         "Ready" => ListedState::Running,
         "Terminating" => ListedState::Stopping,
@@ -76,74 +80,75 @@
     }
     let started = Some(Moment((started * 1e6) as u64)).filter(|at| at.0 > 0);
     let cell = row.pod_group.unwrap_or(0);
-    Ok(Target { name: row.uid, at, zone: row.az, cell, state, weight, started })
+    Ok(Target { name: row.uid, address, zone: row.az, cell, state, weight, started })
 }
 
 impl Answer {
-    pub fn read(bytes: &[u8]) -> Result<Answer, String> {
-        Answer::of(serde_json::from_slice(bytes).map_err(|e| e.to_string())?)
+    pub fn parse(bytes: &[u8]) -> Result<Answer, String> {
+        Answer::from_json(serde_json::from_slice(bytes).map_err(|e| e.to_string())?)
     }
 
-    pub fn of(list: Value) -> Result<Answer, String> {
-        let wire: Wire = serde_json::from_value(list).map_err(|e| e.to_string())?;
-        let read = |row: Value| {
+    pub fn from_json(list: Value) -> Result<Answer, String> {
+        let json: AnswerJson = serde_json::from_value(list).map_err(|e| e.to_string())?;
+        let parse = |row: Value| {
             let name = row.get("uid").and_then(Value::as_str).map(str::to_string);
-            target(row).map_err(|what| Unread { name, what })
+            parse_target(row).map_err(|reason| InvalidEntry { name, reason })
         };
-        let targets = wire.targets.into_iter().map(read).collect();
-        Ok(Answer { version: wire.rev, whole: wire.all, targets })
+        let targets = json.targets.into_iter().map(parse).collect();
+        Ok(Answer { version: json.rev, whole: json.all, targets })
     }
 }
 
 /// What an answer changes.
 #[derive(Debug, PartialEq)]
-pub enum News {
-    Nothing,
-    /// Older than what is known.
+pub enum ListUpdate {
+    Unchanged,
+    /// Older than the list held.
     Stale,
     Changes(Vec<Target>),
     Complete(Vec<Target>),
 }
 
-/// Whole lists of a lower version in a row, each asked for anew, and over how long, that show discovery has begun
-/// anew. A few may be answers that were long on their way, or a replica behind: believed at once, servers that are
-/// gone would come back.
-const DOUBTED: (u32, Span) = (5, Span::millis(15_000));
+/// How many consecutive whole lists of a lower version, each requested again, and over how long, show that discovery
+/// has restarted. A few may be delayed answers or come from a replica that is behind: accepted at once, they would
+/// bring back servers that are gone.
+const RESET_CONFIRMATION: (u32, Span) = (5, Span::millis(15_000));
 
 #[derive(Debug, Default)]
 pub struct ServerList {
     version: u64,
     listed: BTreeMap<String, Target>,
-    /// A whole list has come since the start.
+    /// A whole list was received since the start.
     complete: bool,
-    /// The grace of drains, and when the last drain or end of a server was told.
-    grace: Span,
-    left: Option<Moment>,
-    /// The newest version of the whole lists that went back, how many there were in a row, and since when.
-    back: Option<(u64, u32, Moment)>,
+    /// The grace period of drains, and when the last drain or removal of a server was received.
+    drain_grace: Span,
+    last_removal: Option<Moment>,
+    /// Of consecutive whole lists of a lower version: the latest version, their count, and when the first came.
+    regression: Option<(u64, u32, Moment)>,
 }
 
 impl ServerList {
-    /// As held before a start: what it says is told now.
-    pub fn kept(now: Moment, version: u64, known: Vec<Target>, grace: Span) -> ServerList {
+    /// Starts from a saved list, whose removals count as received now.
+    pub fn from_saved(now: Moment, version: u64, known: Vec<Target>, drain_grace: Span) -> ServerList {
         let listed = known.into_iter().filter(|t| t.state != ListedState::Deleted);
         let listed: BTreeMap<String, Target> = listed.map(|t| (t.name.clone(), t)).collect();
-        let left = listed.values().any(|target| target.state != ListedState::Running).then_some(now);
-        ServerList { version, listed, complete: false, grace, left, back: None }
+        let last_removal = listed.values().any(|target| target.state != ListedState::Running).then_some(now);
+        ServerList { version, listed, complete: false, drain_grace, last_removal, regression: None }
     }
 
-    /// The last whole list went back and is not believed: it has to be asked for again.
-    pub fn doubts(&self) -> bool {
-        self.back.is_some()
+    /// Whether the last whole list had a lower version that is not accepted yet, and must be requested again.
+    pub fn awaits_confirmation(&self) -> bool {
+        self.regression.is_some()
     }
 
-    /// Whether a whole list of a lower version is believed: there were enough in a row, none older than the one
-    /// before, and the grace of each drain that was told has passed, so that none is undone within it.
-    fn began_anew(&mut self, now: Moment, version: u64) -> bool {
-        let row = self.back.filter(|back| version >= back.0).map_or((1, now), |back| (back.1 + 1, back.2));
-        self.back = Some((version, row.0.min(DOUBTED.0), row.1));
-        let shown = row.0 >= DOUBTED.0 && now.since(row.1) >= DOUBTED.1;
-        shown && self.left.is_none_or(|left| now.since(left) > self.grace)
+    /// Whether a whole list of a lower version is accepted: enough came in a row, none older than the one before, and
+    /// the grace period of each received drain has passed, so that no drain is undone within it.
+    fn confirms_reset(&mut self, now: Moment, version: u64) -> bool {
+        let run =
+            self.regression.filter(|seen| version >= seen.0).map_or((1, now), |seen| (seen.1 + 1, seen.2));
+        self.regression = Some((version, run.0.min(RESET_CONFIRMATION.0), run.1));
+        let confirmed = run.0 >= RESET_CONFIRMATION.0 && now.since(run.1) >= RESET_CONFIRMATION.1;
+        confirmed && self.last_removal.is_none_or(|removal| now.since(removal) > self.drain_grace)
     }
 
     pub fn version(&self) -> u64 {
@@ -154,53 +159,59 @@
         self.listed.values()
     }
 
-    /// Takes an answer in. An older one never undoes what is known; an entry that cannot be read leaves what is
-    /// known of that server in force; what is told again is no news.
-    pub fn take(&mut self, now: Moment, answer: Answer) -> News {
-        if answer.version < self.version && !(answer.whole && self.began_anew(now, answer.version)) {
-            return News::Stale;
+    /// Applies an answer. An older answer changes nothing, an invalid entry leaves the known state of its server in
+    /// force, and entries equal to what is known are not reported as changes.
+    pub fn apply(&mut self, now: Moment, answer: Answer) -> ListUpdate {
+        if answer.version < self.version && !(answer.whole && self.confirms_reset(now, answer.version)) {
+            return ListUpdate::Stale;
         }
-        self.back = None;
+        self.regression = None;
         if answer.version == self.version && !answer.whole {
-            return News::Nothing;
+            return ListUpdate::Unchanged;
         }
         self.version = answer.version;
-        let mut told: BTreeMap<String, Target> = BTreeMap::new();
-        let mut unread: Vec<String> = Vec::new();
+        let mut received: BTreeMap<String, Target> = BTreeMap::new();
+        let mut invalid: Vec<String> = Vec::new();
         for target in answer.targets {
             match target {
-                Ok(target) => drop(told.insert(target.name.clone(), target)),
-                Err(what) => unread.extend(what.name),
+                Ok(target) => drop(received.insert(target.name.clone(), target)),
+                Err(entry) => invalid.extend(entry.name),
             }
         }
         if answer.whole {
-            told.retain(|_, target| target.state != ListedState::Deleted);
-            for target in unread.iter().filter_map(|name| self.listed.get(name)) {
-                told.entry(target.name.clone()).or_insert(target.clone());
+            received.retain(|_, target| target.state != ListedState::Deleted);
+            for target in invalid.iter().filter_map(|name| self.listed.get(name)) {
+                received.entry(target.name.clone()).or_insert(target.clone());
             }
-            let stays =
-                |name: &String| told.get(name).is_some_and(|target| target.state == ListedState::Running);
-            let ends =
-                self.listed.iter().any(|(name, target)| target.state == ListedState::Running && !stays(name));
-            self.left = if ends { Some(now) } else { self.left };
-            let same = self.complete && told == self.listed;
+            let still_runs =
+                |name: &String| received.get(name).is_some_and(|target| target.state == ListedState::Running);
+            let removes = self
+                .listed
+                .iter()
+                .any(|(name, target)| target.state == ListedState::Running && !still_runs(name));
+            self.last_removal = if removes { Some(now) } else { self.last_removal };
+            let unchanged = self.complete && received == self.listed;
             self.complete = true;
-            self.listed = told;
-            return if same { News::Nothing } else { News::Complete(self.known().cloned().collect()) };
+            self.listed = received;
+            return if unchanged {
+                ListUpdate::Unchanged
+            } else {
+                ListUpdate::Complete(self.known().cloned().collect())
+            };
         }
-        told.retain(|name, target| self.listed.get(name) != Some(target));
-        let ends = told.values().any(|target| target.state != ListedState::Running);
-        self.left = if ends { Some(now) } else { self.left };
-        for (name, target) in &told {
+        received.retain(|name, target| self.listed.get(name) != Some(target));
+        let removes = received.values().any(|target| target.state != ListedState::Running);
+        self.last_removal = if removes { Some(now) } else { self.last_removal };
+        for (name, target) in &received {
             match target.state {
                 ListedState::Deleted => drop(self.listed.remove(name)),
                 _ => drop(self.listed.insert(name.clone(), target.clone())),
             }
         }
-        if told.is_empty() {
-            News::Nothing
+        if received.is_empty() {
+            ListUpdate::Unchanged
         } else {
-            News::Changes(told.into_values().collect())
+            ListUpdate::Changes(received.into_values().collect())
         }
     }
 }
--- a/crates/platform/tests/crossings.rs
+++ b/crates/platform/tests/crossings.rs
@@ -1,271 +1,294 @@
-//! Crossings within one look at the kernel, or of a timer and what comes: their order cannot be forced from outside, so
-//! the node is driven by hand. Rows of docs/crossings.md name these tests.
+//! Races between inputs of one poll, or between a timer and an input. Their order cannot be forced from outside the
+//! process, so the tests drive the node directly. Rows of docs/crossings.md name these tests.
 
-mod hand;
+mod harness;
 
-use hand::*;
+use harness::*;
 use pewtergap_node::{Effect, Ended, Input, Link};
 use pewtergap_time::Span;
 
-fn at(name: &str, port: u16, started: u64) -> String {
+fn server_row(name: &str, port: u16, started: u64) -> String {
     format!(
         r#"{{"uid":"{name}","endpoint":"127.0.0.3:{port}","az":"a","model":"m","pod_group":3,"state":"Ready",
         "capacity_hint":1.0,"boot_ms":{started}}}"#
     )
 }
 
-/// A planner whose list names one server, and the connection its list came on.
-fn listed(server: &str) -> (Hand, Link) {
-    let mut hand = Hand::new(&settings(10, 256));
-    hand.joined(1);
-    let list = hand.dial(85);
-    hand.give(Input::Opened { link: list });
-    hand.discovery(list, &format!(r#"{{"rev":5,"all":true,"targets":[{server}]}}"#));
-    hand.pass(600);
-    (hand, list)
+/// A planner whose list has one server, and its connection to discovery.
+fn planner_with_server(server: &str) -> (Harness, Link) {
+    let mut harness = Harness::new(&settings(10, 256));
+    harness.join(1);
+    let list = harness.latest_connection(85);
+    harness.input(Input::Opened { link: list });
+    harness.answer_list(list, &format!(r#"{{"rev":5,"all":true,"targets":[{server}]}}"#));
+    harness.advance(600);
+    (harness, list)
 }
 
-const GOOD: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\ninflight=";
+const VALID_REPORT: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\ninflight=";
 
 #[test]
 fn what_a_server_says_from_its_former_address_or_start_is_not_told_of_the_present_one() {
-    for present in [at("s-9", 902, 0), at("s-9", 901, 1_700_000_000_500)] {
-        let (mut hand, list) = listed(&at("s-9", 901, 0));
-        let former = hand.dial(901);
-        hand.give(Input::Opened { link: former });
-        let asked = hand.dialled.len();
-        hand.discovery(list, &format!(r#"{{"rev":6,"all":false,"targets":[{present}]}}"#));
-        let seen = hand.seen();
-        assert!(seen.contains(&format!("{}: cut", former.0)), "the former one's probe ends: {seen}");
-        assert_eq!(hand.dialled.len(), asked + 1, "the present one is asked at once");
-        // The former one's end, which is on its way, is nobody's.
-        hand.give(Input::Closed { link: former, why: Ended::Reset });
-        hand.pass(399);
-        assert_eq!(hand.bad_probes, Vec::<String>::new());
+    for present in [server_row("s-9", 902, 0), server_row("s-9", 901, 1_700_000_000_500)] {
+        let (mut harness, list) = planner_with_server(&server_row("s-9", 901, 0));
+        let former = harness.latest_connection(901);
+        harness.input(Input::Opened { link: former });
+        let connects_before = harness.connects.len();
+        harness.answer_list(list, &format!(r#"{{"rev":6,"all":false,"targets":[{present}]}}"#));
+        let seen = harness.take_output();
+        assert!(seen.contains(&format!("{}: cut", former.0)), "the old one's probe is aborted: {seen}");
+        assert_eq!(harness.connects.len(), connects_before + 1, "the new one is probed at once");
+        // The old connection's end, which was already on its way, is attributed to no probe.
+        harness.input(Input::Closed { link: former, why: Ended::Reset });
+        harness.advance(399);
+        assert_eq!(harness.failed_probes, Vec::<String>::new());
     }
 }
 
 #[test]
 fn a_server_that_leaves_and_comes_back_under_its_name_is_asked_anew() {
-    let (mut hand, list) = listed(&at("s-9", 901, 0));
-    let former = hand.dial(901);
-    hand.give(Input::Opened { link: former });
-    hand.discovery(list, r#"{"rev":6,"all":true,"targets":[]}"#);
-    assert!(hand.seen().contains(&format!("{}: cut", former.0)));
-    hand.discovery(list, &format!(r#"{{"rev":7,"all":true,"targets":[{}]}}"#, at("s-9", 901, 0)));
-    hand.give(Input::Closed { link: former, why: Ended::Reset });
-    hand.pass(2_500);
-    assert_ne!(hand.dial(901), former, "asked again");
-    assert!(!hand.bad_probes.iter().any(|told| told.contains("dead")), "{:?}", hand.bad_probes);
+    let (mut harness, list) = planner_with_server(&server_row("s-9", 901, 0));
+    let former = harness.latest_connection(901);
+    harness.input(Input::Opened { link: former });
+    harness.answer_list(list, r#"{"rev":6,"all":true,"targets":[]}"#);
+    assert!(harness.take_output().contains(&format!("{}: cut", former.0)));
+    harness
+        .answer_list(list, &format!(r#"{{"rev":7,"all":true,"targets":[{}]}}"#, server_row("s-9", 901, 0)));
+    harness.input(Input::Closed { link: former, why: Ended::Reset });
+    harness.advance(2_500);
+    assert_ne!(harness.latest_connection(901), former, "probed again");
+    assert!(!harness.failed_probes.iter().any(|told| told.contains("dead")), "{:?}", harness.failed_probes);
 }
 
 #[test]
 fn a_server_whose_list_entry_says_nothing_new_is_not_asked_again_for_it() {
-    let (mut hand, list) = listed(&at("s-9", 901, 0));
-    let probe = hand.dial(901);
-    hand.give(Input::Opened { link: probe });
-    let leaves = at("s-9", 901, 0).replace("Ready", "Terminating");
-    hand.discovery(list, &format!(r#"{{"rev":6,"all":false,"targets":[{leaves}]}}"#));
-    assert!(!hand.seen().contains(&format!("{}: cut", probe.0)));
+    let (mut harness, list) = planner_with_server(&server_row("s-9", 901, 0));
+    let probe = harness.latest_connection(901);
+    harness.input(Input::Opened { link: probe });
+    let leaves = server_row("s-9", 901, 0).replace("Ready", "Terminating");
+    harness.answer_list(list, &format!(r#"{{"rev":6,"all":false,"targets":[{leaves}]}}"#));
+    assert!(!harness.take_output().contains(&format!("{}: cut", probe.0)));
 }
 
 #[test]
 fn a_probe_for_which_this_side_has_no_room_says_nothing_of_the_server() {
-    let (mut hand, _) = listed(&at("s-9", 901, 0));
+    let (mut harness, _) = planner_with_server(&server_row("s-9", 901, 0));
     for _ in 0..4 {
-        let probe = hand.dial(901);
-        hand.give(Input::Closed { link: probe, why: Ended::Overflow });
-        while hand.dial(901) == probe {
-            hand.pass(100);
+        let probe = harness.latest_connection(901);
+        harness.input(Input::Closed { link: probe, why: Ended::Overflow });
+        while harness.latest_connection(901) == probe {
+            harness.advance(100);
         }
     }
-    assert_eq!(hand.bad_probes, Vec::<String>::new(), "silent four times over, it would have lost its share");
+    assert_eq!(
+        harness.failed_probes,
+        Vec::<String>::new(),
+        "a server with four timed-out probes would have lost its share"
+    );
 }
 
 #[test]
 fn an_answer_in_the_round_of_its_deadline_counts_as_it_came_first() {
-    // The reactor reads before it looks at timers; both orders are borne.
-    let (mut hand, _) = listed(&at("s-9", 901, 0));
-    let probe = hand.dial(901);
-    hand.give(Input::Opened { link: probe });
-    hand.give(Input::Bytes { link: probe, bytes: GOOD });
-    hand.pass(1_000);
-    assert!(!hand.bad_probes.iter().any(|told| told.starts_with("s-9")), "{:?}", hand.bad_probes);
-    let (mut hand, _) = listed(&at("s-9", 901, 0));
-    let probe = hand.dial(901);
-    hand.give(Input::Opened { link: probe });
-    hand.pass(1_000);
-    hand.give(Input::Bytes { link: probe, bytes: GOOD });
-    assert_eq!(hand.bad_probes.last().map(String::as_str), Some("s-9 silent"));
+    // The reactor reads before it checks timers; either order must be handled.
+    let (mut harness, _) = planner_with_server(&server_row("s-9", 901, 0));
+    let probe = harness.latest_connection(901);
+    harness.input(Input::Opened { link: probe });
+    harness.input(Input::Bytes { link: probe, bytes: VALID_REPORT });
+    harness.advance(1_000);
+    assert!(!harness.failed_probes.iter().any(|told| told.starts_with("s-9")), "{:?}", harness.failed_probes);
+    let (mut harness, _) = planner_with_server(&server_row("s-9", 901, 0));
+    let probe = harness.latest_connection(901);
+    harness.input(Input::Opened { link: probe });
+    harness.advance(1_000);
+    harness.input(Input::Bytes { link: probe, bytes: VALID_REPORT });
+    assert_eq!(harness.failed_probes.last().map(String::as_str), Some("s-9 silent"));
 }
 
 #[test]
 fn a_list_that_comes_in_pieces_is_waited_for_while_it_comes_and_not_for_ever() {
-    let mut hand = Hand::new(&settings(10, 256));
-    let list = hand.dial(85);
-    hand.give(Input::Opened { link: list });
-    let body = format!(r#"{{"rev":5,"all":true,"targets":[{}]}}"#, at("s-9", 901, 0));
+    let mut harness = Harness::new(&settings(10, 256));
+    let list = harness.latest_connection(85);
+    harness.input(Input::Opened { link: list });
+    let body = format!(r#"{{"rev":5,"all":true,"targets":[{}]}}"#, server_row("s-9", 901, 0));
     let answer = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}", body.len());
-    let told = hand.lists;
+    let lists_before = harness.list_events;
     for piece in answer.as_bytes().chunks(answer.len().div_ceil(6)) {
-        hand.give(Input::Bytes { link: list, bytes: piece });
-        hand.pass(500);
+        harness.input(Input::Bytes { link: list, bytes: piece });
+        harness.advance(500);
     }
-    assert_eq!((hand.lists, hand.dial(85)), (told + 1, list), "taken in, on the connection it came on");
-    // The watch's answer trickles without end.
-    let begin = hand.now;
-    hand.give(Input::Bytes { link: list, bytes: b"HTTP/1.1 200 OK\r\ncontent-length: 5000\r\n\r\n" });
-    while hand.dial(85) == list {
-        hand.give(Input::Bytes { link: list, bytes: b" " });
-        hand.pass(100);
-        assert!(hand.now.since(begin) < Span::millis(5_500), "a change could count as told by now");
+    assert_eq!(
+        (harness.list_events, harness.latest_connection(85)),
+        (lists_before + 1, list),
+        "applied, and the connection is kept"
+    );
+    // The answer to the watch trickles in without end.
+    let start = harness.now;
+    harness.input(Input::Bytes { link: list, bytes: b"HTTP/1.1 200 OK\r\ncontent-length: 5000\r\n\r\n" });
+    while harness.latest_connection(85) == list {
+        harness.input(Input::Bytes { link: list, bytes: b" " });
+        harness.advance(100);
+        assert!(harness.now.since(start) < Span::millis(5_500), "a change could already count as announced");
     }
 }
 
 #[test]
 fn a_dial_that_stands_after_it_was_given_up_is_asked_nothing() {
-    let mut hand = Hand::new(&settings(10, 256));
-    let given_up = hand.dial(85);
-    while hand.dial(85) == given_up {
-        hand.pass(10);
+    let mut harness = Harness::new(&settings(10, 256));
+    let given_up = harness.latest_connection(85);
+    while harness.latest_connection(85) == given_up {
+        harness.advance(10);
     }
-    hand.seen();
-    hand.give(Input::Opened { link: given_up });
-    hand.discovery(given_up, r#"{"rev":9,"all":true,"targets":[]}"#);
-    assert_eq!((hand.seen(), hand.lists), (String::new(), 1), "only the list as held was told");
-    let present = hand.dial(85);
-    hand.give(Input::Opened { link: present });
-    assert!(hand.seen().starts_with(&format!("{}: GET /discovery/hosts", present.0)));
+    harness.take_output();
+    harness.input(Input::Opened { link: given_up });
+    harness.answer_list(given_up, r#"{"rev":9,"all":true,"targets":[]}"#);
+    assert_eq!(
+        (harness.take_output(), harness.list_events),
+        (String::new(), 1),
+        "only the saved list was applied"
+    );
+    let present = harness.latest_connection(85);
+    harness.input(Input::Opened { link: present });
+    assert!(harness.take_output().starts_with(&format!("{}: GET /discovery/hosts", present.0)));
 }
 
 #[test]
 fn however_many_signals_come_the_file_is_read_again_by_one_timer() {
-    let mut hand = Hand::new(&settings(10, 256));
+    let mut harness = Harness::new(&settings(10, 256));
     for _ in 0..50 {
-        hand.give(Input::Reload);
-        hand.give(Input::File { name: "config.json", bytes: Ok(b"{") });
+        harness.input(Input::Reload);
+        harness.input(Input::File { name: "config.json", bytes: Ok(b"{") });
     }
-    hand.done.clear();
-    let fetched = |hand: &Hand| hand.done.iter().filter(|done| matches!(done, Effect::Fetch { .. })).count();
+    harness.effects.clear();
+    let fetched = |harness: &Harness| {
+        harness.effects.iter().filter(|effect| matches!(effect, Effect::Fetch { .. })).count()
+    };
     let mut before = 0;
     for _ in 0..100 {
-        hand.pass(100);
-        if fetched(&hand) > before {
-            before = fetched(&hand);
-            hand.give(Input::File { name: "config.json", bytes: Ok(b"{") });
+        harness.advance(100);
+        if fetched(&harness) > before {
+            before = fetched(&harness);
+            harness.input(Input::File { name: "config.json", bytes: Ok(b"{") });
         }
     }
-    assert!((10..=15).contains(&before), "five soon, then one a second: {before} in 10 s");
+    assert!((10..=15).contains(&before), "five quick retries, then one a second: {before} in 10 s");
 }
 
 #[test]
 fn a_signal_while_the_next_reading_is_a_second_away_has_the_file_read_soon_again() {
-    let mut hand = Hand::new(&settings(10, 256));
-    let torn = |hand: &mut Hand| hand.give(Input::File { name: "config.json", bytes: Ok(b"{") });
-    let fetched = |hand: &mut Hand, ms: u64| {
-        hand.done.clear();
-        hand.pass(ms);
-        hand.done.iter().any(|done| matches!(done, Effect::Fetch { .. }))
+    let mut harness = Harness::new(&settings(10, 256));
+    let torn = |harness: &mut Harness| harness.input(Input::File { name: "config.json", bytes: Ok(b"{") });
+    let fetched = |harness: &mut Harness, ms: u64| {
+        harness.effects.clear();
+        harness.advance(ms);
+        harness.effects.iter().any(|effect| matches!(effect, Effect::Fetch { .. }))
     };
-    hand.give(Input::Reload);
-    torn(&mut hand);
+    harness.input(Input::Reload);
+    torn(&mut harness);
     for _ in 0..5 {
-        assert!(fetched(&mut hand, 100));
-        torn(&mut hand);
+        assert!(fetched(&mut harness, 100));
+        torn(&mut harness);
     }
-    assert!(!fetched(&mut hand, 300), "from here on once a second");
-    hand.give(Input::Reload);
-    torn(&mut hand);
-    assert!(fetched(&mut hand, 100), "the new file may be on its way as the first was");
+    assert!(!fetched(&mut harness, 300), "from here on, one retry a second");
+    harness.input(Input::Reload);
+    torn(&mut harness);
+    assert!(fetched(&mut harness, 100), "the new file may be in the middle of its replacement");
 }
 
 #[test]
 fn one_that_answers_at_once_and_closes_each_time_is_dialled_at_a_pace() {
-    let mut hand = Hand::new(&settings(10, 256));
-    let begin = hand.dialled.len();
-    let mut answered = hand.dial(85);
-    let end = hand.now + Span::millis(1_000);
+    let mut harness = Harness::new(&settings(10, 256));
+    let connects_before = harness.connects.len();
+    let mut answered = harness.latest_connection(85);
+    let end = harness.now + Span::millis(1_000);
     let body = r#"{"rev":5,"all":false,"targets":[]}"#;
     let answer =
         format!("HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length: {}\r\n\r\n{body}", body.len());
-    while hand.now < end && hand.dialled.len() < 100 {
-        hand.give(Input::Opened { link: answered });
-        hand.give(Input::Bytes { link: answered, bytes: answer.as_bytes() });
-        while hand.dial(85) == answered && hand.now < end {
-            hand.pass(1);
+    while harness.now < end && harness.connects.len() < 100 {
+        harness.input(Input::Opened { link: answered });
+        harness.input(Input::Bytes { link: answered, bytes: answer.as_bytes() });
+        while harness.latest_connection(85) == answered && harness.now < end {
+            harness.advance(1);
         }
-        answered = hand.dial(85);
+        answered = harness.latest_connection(85);
     }
-    let dials = hand.dialled.iter().skip(begin).filter(|dialled| dialled.1.port() == 85).count();
-    assert!((5..=26).contains(&dials), "{dials} dials in a second");
+    let connects =
+        harness.connects.iter().skip(connects_before).filter(|connect| connect.1.port() == 85).count();
+    assert!((5..=26).contains(&connects), "{connects} connects in a second");
 }
 
 #[test]
 fn the_address_is_tried_for_ten_seconds_and_then_given_up() {
-    let mut hand = Hand::new(&settings(10, 256));
-    let begin = hand.now;
-    while !hand.done.contains(&Effect::Exit { code: 3 }) {
-        hand.give(Input::NotListening { door: 0, why: "held".into() });
-        hand.pass(100);
-        assert!(hand.now.since(begin) < Span::millis(10_500));
+    let mut harness = Harness::new(&settings(10, 256));
+    let start = harness.now;
+    while !harness.effects.contains(&Effect::Exit { code: 3 }) {
+        harness.input(Input::NotListening { door: 0, why: "held".into() });
+        harness.advance(100);
+        assert!(harness.now.since(start) < Span::millis(10_500));
     }
-    assert!(hand.now.since(begin) > Span::millis(9_500));
+    assert!(harness.now.since(start) > Span::millis(9_500));
 }
 
 #[test]
 fn a_proxy_that_joins_and_leaves_within_one_turn_is_written_nothing_and_kept_by_nobody() {
-    let mut hand = Hand::new(&settings(10, 256));
-    hand.pass(10);
-    hand.seen();
-    let brief = hand.joined(3);
-    hand.give(Input::Closed { link: brief, why: Ended::Reset });
-    let (former, present) = (hand.joined(4), hand.joined(4));
-    hand.give(Input::Closed { link: former, why: Ended::Done });
-    hand.pass(200);
-    let seen = hand.seen();
+    let mut harness = Harness::new(&settings(10, 256));
+    harness.advance(10);
+    harness.take_output();
+    let brief = harness.join(3);
+    harness.input(Input::Closed { link: brief, why: Ended::Reset });
+    let (former, present) = (harness.join(4), harness.join(4));
+    harness.input(Input::Closed { link: former, why: Ended::Done });
+    harness.advance(200);
+    let seen = harness.take_output();
     let told = |link: Link| seen.lines().any(|line| line.starts_with(&format!("{}: CONFIG", link.0)));
     assert_eq!((told(brief), told(former), told(present)), (false, false, true), "{seen}");
 }
 
 #[test]
 fn a_collector_that_comes_again_after_each_cut_leaves_no_more_than_a_few_connections() {
-    let mut hand = Hand::new(&settings(10, 256));
-    let other = hand.come();
-    hand.say(other, "SOURCE az b");
-    let proxy = hand.joined(1);
-    hand.pass(10);
-    hand.seen();
+    let mut harness = Harness::new(&settings(10, 256));
+    let other = harness.accept();
+    harness.send(other, "SOURCE az b");
+    let proxy = harness.join(1);
+    harness.advance(10);
+    harness.take_output();
     let mut links = Vec::new();
     for _ in 0..1_000 {
-        let link = hand.come();
-        hand.say(link, "SOURCE az a");
-        hand.pass(5);
+        let link = harness.accept();
+        harness.send(link, "SOURCE az a");
+        harness.advance(5);
         links.push(link);
     }
-    let seen = hand.seen();
+    let seen = harness.take_output();
     let cut: Vec<bool> = links.iter().map(|link| seen.contains(&format!("{}: cut", link.0))).collect();
-    assert!(cut[..996].iter().all(|cut| *cut), "the former ones are closed");
-    assert!(!cut[996..].contains(&true), "the newest stay, whichever of them is alive");
+    assert!(cut[..996].iter().all(|cut| *cut), "the old connections are closed");
+    assert!(!cut[996..].contains(&true), "the newest stay, since any of them may be the live one");
     for link in [other, proxy] {
-        assert!(!seen.lines().any(|line| line == format!("{}: cut", link.0)), "nobody else is closed");
+        assert!(
+            !seen.lines().any(|line| line == format!("{}: cut", link.0)),
+            "no other connection is closed"
+        );
     }
-    hand.say(links[999], "PING");
-    assert!(hand.seen().contains("PONG"));
+    harness.send(links[999], "PING");
+    assert!(harness.take_output().contains("PONG"));
 }
 
 #[test]
 fn a_flood_of_what_would_be_logged_is_counted_and_not_written() {
-    let mut hand = Hand::new(&settings(400, 1024));
-    let links: Vec<Link> = (0..400).map(|number| hand.joined(number)).collect();
-    hand.pass(100);
-    let before = hand.logged;
+    let mut harness = Harness::new(&settings(400, 1024));
+    let links: Vec<Link> = (0..400).map(|number| harness.join(number)).collect();
+    harness.advance(100);
+    let before = harness.log_lines;
     for link in links {
-        hand.give(Input::Closed { link, why: Ended::Overflow });
+        harness.input(Input::Closed { link, why: Ended::Overflow });
     }
-    assert!((1..=40).contains(&(hand.logged - before)), "{} lines for 400 ends", hand.logged - before);
-    hand.pass(2_000);
-    let later = hand.logged;
-    let link = hand.joined(1);
-    hand.give(Input::Closed { link, why: Ended::Overflow });
-    assert!(hand.logged > later, "and is written again once there is room");
+    assert!(
+        (1..=40).contains(&(harness.log_lines - before)),
+        "{} lines for 400 closed connections",
+        harness.log_lines - before
+    );
+    harness.advance(2_000);
+    let later = harness.log_lines;
+    let link = harness.join(1);
+    harness.input(Input::Closed { link, why: Ended::Overflow });
+    assert!(harness.log_lines > later, "logging resumes once the allowance is refilled");
 }
--- a/crates/platform/tests/hand/mod.rs
+++ b/crates/platform/tests/harness/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's planner fed by hand: what it is given, and what it had done.
+//! Test harness that feeds inputs to the platform's planner and records its effects.
 
 use pewtergap_node::{Effect, Input, Link, Node, Outbox};
 use pewtergap_platform::{Config, Platform};
@@ -32,97 +32,107 @@
     )
 }
 
-/// A planner and what it had done so far.
-pub struct Hand {
+/// A planner and the effects it has produced so far.
+pub struct Harness {
     pub node: Platform,
     pub out: Outbox,
     pub now: Moment,
-    pub due: Vec<(Moment, u64)>,
-    pub done: Vec<Effect>,
-    pub dialled: Vec<(Link, SocketAddr)>,
-    /// Lists the module was told.
-    pub lists: usize,
-    /// Probes that ended badly, as logged.
-    pub bad_probes: Vec<String>,
-    /// Lines of the log, whatever they say.
-    pub logged: usize,
+    pub timers: Vec<(Moment, u64)>,
+    pub effects: Vec<Effect>,
+    pub connects: Vec<(Link, SocketAddr)>,
+    /// Number of lists passed to the planner core.
+    pub list_events: usize,
+    /// Failed probes, as logged.
+    pub failed_probes: Vec<String>,
+    /// Number of log lines of any kind.
+    pub log_lines: usize,
 }
 
-impl Hand {
-    pub fn new(text: &str) -> Hand {
-        let config = Config::read(text, |_| None).expect("a good configuration");
+impl Harness {
+    pub fn new(text: &str) -> Harness {
+        let config = Config::parse(text, |_| None).expect("a good configuration");
         let node = Platform::new(START, config, "config.json".into());
-        let (out, due, done, dialled) = (Outbox::default(), vec![], vec![], vec![]);
-        let (lists, bad_probes) = (0, vec![]);
-        let logged = 0;
-        let mut hand = Hand { node, out, now: START, due, done, dialled, lists, bad_probes, logged };
-        hand.give(Input::Start);
-        hand
+        let (out, timers, effects, connects) = (Outbox::default(), vec![], vec![], vec![]);
+        let (list_events, failed_probes) = (0, vec![]);
+        let log_lines = 0;
+        let mut harness = Harness {
+            node,
+            out,
+            now: START,
+            timers,
+            effects,
+            connects,
+            list_events,
+            failed_probes,
+            log_lines,
+        };
+        harness.input(Input::Start);
+        harness
     }
 
-    pub fn give(&mut self, input: Input<'_>) {
+    pub fn input(&mut self, input: Input<'_>) {
         self.node.handle(self.now, input, &mut self.out);
         for effect in std::mem::take(&mut self.out.effects) {
-            self.logged += usize::from(matches!(effect, Effect::Log(_)));
+            self.log_lines += usize::from(matches!(effect, Effect::Log(_)));
             match effect {
-                Effect::Wake { timer, at } => self.due.push((at, timer)),
-                Effect::Connect { link, to, .. } => self.dialled.push((link, to)),
+                Effect::Wake { timer, at } => self.timers.push((at, timer)),
+                Effect::Connect { link, to, .. } => self.connects.push((link, to)),
                 Effect::Log(line) if line.event == "probe" => {
-                    let told: Vec<&str> = line.fields.iter().map(|field| field.1.as_str()).collect();
-                    self.bad_probes.push(told.join(" "));
+                    let fields: Vec<&str> = line.fields.iter().map(|field| field.1.as_str()).collect();
+                    self.failed_probes.push(fields.join(" "));
                 }
-                Effect::Log(line) => self.lists += usize::from(line.event == "list"),
-                other => self.done.push(other),
+                Effect::Log(line) => self.list_events += usize::from(line.event == "list"),
+                other => self.effects.push(other),
             }
         }
     }
 
-    /// Lets time go by; timers ring when they are due.
-    pub fn pass(&mut self, ms: u64) {
+    /// Advances the time and fires the timers that fall due.
+    pub fn advance(&mut self, ms: u64) {
         let end = self.now + Span::millis(ms);
-        while let Some(at) = (0..self.due.len()).min_by_key(|at| self.due[*at]) {
-            if self.due[at].0 > end {
+        while let Some(at) = (0..self.timers.len()).min_by_key(|at| self.timers[*at]) {
+            if self.timers[at].0 > end {
                 break;
             }
-            let (when, timer) = self.due.remove(at);
+            let (when, timer) = self.timers.remove(at);
             self.now = self.now.max(when);
-            self.give(Input::Due { timer });
+            self.input(Input::Due { timer });
         }
         self.now = end;
     }
 
-    pub fn come(&mut self) -> Link {
+    pub fn accept(&mut self) -> Link {
         let link = self.out.link();
         let from = SocketAddr::from(([127, 0, 0, 9], 9));
-        self.give(Input::Accepted { link, door: 0, from });
+        self.input(Input::Accepted { link, door: 0, from });
         link
     }
 
-    pub fn say(&mut self, link: Link, text: &str) {
+    pub fn send(&mut self, link: Link, text: &str) {
         let mut bytes = Vec::new();
         write_array(text.split(' '), &mut bytes);
-        self.give(Input::Bytes { link, bytes: &bytes });
+        self.input(Input::Bytes { link, bytes: &bytes });
     }
 
-    pub fn joined(&mut self, number: usize) -> Link {
-        let link = self.come();
-        self.say(link, &format!("SUBSCRIBE sidecar {number} az a share 5 standing 1"));
+    pub fn join(&mut self, number: usize) -> Link {
+        let link = self.accept();
+        self.send(link, &format!("SUBSCRIBE sidecar {number} az a share 5 standing 1"));
         link
     }
 
-    /// The newest connection that was asked for there.
-    pub fn dial(&self, port: u16) -> Link {
-        self.dialled.iter().rev().find(|dialled| dialled.1.port() == port).expect("a connection").0
+    /// The latest connection opened to this port.
+    pub fn latest_connection(&self, port: u16) -> Link {
+        self.connects.iter().rev().find(|connect| connect.1.port() == port).expect("a connection").0
     }
 
-    /// Answers what is asked of discovery now.
-    pub fn discovery(&mut self, link: Link, body: &str) {
+    /// Answers the pending request to discovery.
+    pub fn answer_list(&mut self, link: Link, body: &str) {
         let answer = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}", body.len());
-        self.give(Input::Bytes { link, bytes: answer.as_bytes() });
+        self.input(Input::Bytes { link, bytes: answer.as_bytes() });
     }
 
-    /// What was done since the last look.
-    pub fn seen(&mut self) -> String {
+    /// The effects since the last call, as text.
+    pub fn take_output(&mut self) -> String {
         let text = |bytes: &[u8]| {
             let mut reader = Reader::new(Bounds { bytes: 1 << 20, items: 100 });
             reader.push(bytes);
@@ -135,12 +145,12 @@
                 false => parts.join(" | "),
             }
         };
-        let done = std::mem::take(&mut self.done).into_iter().map(|effect| match effect {
+        let effects = std::mem::take(&mut self.effects).into_iter().map(|effect| match effect {
             Effect::Send { link, bytes } => format!("{}: {}", link.0, text(&bytes)),
             Effect::Finish { link } => format!("{}: finished", link.0),
             Effect::Cut { link } => format!("{}: cut", link.0),
             other => format!("{other:?}"),
         });
-        done.collect::<Vec<_>>().join("\n")
+        effects.collect::<Vec<_>>().join("\n")
     }
 }
--- a/crates/platform/tests/node.rs
+++ b/crates/platform/tests/node.rs
@@ -1,61 +1,61 @@
-//! The platform's planner fed by hand: who is let in, what is told on, what is written to whom.
+//! The platform's planner driven directly: joining, forwarding of messages, and what is sent to whom.
 
-mod hand;
+mod harness;
 
-use hand::*;
+use harness::*;
 use pewtergap_node::{Ended, Input, Link};
 use pewtergap_platform::Config;
 use pewtergap_time::Span;
 
 #[test]
-fn a_planner_serves_from_what_it_held_and_follows_discovery() {
-    let mut hand = Hand::new(&settings(10, 256));
-    let proxy = hand.joined(7);
-    hand.pass(10);
-    let mut seen = vec![hand.seen()];
-    let list = hand.dial(85);
-    hand.give(Input::Opened { link: list });
-    seen.push(hand.seen());
+fn a_planner_serves_from_its_saved_list_and_follows_discovery() {
+    let mut harness = Harness::new(&settings(10, 256));
+    let proxy = harness.join(7);
+    harness.advance(10);
+    let mut seen = vec![harness.take_output()];
+    let list = harness.latest_connection(85);
+    harness.input(Input::Opened { link: list });
+    seen.push(harness.take_output());
     let whole = format!(
         r#"{{"rev":5,"all":true,"targets":[{},{}]}}"#,
         row("s-1", "a", "Ready"),
         row("s-2", "b", "Terminating")
     );
-    hand.discovery(list, &whole);
-    hand.pass(120);
-    hand.say(proxy, "ACK sidecar 7 version 1 lag_ms 12.5");
-    seen.push(hand.seen());
-    // An older answer undoes nothing, an entry that cannot be read leaves what is known of that server.
+    harness.answer_list(list, &whole);
+    harness.advance(120);
+    harness.send(proxy, "ACK sidecar 7 version 1 lag_ms 12.5");
+    seen.push(harness.take_output());
+    // An older answer changes nothing; an invalid entry leaves the known state of its server.
     let odd = row("s-1", "a", "Asleep");
-    hand.discovery(list, &format!(r#"{{"rev":3,"all":false,"targets":[{}]}}"#, row("s-1", "a", "Gone")));
-    hand.discovery(
+    harness.answer_list(list, &format!(r#"{{"rev":3,"all":false,"targets":[{}]}}"#, row("s-1", "a", "Gone")));
+    harness.answer_list(
         list,
         &format!(r#"{{"rev":6,"all":true,"targets":[{odd},{}]}}"#, row("s-3", "a", "Ready")),
     );
-    hand.pass(1_200);
-    seen.push(hand.seen());
+    harness.advance(1_200);
+    seen.push(harness.take_output());
     insta::assert_snapshot!(seen.join("\n--\n"));
 }
 
 #[test]
-fn what_is_told_again_is_no_news_though_an_entry_cannot_be_read() {
-    let mut hand = Hand::new(&settings(10, 256));
-    let list = hand.dial(85);
-    hand.give(Input::Opened { link: list });
+fn an_unchanged_list_with_an_invalid_entry_is_not_applied_again() {
+    let mut harness = Harness::new(&settings(10, 256));
+    let list = harness.latest_connection(85);
+    harness.input(Input::Opened { link: list });
     let rows = [row("s-1", "a", "Ready"), row("s-2", "b", "Asleep")].join(",");
     let whole = format!(r#"{{"rev":5,"all":true,"targets":[{rows}]}}"#);
-    hand.discovery(list, &whole);
-    let told = hand.lists;
-    hand.discovery(list, &whole);
-    assert_eq!((told, hand.lists), (2, 2), "the list as held, and once the whole one");
+    harness.answer_list(list, &whole);
+    let told = harness.list_events;
+    harness.answer_list(list, &whole);
+    assert_eq!((told, harness.list_events), (2, 2), "the saved list, and the whole list once");
 }
 
 #[test]
-fn who_never_joins_is_turned_away() {
-    let mut hand = Hand::new(&settings(10, 256));
-    hand.pass(10);
-    hand.seen();
-    let words = [
+fn a_peer_that_never_joins_is_rejected() {
+    let mut harness = Harness::new(&settings(10, 256));
+    harness.advance(10);
+    harness.take_output();
+    let messages = [
         "PING",
         "SUBSCRIBE sidecar 10 az a share 5 standing 1",
         "SUBSCRIBE sidecar 1 az c share 5 standing 1",
@@ -66,39 +66,40 @@
         "CONFIG ticket 4",
     ];
     let mut seen = Vec::new();
-    for word in words {
-        let link = hand.come();
-        hand.say(link, word);
-        seen.push(format!("{word}\n    {}", hand.seen().replace('\n', "\n    ")));
+    for message in messages {
+        let link = harness.accept();
+        harness.send(link, message);
+        seen.push(format!("{message}\n    {}", harness.take_output().replace('\n', "\n    ")));
     }
     for bytes in [&b"GET / HTTP/1.1\r\n\r\n"[..], b"*3\r\n$9999999\r\n", b"*999999999\r\n", b"*2\r\n$4\r\nPI"]
     {
-        let link = hand.come();
-        hand.give(Input::Bytes { link, bytes });
+        let link = harness.accept();
+        harness.input(Input::Bytes { link, bytes });
         let text = String::from_utf8_lossy(bytes).replace("\r\n", " ");
-        seen.push(format!("{text}\n    {}", hand.seen().replace('\n', "\n    ")));
+        seen.push(format!("{text}\n    {}", harness.take_output().replace('\n', "\n    ")));
     }
-    hand.come();
-    let endless = hand.come();
-    hand.give(Input::Bytes { link: endless, bytes: b"*60\r\n" });
+    harness.accept();
+    let endless = harness.accept();
+    harness.input(Input::Bytes { link: endless, bytes: b"*60\r\n" });
     for _ in 0..60 {
-        hand.give(Input::Bytes { link: endless, bytes: &[b"$100\r\n", &[b'x'; 100][..], b"\r\n"].concat() });
+        harness
+            .input(Input::Bytes { link: endless, bytes: &[b"$100\r\n", &[b'x'; 100][..], b"\r\n"].concat() });
     }
-    seen.push(format!("without end\n    {}", hand.seen().replace('\n', "\n    ")));
-    // What asked for a sign of life, said half a message or nothing is closed when its time is up.
-    hand.pass(1_200);
-    seen.push(format!("later\n    {}", hand.seen().replace('\n', "\n    ")));
+    seen.push(format!("unterminated\n    {}", harness.take_output().replace('\n', "\n    ")));
+    // Connections that sent only a ping, a partial message or nothing are closed at the joining timeout.
+    harness.advance(1_200);
+    seen.push(format!("later\n    {}", harness.take_output().replace('\n', "\n    ")));
     insta::assert_snapshot!(seen.join("\n"));
 }
 
 #[test]
-fn spoilt_words_of_joined_peers_are_left_out_alone() {
-    let mut hand = Hand::new(&settings(10, 256));
-    let (proxy, collector) = (hand.joined(1), hand.come());
-    hand.say(collector, "SOURCE az a");
-    hand.pass(10);
-    hand.seen();
-    for word in [
+fn invalid_messages_of_joined_peers_are_ignored_one_by_one() {
+    let mut harness = Harness::new(&settings(10, 256));
+    let (proxy, collector) = (harness.join(1), harness.accept());
+    harness.send(collector, "SOURCE az a");
+    harness.advance(10);
+    harness.take_output();
+    for message in [
         "LOAD az a host s-9 n 1 bad 0 avg 1 window 1000",
         "LOAD az c host s-1 n 1 bad 0 avg 1 window 1000",
         "LOAD az a host s-1 n 1",
@@ -108,249 +109,267 @@
         "SUBSCRIBE sidecar 2 az a share 5 standing 1",
         "CONFIG ticket 4",
     ] {
-        hand.say(collector, word);
+        harness.send(collector, message);
     }
-    for word in [
+    for message in [
         "RATE sidecar 1 kind none n 1 bad 0 window 1000",
         "RATE sidecar 2 kind lookup n 1 bad 0 window 1000",
         "ACK sidecar 1 version 77 lag_ms 1",
         "ACK sidecar 1 version x lag_ms 1",
         "SUBSCRIBE sidecar 1 az a share 5 standing 1",
     ] {
-        hand.say(proxy, word);
+        harness.send(proxy, message);
     }
-    let mut seen = vec![hand.seen()];
-    // The good ones around them still count: the proxy answers and is told on; both are still there.
-    hand.say(proxy, "ACK sidecar 1 version 1 lag_ms 1");
-    hand.say(proxy, "PING");
-    hand.say(collector, "PING");
-    seen.push(hand.seen());
-    // What breaks the framing ends that connection alone.
-    hand.give(Input::Bytes { link: proxy, bytes: b"+OK\r\n" });
-    hand.say(collector, "PING");
-    seen.push(hand.seen());
+    let mut seen = vec![harness.take_output()];
+    // Valid messages still count: the proxy's acknowledgement is forwarded, and both peers stay connected.
+    harness.send(proxy, "ACK sidecar 1 version 1 lag_ms 1");
+    harness.send(proxy, "PING");
+    harness.send(collector, "PING");
+    seen.push(harness.take_output());
+    // A framing error closes only its own connection.
+    harness.input(Input::Bytes { link: proxy, bytes: b"+OK\r\n" });
+    harness.send(collector, "PING");
+    seen.push(harness.take_output());
     insta::assert_snapshot!(seen.join("\n--\n"));
 }
 
 #[test]
 fn a_second_stream_takes_over_and_the_end_of_the_first_changes_nothing() {
-    let mut hand = Hand::new(&settings(10, 256));
-    let first = hand.joined(1);
-    hand.pass(10);
-    let second = hand.joined(1);
-    hand.pass(150);
-    hand.seen();
-    hand.give(Input::Closed { link: first, why: Ended::Reset });
-    let list = hand.dial(85);
-    hand.give(Input::Opened { link: list });
+    let mut harness = Harness::new(&settings(10, 256));
+    let first = harness.join(1);
+    harness.advance(10);
+    let second = harness.join(1);
+    harness.advance(150);
+    harness.take_output();
+    harness.input(Input::Closed { link: first, why: Ended::Reset });
+    let list = harness.latest_connection(85);
+    harness.input(Input::Opened { link: list });
     let whole = format!(r#"{{"rev":5,"all":true,"targets":[{}]}}"#, row("s-1", "a", "Ready"));
-    hand.discovery(list, &whole);
-    hand.pass(150);
+    harness.answer_list(list, &whole);
+    harness.advance(150);
     // The change goes to the second stream.
-    assert!(hand.seen().contains(&format!("{}: CONFIG lines s-2:0", second.0)));
+    assert!(harness.take_output().contains(&format!("{}: CONFIG lines s-2:0", second.0)));
 }
 
 #[test]
-fn a_stream_that_goes_silent_counts_as_left_until_it_is_heard_again() {
-    // Unanswered, one message counts all that is ordered after it as waiting: the account would fill for good.
-    let mut hand = Hand::new(&settings(10, 256));
-    let (silent, alive) = (hand.joined(1), hand.joined(2));
-    hand.pass(200);
-    let list = hand.dial(85);
-    hand.give(Input::Opened { link: list });
+fn a_proxy_with_a_silent_stream_counts_as_left_until_the_stream_is_active_again() {
+    // With one message unacknowledged, everything sent after it counts as waiting, and the accounting would fill up for
+    // good.
+    let mut harness = Harness::new(&settings(10, 256));
+    let (silent, alive) = (harness.join(1), harness.join(2));
+    harness.advance(200);
+    let list = harness.latest_connection(85);
+    harness.input(Input::Opened { link: list });
     let rows = [row("s-1", "a", "Ready"), row("s-2", "b", "Ready")].join(",");
-    hand.discovery(list, &format!(r#"{{"rev":5,"all":true,"targets":[{rows}]}}"#));
-    hand.pass(1_000);
+    harness.answer_list(list, &format!(r#"{{"rev":5,"all":true,"targets":[{rows}]}}"#));
+    harness.advance(1_000);
     let more = row("s-4", "a", "Ready");
-    hand.discovery(list, &format!(r#"{{"rev":6,"all":false,"targets":[{more}]}}"#));
+    harness.answer_list(list, &format!(r#"{{"rev":6,"all":false,"targets":[{more}]}}"#));
     for _ in 0..20 {
-        hand.say(alive, "RATE sidecar 2 kind lookup n 1 bad 0 window 1000");
-        hand.pass(1_000);
+        harness.send(alive, "RATE sidecar 2 kind lookup n 1 bad 0 window 1000");
+        harness.advance(1_000);
     }
-    hand.seen();
-    let before = hand.dial(85);
-    while hand.dial(85) == before {
-        hand.pass(10);
+    harness.take_output();
+    let before = harness.latest_connection(85);
+    while harness.latest_connection(85) == before {
+        harness.advance(10);
     }
-    let list = hand.dial(85);
-    hand.give(Input::Opened { link: list });
-    hand.discovery(list, &format!(r#"{{"rev":7,"all":true,"targets":[{}]}}"#, row("s-1", "a", "Ready")));
-    hand.pass(300);
-    let seen = hand.seen();
-    assert!(seen.contains(&format!("{}: CONFIG lines s-2:0", alive.0)), "who answered is told: {seen}");
+    let list = harness.latest_connection(85);
+    harness.input(Input::Opened { link: list });
+    harness.answer_list(list, &format!(r#"{{"rev":7,"all":true,"targets":[{}]}}"#, row("s-1", "a", "Ready")));
+    harness.advance(300);
+    let seen = harness.take_output();
+    assert!(
+        seen.contains(&format!("{}: CONFIG lines s-2:0", alive.0)),
+        "the responsive proxy gets the change: {seen}"
+    );
     let told = |seen: &str| seen.lines().any(|line| line.starts_with(&format!("{}: ", silent.0)));
-    assert!(!told(&seen), "who is silent is neither told nor closed: {seen}");
-    hand.say(silent, "RATE sidecar 1 kind lookup n 1 bad 0 window 1000");
-    hand.pass(300);
-    let seen = hand.seen();
-    assert!(seen.contains(&format!("{}: CONFIG whole 1 lines s-1:", silent.0)), "handed it whole: {seen}");
+    assert!(!told(&seen), "the silent one gets nothing and is not closed: {seen}");
+    harness.send(silent, "RATE sidecar 1 kind lookup n 1 bad 0 window 1000");
+    harness.advance(300);
+    let seen = harness.take_output();
+    assert!(
+        seen.contains(&format!("{}: CONFIG whole 1 lines s-1:", silent.0)),
+        "it gets the whole table: {seen}"
+    );
 }
 
 #[test]
-fn a_spoilt_answer_to_a_mark_leaves_it_open_for_no_longer_than_an_unresponsive_streams_time() {
-    // Open, it counted all lines ordered after it as waiting until that proxy happened to be told something else.
-    let mut hand = Hand::new(&settings(10, 256));
-    let proxy = hand.joined(1);
-    hand.pass(200);
-    let list = hand.dial(85);
-    hand.give(Input::Opened { link: list });
+fn an_invalid_acknowledgement_leaves_its_mark_open_for_a_limited_time() {
+    // While the mark was open, all lines sent after it counted as waiting until that proxy happened to get another
+    // message.
+    let mut harness = Harness::new(&settings(10, 256));
+    let proxy = harness.join(1);
+    harness.advance(200);
+    let list = harness.latest_connection(85);
+    harness.input(Input::Opened { link: list });
     let rows = [row("s-1", "a", "Ready"), row("s-2", "b", "Ready")].join(",");
-    hand.discovery(list, &format!(r#"{{"rev":5,"all":true,"targets":[{rows}]}}"#));
-    hand.pass(300);
-    let seen = hand.seen();
-    assert!(seen.contains("CONFIG whole 1"), "handed its table: {seen}");
-    hand.say(proxy, "ACK sidecar 1 version x lag_ms 1");
+    harness.answer_list(list, &format!(r#"{{"rev":5,"all":true,"targets":[{rows}]}}"#));
+    harness.advance(300);
+    let seen = harness.take_output();
+    assert!(seen.contains("CONFIG whole 1"), "it gets its table: {seen}");
+    harness.send(proxy, "ACK sidecar 1 version x lag_ms 1");
     for _ in 0..4 {
-        hand.say(proxy, "RATE sidecar 1 kind lookup n 5 bad 0 window 1000");
-        hand.pass(1_000);
+        harness.send(proxy, "RATE sidecar 1 kind lookup n 5 bad 0 window 1000");
+        harness.advance(1_000);
     }
-    assert!(!hand.seen().contains("CONFIG whole 1"), "a slow channel is not mistaken for it");
+    assert!(
+        !harness.take_output().contains("CONFIG whole 1"),
+        "a slow channel is not mistaken for a lost acknowledgement"
+    );
     for _ in 0..4 {
-        hand.say(proxy, "RATE sidecar 1 kind lookup n 5 bad 0 window 1000");
-        hand.pass(1_000);
+        harness.send(proxy, "RATE sidecar 1 kind lookup n 5 bad 0 window 1000");
+        harness.advance(1_000);
     }
-    let seen = hand.seen();
-    assert!(seen.contains(&format!("{}: CONFIG whole 1", proxy.0)), "handed it anew: {seen}");
+    let seen = harness.take_output();
+    assert!(seen.contains(&format!("{}: CONFIG whole 1", proxy.0)), "it gets the table again: {seen}");
     let mark = seen.split("ticket ").last().and_then(|rest| rest.split_whitespace().next()).expect("a mark");
-    hand.say(proxy, &format!("ACK sidecar 1 version {mark} lag_ms 1"));
+    harness.send(proxy, &format!("ACK sidecar 1 version {mark} lag_ms 1"));
     for _ in 0..10 {
-        hand.say(proxy, "RATE sidecar 1 kind lookup n 5 bad 0 window 1000");
-        hand.pass(1_000);
+        harness.send(proxy, "RATE sidecar 1 kind lookup n 5 bad 0 window 1000");
+        harness.advance(1_000);
     }
-    assert!(!hand.seen().contains("CONFIG whole 1"), "and that is the end of it");
+    assert!(!harness.take_output().contains("CONFIG whole 1"), "the table is sent again only once");
 }
 
 #[test]
-fn discovery_that_began_anew_at_a_lower_version_is_believed_late_and_undoes_no_drain() {
-    let mut hand = Hand::new(&settings(10, 256));
-    let proxy = hand.joined(1);
-    hand.pass(200);
-    let list = hand.dial(85);
-    hand.give(Input::Opened { link: list });
+fn a_reset_of_discovery_to_a_lower_version_is_accepted_late_and_undoes_no_drain() {
+    let mut harness = Harness::new(&settings(10, 256));
+    let proxy = harness.join(1);
+    harness.advance(200);
+    let list = harness.latest_connection(85);
+    harness.input(Input::Opened { link: list });
     let rows = |second: &str, version: u64| {
         let rows = [row("s-1", "a", "Ready"), row("s-2", "b", second)].join(",");
         format!(r#"{{"rev":{version},"all":true,"targets":[{rows}]}}"#)
     };
-    hand.discovery(list, &rows("Terminating", 900));
-    hand.pass(300);
-    hand.seen();
-    let lowered = hand.now;
-    // From here on every list is a whole one of a lower version, in which the drain has not been heard of.
+    harness.answer_list(list, &rows("Terminating", 900));
+    harness.advance(300);
+    harness.take_output();
+    let lowered = harness.now;
+    // From here on every list is a whole one of a lower version, which does not have the drain yet.
     let mut list = list;
-    hand.discovery(list, &rows("Ready", 3));
-    let mut back = None;
-    while back.is_none() && hand.now.since(lowered) < Span::millis(40_000) {
-        hand.pass(10);
-        if hand.dial(85) != list {
-            list = hand.dial(85);
-            hand.give(Input::Opened { link: list });
-            hand.discovery(list, &rows("Ready", 3));
+    harness.answer_list(list, &rows("Ready", 3));
+    let mut accepted_after = None;
+    while accepted_after.is_none() && harness.now.since(lowered) < Span::millis(40_000) {
+        harness.advance(10);
+        if harness.latest_connection(85) != list {
+            list = harness.latest_connection(85);
+            harness.input(Input::Opened { link: list });
+            harness.answer_list(list, &rows("Ready", 3));
         }
-        hand.say(proxy, "RATE sidecar 1 kind lookup n 5 bad 0 window 1000");
-        back = hand.seen().contains("lines s-2:").then_some(hand.now.since(lowered));
+        harness.send(proxy, "RATE sidecar 1 kind lookup n 5 bad 0 window 1000");
+        accepted_after = harness.take_output().contains("lines s-2:").then_some(harness.now.since(lowered));
     }
-    let back = back.expect("believed in the end");
-    assert!(back >= Span::millis(15_000) && back < Span::millis(17_000), "after {back}");
-    // What follows on the new count is news; a list between that went on from the old count ends the doubts.
-    hand.discovery(list, &rows("Terminating", 4));
-    hand.pass(1_500);
-    assert!(hand.seen().contains("s-2:0"), "a drain of the new count binds");
-    hand.discovery(list, &rows("Ready", 2));
-    hand.pass(14_000);
-    let again = hand.dial(85);
-    hand.give(Input::Opened { link: again });
-    hand.discovery(again, &rows("Terminating", 4));
-    hand.discovery(again, &rows("Ready", 2));
-    hand.pass(3_000);
-    assert!(!hand.seen().contains("lines s-2:"), "one good list in between and the doubts begin anew");
+    let accepted_after = accepted_after.expect("accepted in the end");
+    assert!(
+        accepted_after >= Span::millis(15_000) && accepted_after < Span::millis(17_000),
+        "after {accepted_after}"
+    );
+    // Changes that follow the new version are applied; a list of a current version in between restarts the
+    // confirmation.
+    harness.answer_list(list, &rows("Terminating", 4));
+    harness.advance(1_500);
+    assert!(harness.take_output().contains("s-2:0"), "a drain after the reset is applied");
+    harness.answer_list(list, &rows("Ready", 2));
+    harness.advance(14_000);
+    let again = harness.latest_connection(85);
+    harness.input(Input::Opened { link: again });
+    harness.answer_list(again, &rows("Terminating", 4));
+    harness.answer_list(again, &rows("Ready", 2));
+    harness.advance(3_000);
+    assert!(
+        !harness.take_output().contains("lines s-2:"),
+        "a valid list in between restarts the confirmation"
+    );
 }
 
 #[test]
-fn room_is_kept_for_proxies_by_closing_the_oldest_strangers() {
-    let mut hand = Hand::new(&settings(100, 128));
-    let idle: Vec<Link> = (0..120).map(|_| hand.come()).collect();
-    let closed = hand.seen();
-    assert!(closed.contains(&format!("{}: finished", idle[0].0)), "the oldest goes");
+fn the_oldest_unidentified_connections_are_closed_to_make_room_for_proxies() {
+    let mut harness = Harness::new(&settings(100, 128));
+    let idle: Vec<Link> = (0..120).map(|_| harness.accept()).collect();
+    let closed = harness.take_output();
+    assert!(closed.contains(&format!("{}: finished", idle[0].0)), "the oldest is closed");
     assert!(!closed.contains(&format!("{}: finished", idle[119].0)), "the newest stays");
-    let joined: Vec<Link> = (0..80).map(|number| hand.joined(number)).collect();
-    let closed = hand.seen();
+    let joined: Vec<Link> = (0..80).map(|number| harness.join(number)).collect();
+    let closed = harness.take_output();
     for link in joined {
         assert!(!closed.contains(&format!("{}: finished", link.0)), "a proxy was closed");
     }
 }
 
 #[test]
-fn four_hundred_that_join_at_once_are_all_handed_a_table() {
-    let mut hand = Hand::new(&settings(400, 1024));
-    let links: Vec<Link> = (0..400).map(|number| hand.joined(number)).collect();
-    let mut given = vec![false; links.len()];
+fn four_hundred_proxies_that_join_at_once_all_get_a_table() {
+    let mut harness = Harness::new(&settings(400, 1024));
+    let links: Vec<Link> = (0..400).map(|number| harness.join(number)).collect();
+    let mut received = vec![false; links.len()];
     for _ in 0..200 {
-        hand.pass(50);
-        for told in hand.seen().lines() {
-            let (link, text) = told.split_once(": ").unwrap_or(("", ""));
+        harness.advance(50);
+        for line in harness.take_output().lines() {
+            let (link, text) = line.split_once(": ").unwrap_or(("", ""));
             let number = links.iter().position(|known| known.0.to_string() == link);
             let (Some(number), Some((_, mark))) = (number, text.split_once("ticket ")) else { continue };
-            given[number] |= text.starts_with("CONFIG whole 1 lines ");
-            hand.say(links[number], &format!("ACK sidecar {number} version {mark} lag_ms 1"));
+            received[number] |= text.starts_with("CONFIG whole 1 lines ");
+            harness.send(links[number], &format!("ACK sidecar {number} version {mark} lag_ms 1"));
         }
     }
-    assert_eq!(given.iter().filter(|given| **given).count(), 400);
+    assert_eq!(received.iter().filter(|received| **received).count(), 400);
 }
 
 #[test]
 fn a_new_configuration_moves_discovery_and_an_unreadable_one_changes_nothing() {
-    let mut hand = Hand::new(&settings(10, 256));
-    let proxy = hand.joined(1);
-    let list = hand.dial(85);
-    hand.give(Input::Opened { link: list });
-    hand.pass(10);
-    hand.give(Input::Reload);
-    let mut seen = vec![hand.seen()];
-    hand.give(Input::File { name: "config.json", bytes: Ok(b"{\"name\":") });
-    // The file may be on its way: it is read again a few times.
-    hand.pass(250);
-    seen.push(hand.seen());
+    let mut harness = Harness::new(&settings(10, 256));
+    let proxy = harness.join(1);
+    let list = harness.latest_connection(85);
+    harness.input(Input::Opened { link: list });
+    harness.advance(10);
+    harness.input(Input::Reload);
+    let mut seen = vec![harness.take_output()];
+    harness.input(Input::File { name: "config.json", bytes: Ok(b"{\"name\":") });
+    // The file may be in the middle of its replacement, so reading is retried a few times.
+    harness.advance(250);
+    seen.push(harness.take_output());
     let moved = settings(10, 256).replace("127.0.0.2:85", "127.0.0.2:86");
-    hand.give(Input::File { name: "config.json", bytes: Ok(moved.as_bytes()) });
-    let list = hand.dial(86);
-    hand.give(Input::Opened { link: list });
-    hand.say(proxy, "PING");
-    seen.push(hand.seen());
-    hand.give(Input::Stop);
-    seen.push(hand.seen());
+    harness.input(Input::File { name: "config.json", bytes: Ok(moved.as_bytes()) });
+    let list = harness.latest_connection(86);
+    harness.input(Input::Opened { link: list });
+    harness.send(proxy, "PING");
+    seen.push(harness.take_output());
+    harness.input(Input::Stop);
+    seen.push(harness.take_output());
     insta::assert_snapshot!(seen.join("\n--\n"));
 }
 
 #[test]
-fn a_silent_or_torn_discovery_is_dialled_again_in_bounded_time() {
-    let mut hand = Hand::new(&settings(10, 256));
+fn discovery_is_reconnected_in_bounded_time_after_any_failure() {
+    let mut harness = Harness::new(&settings(10, 256));
     let mut seen = Vec::new();
-    let mut spent = Vec::new();
-    for trouble in ["no connection", "no answer", "reset", "not HTTP", "not a list"] {
-        let (before, link) = (hand.now, hand.dial(85));
-        if trouble != "no connection" {
-            hand.give(Input::Opened { link });
+    let mut delays = Vec::new();
+    for failure in ["no connection", "no answer", "reset", "not HTTP", "not a list"] {
+        let (before, link) = (harness.now, harness.latest_connection(85));
+        if failure != "no connection" {
+            harness.input(Input::Opened { link });
         }
-        match trouble {
-            "reset" => hand.give(Input::Closed { link, why: Ended::Reset }),
-            "not HTTP" => hand.give(Input::Bytes { link, bytes: b"+OK\r\n" }),
-            "not a list" => hand.discovery(link, "[]"),
+        match failure {
+            "reset" => harness.input(Input::Closed { link, why: Ended::Reset }),
+            "not HTTP" => harness.input(Input::Bytes { link, bytes: b"+OK\r\n" }),
+            "not a list" => harness.answer_list(link, "[]"),
             _ => {}
         }
-        while hand.dial(85) == link {
-            hand.pass(10);
-            assert!(hand.now.since(before) < Span::millis(2_000), "{trouble}: not dialled again");
+        while harness.latest_connection(85) == link {
+            harness.advance(10);
+            assert!(harness.now.since(before) < Span::millis(2_000), "{failure}: not reconnected");
         }
-        spent.push(format!("{trouble}: dialled again after {}", hand.now.since(before)));
-        seen.push(hand.seen());
+        delays.push(format!("{failure}: reconnected after {}", harness.now.since(before)));
+        seen.push(harness.take_output());
     }
-    insta::assert_snapshot!(spent.join("\n"));
+    insta::assert_snapshot!(delays.join("\n"));
 }
 
 #[test]
-fn a_bad_start_says_what_was_expected() {
-    let good = settings(10, 256);
-    let bad = [
+fn an_invalid_configuration_is_rejected_with_what_was_expected() {
+    let valid = settings(10, 256);
+    let changes = [
         ("{", "{{"),
         ("\"limits\"", "\"limit\""),
         ("\"sockets\":256", "\"sockets\":\"many\""),
@@ -363,9 +382,9 @@
         ("\"DataPlaneSize\":10", "\"DataPlaneSize\":0"),
         ("\"rev\":4", "\"rev\":\"four\""),
     ];
-    let tell = |(from, to): &(&str, &str)| {
-        let read = Config::read(&good.replacen(from, to, 1), |_| None);
-        format!("{from} -> {to}: {}", read.err().unwrap_or("accepted".into()))
+    let describe = |(from, to): &(&str, &str)| {
+        let result = Config::parse(&valid.replacen(from, to, 1), |_| None);
+        format!("{from} -> {to}: {}", result.err().unwrap_or("accepted".into()))
     };
-    insta::assert_snapshot!(bad.iter().map(tell).collect::<Vec<_>>().join("\n"));
+    insta::assert_snapshot!(changes.iter().map(describe).collect::<Vec<_>>().join("\n"));
 }
--- a/crates/resp/src/lib.rs
+++ b/crates/resp/src/lib.rs
@@ -1,7 +1,7 @@
-//! The platform's wire: RESP2 arrays of bulk strings, and the messages in them in the house's words. No I/O.
+//! The platform's wire protocol: RESP2 arrays of bulk strings and the messages they carry. No I/O.
 //!
-//! `array` reads and writes arrays within stated bounds; `words` turns them into what was said and back. The
-//! platform's names for things (sidecar, ticket, kind) end here.
+//! `array` reads and writes arrays within configured bounds; `messages` converts them to typed messages and back.
+//! The platform's own terms (sidecar, ticket, kind) are used in this crate only.
 #![forbid(unsafe_code)]
 
 mod array;
