--- a/crates/control/src/admin.rs
+++ b/crates/control/src/admin.rs
@@ -1,14 +1,14 @@
-//! The admin door: requests over HTTP as they come whole, and their answers. What is asked for is others' to know.
+//! The admin listener: reads complete HTTP requests and writes responses. The requests are handled by the caller.
 
 use pewtergap_http::{answer, Bounds, First, Part, Reader, Side};
 use pewtergap_node::{Link, Outbox};
 use std::collections::BTreeMap;
 
-/// Connections at once; more are turned away.
-const MOST: usize = 64;
+/// Maximum concurrent connections; further ones are closed.
+const MAX_CONNECTIONS: usize = 64;
 const BOUNDS: Bounds = Bounds { head: 4096, body: 16 * 1024 };
 
-/// A request that came whole.
+/// A complete request.
 pub struct AdminRequest {
     pub link: Link,
     pub method: String,
@@ -27,13 +27,13 @@
     }
 
     pub fn accepted(&mut self, link: Link, out: &mut Outbox) {
-        if self.links.len() >= MOST {
+        if self.links.len() >= MAX_CONNECTIONS {
             return out.cut(link);
         }
         self.links.insert(link, (Reader::new(Side::Requests, BOUNDS), None));
     }
 
-    /// Whether it was one of these.
+    /// Returns whether the link was one of these connections.
     pub fn closed(&mut self, link: Link) -> bool {
         self.links.remove(&link).is_some()
     }
@@ -41,7 +41,7 @@
     pub fn receive(&mut self, link: Link, bytes: &[u8], out: &mut Outbox) -> Vec<AdminRequest> {
         let Some((reader, open)) = self.links.get_mut(&link) else { return Vec::new() };
         reader.push(bytes);
-        let mut asked = Vec::new();
+        let mut requests = Vec::new();
         loop {
             match reader.take() {
                 Ok(Some(Part::Head(head))) => {
@@ -50,12 +50,12 @@
                         *open = Some(AdminRequest { link, method, target, body: Vec::new() });
                     }
                 }
-                Ok(Some(Part::Data(data))) => open.iter_mut().for_each(|asked| asked.body.extend(&data)),
-                Ok(Some(Part::End)) => asked.extend(open.take()),
-                Ok(None) => return asked,
-                Err(wrong) => {
-                    let why = wrong.to_string();
-                    out.send(link, answer(wrong.status, &[("connection", "close")], Some(why.as_bytes())));
+                Ok(Some(Part::Data(data))) => open.iter_mut().for_each(|request| request.body.extend(&data)),
+                Ok(Some(Part::End)) => requests.extend(open.take()),
+                Ok(None) => return requests,
+                Err(error) => {
+                    let why = error.to_string();
+                    out.send(link, answer(error.status, &[("connection", "close")], Some(why.as_bytes())));
                     out.finish(link);
                     return Vec::new();
                 }
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Who asked may have gone.
+    /// Responds to a request, unless its connection has been closed.
     pub fn answer(&self, link: Link, status: u16, kind: &str, body: &str, out: &mut Outbox) {
         if self.owns_link(link) {
             out.send(link, answer(status, &[("content-type", kind)], Some(body.as_bytes())));
--- a/crates/control/src/channel.rs
+++ b/crates/control/src/channel.rs
@@ -1,11 +1,11 @@
-//! The channel to the proxies: what is ordered waits here and leaves at so many lines a second.
+//! The channel to the proxies: a queue of updates, sent at a limited number of lines per second.
 //!
-//! A proxy has at most one message waiting. What is ordered for it meanwhile is joined to that message, so the
-//! queue is as long as there are proxies, and a later removal takes a line's addition with it. Messages that
-//! remove lines leave first, by the time of their oldest part; all others after them, likewise.
+//! At most one message waits for each proxy. Further updates for it are merged into that message, so that the queue is
+//! bounded by the number of proxies, and a later removal of a line cancels its addition. Messages that remove lines
+//! are sent before all others; within both groups the order is by the time of the oldest merged update.
 //!
-//! When the lines that wait would pass the limit, nothing is kept of the new order and the caller is told: the
-//! module reckons with marks so that this never happens, and whoever is refused is closed and joins anew.
+//! If the waiting lines would exceed the limit, the new update is discarded and the caller gets an error. The planner
+//! core's accounting with marks prevents this; a proxy that it happens to is disconnected and joins anew.
 
 use pewtergap_protocol::{TableChange, Update};
 use pewtergap_time::{Moment, Span};
@@ -18,7 +18,7 @@
     since: Moment,
 }
 
-/// The limit on waiting lines would be passed.
+/// The limit on waiting lines would be exceeded.
 #[derive(Debug, PartialEq, Eq)]
 pub struct ChannelFull {
     pub waiting: u64,
@@ -28,46 +28,55 @@
 #[derive(Debug)]
 pub struct Channel {
     lines_per_s: f64,
-    head: f64,
-    most: f64,
+    message_overhead: f64,
+    max_lines: f64,
     free_at: Moment,
     waiting: BTreeMap<usize, Waiting>,
-    /// Ordinary or urgent, by age: `false` sorts first.
+    /// Not urgent, oldest update, proxy: urgent messages sort first.
     queue: BTreeSet<(bool, Moment, usize)>,
     lines: f64,
-    /// Most lines that ever waited.
-    pub peak: f64,
+    /// Maximum number of lines that have been waiting.
+    pub peak_lines: f64,
 }
 
 impl Channel {
-    pub fn new(lines_per_s: f64, head: f64, most: f64) -> Channel {
+    pub fn new(lines_per_s: f64, message_overhead: f64, max_lines: f64) -> Channel {
         let (waiting, queue) = (BTreeMap::new(), BTreeSet::new());
-        Channel { lines_per_s, head, most, free_at: Moment(0), waiting, queue, lines: 0.0, peak: 0.0 }
+        Channel {
+            lines_per_s,
+            message_overhead,
+            max_lines,
+            free_at: Moment(0),
+            waiting,
+            queue,
+            lines: 0.0,
+            peak_lines: 0.0,
+        }
     }
 
-    /// Lines that wait, heads included.
-    pub fn lines(&self) -> f64 {
+    /// Waiting lines, including the overhead of their messages.
+    pub fn waiting_lines(&self) -> f64 {
         self.lines
     }
 
-    pub fn messages(&self) -> usize {
+    pub fn waiting_messages(&self) -> usize {
         self.waiting.len()
     }
 
     pub fn enqueue(&mut self, now: Moment, proxy: usize, update: Update) -> Result<(), ChannelFull> {
         let urgent = update.tables.iter().any(|change| !change.removed.is_empty());
-        let before = self.waiting.remove(&proxy);
-        let was = before.as_ref().map_or(0.0, |w| self.cost(&w.update));
-        let next = match before {
+        let previous = self.waiting.remove(&proxy);
+        let previous_cost = previous.as_ref().map_or(0.0, |w| self.cost(&w.update));
+        let next = match previous {
             None => Waiting { update, urgent, since: now },
             Some(old) => {
                 self.queue.remove(&(!old.urgent, old.since, proxy));
-                Waiting { urgent: urgent || old.urgent, since: old.since, update: join(old.update, update) }
+                Waiting { urgent: urgent || old.urgent, since: old.since, update: merge(old.update, update) }
             }
         };
-        self.lines += self.cost(&next.update) - was;
-        self.peak = self.peak.max(self.lines);
-        if self.lines > self.most {
+        self.lines += self.cost(&next.update) - previous_cost;
+        self.peak_lines = self.peak_lines.max(self.lines);
+        if self.lines > self.max_lines {
             let full = ChannelFull { waiting: self.lines as u64, more: self.cost(&next.update) as u64 };
             self.lines -= self.cost(&next.update);
             return Err(full);
@@ -77,12 +86,12 @@
         Ok(())
     }
 
-    /// When the next message may leave.
+    /// When the next message may be sent.
     pub fn next_send_at(&self) -> Option<Moment> {
         (!self.queue.is_empty()).then_some(self.free_at)
     }
 
-    /// The message that leaves now, if one may.
+    /// Returns the next message if it may be sent now.
     pub fn pop(&mut self, now: Moment) -> Option<(usize, Update)> {
         if self.free_at > now {
             return None;
@@ -91,14 +100,14 @@
         let update = self.waiting.remove(&proxy)?.update;
         let cost = self.cost(&update);
         self.lines = if self.waiting.is_empty() { 0.0 } else { self.lines - cost };
-        // A late call does not slow the channel: lines count from when it came free, at most a moment ago.
+        // A late call does not reduce the rate: time counts from when the channel became free, up to 20 ms ago.
         let from = self.free_at.max(now - Span::millis(20));
         self.free_at = from + Span::of_seconds(cost / self.lines_per_s);
         Some((proxy, update))
     }
 
-    /// The proxy left; nothing waits for it any more.
-    pub fn forget(&mut self, proxy: usize) {
+    /// Discards the message waiting for a proxy that left.
+    pub fn remove(&mut self, proxy: usize) {
         if let Some(old) = self.waiting.remove(&proxy) {
             self.queue.remove(&(!old.urgent, old.since, proxy));
             self.lines -= self.cost(&old.update);
@@ -106,23 +115,23 @@
     }
 
     fn cost(&self, update: &Update) -> f64 {
-        f64::from(update.lines) + self.head
+        f64::from(update.lines) + self.message_overhead
     }
 }
 
-/// Lines that a message counts: each line set or removed, each level, each binding, its mark.
+/// Number of lines a message counts as: each line set or removed, each gate, each binding, and its mark.
 pub fn count_lines(update: &Update) -> u32 {
     let of = |change: &TableChange| change.set.len() + change.removed.len() + change.gates.len();
     let tables: usize = update.tables.iter().map(of).sum();
     (tables + update.binds.len()) as u32 + u32::from(update.mark > 0)
 }
 
-/// Two messages as one that leads to the same tables. The first has not left, so the proxy never sees the
-/// versions between; the later mark stands for both.
-fn join(mut first: Update, later: Update) -> Update {
+/// Merges two messages into one that results in the same tables. The first was not sent, so the proxy never sees the
+/// versions in between, and the later mark covers both.
+fn merge(mut first: Update, later: Update) -> Update {
     for change in later.tables {
         match first.tables.iter().position(|known| known.table == change.table) {
-            Some(at) => join_tables(&mut first.tables[at], change),
+            Some(at) => merge_tables(&mut first.tables[at], change),
             None => first.tables.push(change),
         }
     }
@@ -130,8 +139,8 @@
         first.binds.retain(|old| bind.routes != 0 && old.routes != bind.routes);
         first.binds.push(bind);
     }
-    // A table that nothing is bound to any more need not travel; the proxy would drop it at once. Only where
-    // the bindings are all known, though: a change of a table bound long ago has no binding in here.
+    // Changes of a table that is no longer bound need not be sent, as the proxy would drop it at once. This holds only if
+    // all bindings are in this message: a table bound earlier may have a change here without a binding.
     if let [all] = first.binds.as_slice() {
         if all.routes == 0 {
             let table = all.table;
@@ -139,12 +148,12 @@
         }
     }
     let mark = if later.mark > 0 { later.mark } else { first.mark };
-    let mut joined = Update { turn: later.turn, mark, nonce: 0, ..first };
-    joined.lines = count_lines(&joined);
-    joined
+    let mut merged = Update { turn: later.turn, mark, nonce: 0, ..first };
+    merged.lines = count_lines(&merged);
+    merged
 }
 
-fn join_tables(first: &mut TableChange, later: TableChange) {
+fn merge_tables(first: &mut TableChange, later: TableChange) {
     if later.whole {
         *first = later;
         return;
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,19 +1,19 @@
-//! The planner's service: what stands between the module's decisions and the sockets.
+//! The planner's service, which connects the planner core to its sockets.
 //!
-//! [`Service`] is a node (see `pewtergap-node`). It tells the module what happens and carries out what the
-//! module orders. What it must settle by itself is in small machines without I/O: which message of the channel
-//! leaves next (`channel`), what of the list is believed (`list_watch`, `endpoints`), which reports are taken in when
-//! (`report_queue`), how orders become versions of tables (`tables`), which probe is under way (`probes`).
+//! [`Service`] is a node (see `pewtergap-node`). It passes events to the planner core and executes the core's actions.
+//! Its own logic is in state machines without I/O: pacing of messages to proxies (`channel`), following the server list
+//! (`list_watch`, `endpoints`), pacing of reports (`report_queue`), versions of tables (`tables`) and probes in progress
+//! (`probes`).
 #![forbid(unsafe_code)]
 
 mod admin;
 pub mod channel;
 pub mod endpoints;
-mod kept;
 pub mod list_watch;
 mod overrides;
 pub mod probes;
 pub mod report_queue;
+mod saved_list;
 mod service;
 mod streams;
 pub mod tables;
--- a/crates/control/src/list_watch.rs
+++ b/crates/control/src/list_watch.rs
@@ -1,7 +1,7 @@
-//! Following the list: ask for all of it, then watch from there, over HTTP.
+//! Follows the server list over HTTP: requests the whole list, then watches for changes from its version.
 //!
-//! What may go wrong is a row of the table below. A list older than what was held is doubted: a store that was
-//! set back once showed drained servers as ready again. It is asked anew, and believed when it stays.
+//! The table below covers all failures. A list older than the one held is not accepted at first, since a store that
+//! was rolled back once showed drained servers as ready again. It is requested again, and accepted if it stays.
 
 use crate::endpoints::{parse_version, Slice, SliceList, WatchEvent};
 use pewtergap_http::{request, Bounds, Head, Part, Reader, Side};
@@ -13,7 +13,7 @@
 pub enum ListSource {
     /// The discovery API at an address, under a path.
     Watch { address: SocketAddr, path: String },
-    /// A file of the same objects: one `EndpointSliceList`, or a slice a line.
+    /// A file with the same objects: one `EndpointSliceList`, or one slice per line.
     File { name: String },
 }
 
@@ -21,118 +21,119 @@
 pub enum State {
     /// Not connected; a timer is set.
     Waiting,
-    Dialing,
+    Connecting,
     Listing,
     Watching,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sign {
+pub enum Signal {
     Due,
     Opened,
-    /// A complete list that is as new as what is held, or newer.
-    Newer,
-    Older,
+    /// A complete list that is at least as new as the one held.
+    CurrentList,
+    OlderList,
     /// One change.
     Changed,
-    /// A place in time to go on from.
+    /// A version to resume from.
     Bookmark,
-    /// The place to go on from is too old.
-    TooOld,
-    /// The connection, or what came over it, cannot be used.
-    Broken,
+    /// The version to resume from has expired.
+    Expired,
+    /// The connection failed or its data is invalid.
+    Failed,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    Dial,
-    /// Ask for what is missing: all, or what changed since the place that is held.
-    Ask,
-    /// Take the complete list and watch from there.
-    TakeAll,
-    TakeOne,
-    Advance,
-    /// Forget the place; ask for all over a new connection.
+    Connect,
+    /// Request the whole list, or the changes since the version held.
+    Request,
+    /// Apply the complete list and watch from its version.
+    ApplyList,
+    ApplyChange,
+    AdvanceVersion,
+    /// Discard the version and request the whole list over a new connection.
     Restart,
     BackOff,
-    Doubt,
+    /// Request the list again before it is accepted.
+    Confirm,
 }
 
 use Effect::*;
-use Sign::*;
-use State::{Dialing, Listing, Waiting, Watching};
+use Signal::*;
+use State::{Connecting, Listing, Waiting, Watching};
 
-/// A pair that is not listed changes nothing.
-const STEPS: &[(&[State], Sign, State, Effect)] = &[
-    (&[Waiting], Due, Dialing, Dial),
-    (&[Dialing], Opened, Listing, Ask),
-    (&[Listing], Newer, Watching, TakeAll),
-    (&[Listing], Older, Waiting, Doubt),
-    (&[Watching], Changed, Watching, TakeOne),
-    (&[Watching], Bookmark, Watching, Advance),
-    (&[Listing, Watching], TooOld, Waiting, Restart),
-    (&[Dialing, Listing, Watching], Broken, Waiting, BackOff),
+/// A pair of state and signal without a row has no effect.
+const STEPS: &[(&[State], Signal, State, Effect)] = &[
+    (&[Waiting], Due, Connecting, Connect),
+    (&[Connecting], Opened, Listing, Request),
+    (&[Listing], CurrentList, Watching, ApplyList),
+    (&[Listing], OlderList, Waiting, Confirm),
+    (&[Watching], Changed, Watching, ApplyChange),
+    (&[Watching], Bookmark, Watching, AdvanceVersion),
+    (&[Listing, Watching], Expired, Waiting, Restart),
+    (&[Connecting, Listing, Watching], Failed, Waiting, BackOff),
 ];
 
-/// The first wait after a failure, and the longest.
-const WAITS: (Span, Span) = (Span::millis(100), Span::millis(2_000));
-/// Lists in a row that were older than what was held, until one is believed.
-const DOUBTS: u32 = 5;
-const MOST_LIST: u64 = 64 * 1024 * 1024;
-const MOST_LINE: usize = 4 * 1024 * 1024;
+/// Delay after a failure: the first, and the longest.
+const BACK_OFF: (Span, Span) = (Span::millis(100), Span::millis(2_000));
+/// Consecutive older lists that are not accepted.
+const MAX_UNCONFIRMED_LISTS: u32 = 5;
+const MAX_LIST_LEN: u64 = 64 * 1024 * 1024;
+const MAX_LINE_LEN: usize = 4 * 1024 * 1024;
 
-/// What the service does about the list.
+/// What the service has to do for the watch.
 #[derive(Debug)]
 pub enum Action {
-    Dial(SocketAddr),
+    Connect(SocketAddr),
     Send(Vec<u8>),
-    /// Close the connection; a wait follows.
-    Hangup {
-        until: Moment,
+    /// Close the connection and retry later.
+    Disconnect {
+        retry_at: Moment,
     },
-    All(Vec<Slice>),
+    Replace(Vec<Slice>),
     Put(Slice),
     Delete(String),
-    /// For the log: what happened and why.
-    Note(&'static str, String),
+    /// Log an event with its reason.
+    Log(&'static str, String),
 }
 
 pub struct ListWatch {
-    at: SocketAddr,
+    address: SocketAddr,
     path: String,
     state: State,
     reader: Reader,
-    /// Body of a complete list, or the part of a watch's line that has come.
+    /// The body of a complete list, or the partial line of a watch.
     body: Vec<u8>,
     status: u16,
-    /// Where to go on from; empty when all must be asked for.
-    place: String,
+    /// The version to resume from; empty if the whole list must be requested.
+    resume_version: String,
     /// The highest version ever held.
-    highest: u64,
-    doubts: u32,
-    wait: Span,
+    highest_version: u64,
+    unconfirmed_lists: u32,
+    delay: Span,
     pub failures: u64,
 }
 
 impl ListWatch {
-    pub fn new(at: SocketAddr, path: String, highest: u64) -> ListWatch {
+    pub fn new(address: SocketAddr, path: String, highest_version: u64) -> ListWatch {
         ListWatch {
-            at,
+            address,
             path,
             state: Waiting,
             reader: reader(),
             body: Vec::new(),
             status: 0,
-            place: String::new(),
-            highest,
-            doubts: 0,
-            wait: WAITS.0,
+            resume_version: String::new(),
+            highest_version,
+            unconfirmed_lists: 0,
+            delay: BACK_OFF.0,
             failures: 0,
         }
     }
 
-    pub fn highest(&self) -> u64 {
-        self.highest
+    pub fn highest_version(&self) -> u64 {
+        self.highest_version
     }
 
     pub fn due(&mut self, now: Moment) -> Vec<Action> {
@@ -144,166 +145,178 @@
     }
 
     pub fn closed(&mut self, now: Moment, why: String) -> Vec<Action> {
-        self.step(now, Broken, why, Vec::new())
+        self.step(now, Failed, why, Vec::new())
     }
 
-    pub fn bytes(&mut self, now: Moment, bytes: &[u8]) -> Vec<Action> {
-        let mut told = Vec::new();
+    pub fn receive(&mut self, now: Moment, bytes: &[u8]) -> Vec<Action> {
+        let mut actions = Vec::new();
         self.reader.push(bytes);
         while matches!(self.state, Listing | Watching) {
-            let (sign, why) = match self.reader.take() {
-                Ok(None) => return told,
-                Err(wrong) => (Some(Broken), wrong.to_string()),
-                Ok(Some(part)) => self.part(now, part, &mut told),
+            let (signal, why) = match self.reader.take() {
+                Ok(None) => return actions,
+                Err(error) => (Some(Failed), error.to_string()),
+                Ok(Some(part)) => self.part(now, part, &mut actions),
             };
-            if let Some(sign) = sign {
-                told.extend(self.step(now, sign, why, Vec::new()));
+            if let Some(signal) = signal {
+                actions.extend(self.step(now, signal, why, Vec::new()));
             }
         }
-        told
+        actions
     }
 
-    fn part(&mut self, now: Moment, part: Part, told: &mut Vec<Action>) -> (Option<Sign>, String) {
+    fn part(&mut self, now: Moment, part: Part, actions: &mut Vec<Action>) -> (Option<Signal>, String) {
         match part {
             Part::Head(head) => self.head(&head),
             Part::Data(data) => {
                 self.body.extend_from_slice(&data);
-                if self.place.is_empty() || self.status != 200 {
-                    let long = self.body.len() as u64 > MOST_LIST;
-                    return (long.then_some(Broken), format!("a list of more than {MOST_LIST} bytes"));
+                if self.resume_version.is_empty() || self.status != 200 {
+                    let too_long = self.body.len() as u64 > MAX_LIST_LEN;
+                    return (too_long.then_some(Failed), format!("a list of more than {MAX_LIST_LEN} bytes"));
                 }
-                self.lines(now, told)
+                self.watch_lines(now, actions)
             }
-            Part::End if self.place.is_empty() => self.list(now, told),
-            Part::End if self.body.is_empty() => (Some(Broken), "the watch ended".into()),
-            Part::End => (Some(Broken), "the watch ended within a line".into()),
+            Part::End if self.resume_version.is_empty() => self.complete_list(now, actions),
+            Part::End if self.body.is_empty() => (Some(Failed), "the watch ended".into()),
+            Part::End => (Some(Failed), "the watch ended within a line".into()),
         }
     }
 
-    fn head(&mut self, head: &Head) -> (Option<Sign>, String) {
+    fn head(&mut self, head: &Head) -> (Option<Signal>, String) {
         self.body.clear();
         self.status = head.status();
         match self.status {
             200 => (None, String::new()),
-            410 => (Some(TooOld), "410 as the answer".into()),
-            other => (Some(Broken), format!("status {other}")),
+            410 => (Some(Expired), "status 410".into()),
+            other => (Some(Failed), format!("status {other}")),
         }
     }
 
-    fn list(&mut self, now: Moment, told: &mut Vec<Action>) -> (Option<Sign>, String) {
+    fn complete_list(&mut self, now: Moment, actions: &mut Vec<Action>) -> (Option<Signal>, String) {
         let list: SliceList = match serde_json::from_slice(&self.body) {
             Ok(list) => list,
-            Err(e) => return (Some(Broken), format!("the list is not an EndpointSliceList: {e}")),
+            Err(e) => return (Some(Failed), format!("the list is not an EndpointSliceList: {e}")),
         };
         self.body = Vec::new();
-        let came = parse_version(&list.metadata.resource_version);
-        if came < self.highest && self.doubts < DOUBTS {
-            return (Some(Older), format!("version {came} after {}", self.highest));
+        let version = parse_version(&list.metadata.resource_version);
+        if version < self.highest_version && self.unconfirmed_lists < MAX_UNCONFIRMED_LISTS {
+            return (Some(OlderList), format!("version {version} after {}", self.highest_version));
         }
-        self.highest = if came == u64::MAX { self.highest } else { came };
-        self.place = match list.metadata.resource_version.as_str() {
+        self.highest_version = if version == u64::MAX { self.highest_version } else { version };
+        self.resume_version = match list.metadata.resource_version.as_str() {
             "" => "0".into(),
             text => text.into(),
         };
-        told.extend(self.step(now, Newer, String::new(), list.items.unwrap_or_default()));
+        actions.extend(self.step(now, CurrentList, String::new(), list.items.unwrap_or_default()));
         (None, String::new())
     }
 
-    fn lines(&mut self, now: Moment, told: &mut Vec<Action>) -> (Option<Sign>, String) {
+    fn watch_lines(&mut self, now: Moment, actions: &mut Vec<Action>) -> (Option<Signal>, String) {
         while let Some(end) = self.body.iter().position(|b| *b == b'\n') {
             let line: Vec<u8> = self.body.drain(..=end).collect();
             if line.trim_ascii().is_empty() {
                 continue;
             }
-            let line: WatchEvent = match serde_json::from_slice(&line) {
-                Ok(line) => line,
-                Err(e) => return (Some(Broken), format!("a line of the watch is not an event: {e}")),
+            let event: WatchEvent = match serde_json::from_slice(&line) {
+                Ok(event) => event,
+                Err(e) => return (Some(Failed), format!("a line of the watch is not an event: {e}")),
             };
-            if line.kind == "ERROR" {
-                let code = line.object.get("code").and_then(serde_json::Value::as_u64).unwrap_or(0);
-                let sign = if code == 410 { TooOld } else { Broken };
-                return (Some(sign), format!("an ERROR event with code {code}"));
+            if event.kind == "ERROR" {
+                let code = event.object.get("code").and_then(serde_json::Value::as_u64).unwrap_or(0);
+                let signal = if code == 410 { Expired } else { Failed };
+                return (Some(signal), format!("an ERROR event with code {code}"));
             }
-            let slice: Slice = match serde_json::from_value(line.object) {
+            let slice: Slice = match serde_json::from_value(event.object) {
                 Ok(slice) => slice,
-                Err(e) => return (Some(Broken), format!("{} of something that is no slice: {e}", line.kind)),
+                Err(e) => {
+                    return (
+                        Some(Failed),
+                        format!("the object of {} is not an EndpointSlice: {e}", event.kind),
+                    )
+                }
             };
-            let came = parse_version(&slice.metadata.resource_version);
-            if came != u64::MAX {
-                self.highest = self.highest.max(came);
-                self.place = self.highest.to_string();
+            let version = parse_version(&slice.metadata.resource_version);
+            if version != u64::MAX {
+                self.highest_version = self.highest_version.max(version);
+                self.resume_version = self.highest_version.to_string();
             } else if !slice.metadata.resource_version.is_empty() {
-                self.place = slice.metadata.resource_version.clone();
+                self.resume_version = slice.metadata.resource_version.clone();
             }
-            match line.kind.as_str() {
-                "ADDED" | "MODIFIED" => told.extend(self.step(now, Changed, String::new(), vec![slice])),
-                "DELETED" => told.push(Action::Delete(slice.metadata.name)),
-                "BOOKMARK" => told.extend(self.step(now, Bookmark, String::new(), Vec::new())),
-                other => return (Some(Broken), format!("an event of kind '{other}'")),
+            match event.kind.as_str() {
+                "ADDED" | "MODIFIED" => actions.extend(self.step(now, Changed, String::new(), vec![slice])),
+                "DELETED" => actions.push(Action::Delete(slice.metadata.name)),
+                "BOOKMARK" => actions.extend(self.step(now, Bookmark, String::new(), Vec::new())),
+                other => return (Some(Failed), format!("an event of kind '{other}'")),
             }
         }
-        if self.body.len() > MOST_LINE {
-            return (Some(Broken), format!("a line of the watch is longer than {MOST_LINE} bytes"));
+        if self.body.len() > MAX_LINE_LEN {
+            return (Some(Failed), format!("a line of the watch is longer than {MAX_LINE_LEN} bytes"));
         }
         (None, String::new())
     }
 
-    fn step(&mut self, now: Moment, sign: Sign, why: String, mut slices: Vec<Slice>) -> Vec<Action> {
-        let row = STEPS.iter().find(|row| row.0.contains(&self.state) && row.1 == sign);
+    fn step(&mut self, now: Moment, signal: Signal, why: String, mut slices: Vec<Slice>) -> Vec<Action> {
+        let row = STEPS.iter().find(|row| row.0.contains(&self.state) && row.1 == signal);
         let Some((_, _, next, effect)) = row else { return Vec::new() };
         self.state = *next;
         match effect {
-            Dial => {
+            Connect => {
                 self.reader = reader();
                 self.body.clear();
-                vec![Action::Dial(self.at)]
+                vec![Action::Connect(self.address)]
             }
-            Ask => {
-                self.state = if self.place.is_empty() { Listing } else { Watching };
-                vec![Action::Send(self.asked())]
+            Request => {
+                self.state = if self.resume_version.is_empty() { Listing } else { Watching };
+                vec![Action::Send(self.request())]
             }
-            TakeAll => {
-                (self.doubts, self.wait) = (0, WAITS.0);
-                vec![Action::All(slices), Action::Send(self.asked())]
+            ApplyList => {
+                (self.unconfirmed_lists, self.delay) = (0, BACK_OFF.0);
+                vec![Action::Replace(slices), Action::Send(self.request())]
             }
-            TakeOne => {
-                self.wait = WAITS.0;
+            ApplyChange => {
+                self.delay = BACK_OFF.0;
                 slices.pop().into_iter().map(Action::Put).collect()
             }
-            Advance => Vec::new(),
+            AdvanceVersion => Vec::new(),
             Restart => {
-                self.place.clear();
-                vec![Action::Note("list_place_too_old", why), Action::Hangup { until: now + WAITS.0 }]
+                self.resume_version.clear();
+                vec![
+                    Action::Log("list_place_too_old", why),
+                    Action::Disconnect { retry_at: now + BACK_OFF.0 },
+                ]
             }
-            Doubt => {
-                self.doubts += 1;
-                vec![Action::Note("list_went_back", why), Action::Hangup { until: now + self.back_off() }]
+            Confirm => {
+                self.unconfirmed_lists += 1;
+                vec![
+                    Action::Log("list_went_back", why),
+                    Action::Disconnect { retry_at: now + self.back_off() },
+                ]
             }
             BackOff => {
                 self.failures += 1;
-                vec![Action::Note("list_broken", why), Action::Hangup { until: now + self.back_off() }]
+                vec![Action::Log("list_broken", why), Action::Disconnect { retry_at: now + self.back_off() }]
             }
         }
     }
 
     fn back_off(&mut self) -> Span {
-        let wait = self.wait;
-        self.wait = self.wait.times(2.0).min(WAITS.1);
-        wait
+        let delay = self.delay;
+        self.delay = self.delay.times(2.0).min(BACK_OFF.1);
+        delay
     }
 
-    fn asked(&self) -> Vec<u8> {
-        let target = if self.place.is_empty() {
+    fn request(&self) -> Vec<u8> {
+        let target = if self.resume_version.is_empty() {
             self.path.clone()
         } else {
-            format!("{}?watch=1&allowWatchBookmarks=true&resourceVersion={}", self.path, self.place)
+            format!("{}?watch=1&allowWatchBookmarks=true&resourceVersion={}", self.path, self.resume_version)
         };
-        let host = self.at.to_string();
+        let host = self.address.to_string();
         request("GET", &target, &[("host", &host), ("accept", "application/json")], None)
     }
 }
 
 fn reader() -> Reader {
-    // A watch may run for months: what bounds it is a line's length, a list's is checked where it is kept.
+    // The body of a watch is unbounded, since it may run for months. The lengths of its lines and of lists are checked
+    // where they are buffered.
     Reader::new(Side::Answers, Bounds { head: 16 * 1024, body: u64::MAX })
 }
--- a/crates/control/src/overrides.rs
+++ b/crates/control/src/overrides.rs
@@ -1,18 +1,19 @@
-//! What operators' orders say of servers and routes, and what of it changes.
+//! Operators' orders on servers and routes that are in force, and changes of them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What operators' orders say, as it is in force.
+/// The operators' orders in force.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Overrides {
-    /// Servers that take no more calls, whatever the list says.
+    /// Servers that get no more calls, whatever the list says.
     pub drained: BTreeSet<String>,
     pub weights: BTreeMap<String, f64>,
     pub caps: BTreeMap<String, f64>,
+    /// Changes of tables other than removals are held back.
     pub held: bool,
 }
 
-/// One thing that operators' orders say, or no longer say.
+/// One change of the overrides; `None` and `false` lift an override.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OverrideChange {
     Drained(String, bool),
@@ -22,37 +23,37 @@
 }
 
 impl Overrides {
-    /// What leads from here to another one.
+    /// Returns the changes that lead from these overrides to others.
     pub fn diff(&self, other: &Overrides) -> Vec<OverrideChange> {
-        fn parted(
+        fn changed(
             from: &BTreeMap<String, f64>,
             to: &BTreeMap<String, f64>,
-            stands: fn(String, Option<f64>) -> OverrideChange,
+            change: fn(String, Option<f64>) -> OverrideChange,
         ) -> Vec<OverrideChange> {
             let names: BTreeSet<&String> = from.keys().chain(to.keys()).collect();
             let differ = names.into_iter().filter(|name| from.get(*name) != to.get(*name));
-            differ.map(|name| stands(name.clone(), to.get(name).copied())).collect()
+            differ.map(|name| change(name.clone(), to.get(name).copied())).collect()
         }
         let drained = self.drained.symmetric_difference(&other.drained);
         let drained = drained.map(|at| OverrideChange::Drained(at.clone(), other.drained.contains(at)));
         let held = (self.held != other.held).then_some(OverrideChange::Hold(other.held));
         let mut all: Vec<OverrideChange> = drained.chain(held).collect();
-        all.extend(parted(&self.weights, &other.weights, OverrideChange::Weight));
-        all.extend(parted(&self.caps, &other.caps, OverrideChange::Cap));
+        all.extend(changed(&self.weights, &other.weights, OverrideChange::Weight));
+        all.extend(changed(&self.caps, &other.caps, OverrideChange::Cap));
         all
     }
 
-    /// Whether it was otherwise before.
-    pub(crate) fn take(&mut self, stands: &OverrideChange) -> bool {
-        let put = |all: &mut BTreeMap<String, f64>, name: &String, value: &Option<f64>| match value {
+    /// Applies a change and returns whether it made a difference.
+    pub(crate) fn apply(&mut self, change: &OverrideChange) -> bool {
+        let set = |all: &mut BTreeMap<String, f64>, name: &String, value: &Option<f64>| match value {
             Some(value) => all.insert(name.clone(), *value) != Some(*value),
             None => all.remove(name).is_some(),
         };
-        match stands {
+        match change {
             OverrideChange::Drained(at, true) => self.drained.insert(at.clone()),
             OverrideChange::Drained(at, false) => self.drained.remove(at),
-            OverrideChange::Weight(at, weight) => put(&mut self.weights, at, weight),
-            OverrideChange::Cap(route, level) => put(&mut self.caps, route, level),
+            OverrideChange::Weight(at, weight) => set(&mut self.weights, at, weight),
+            OverrideChange::Cap(route, level) => set(&mut self.caps, route, level),
             OverrideChange::Hold(on) => std::mem::replace(&mut self.held, *on) != *on,
         }
     }
--- a/crates/control/src/probes.rs
+++ b/crates/control/src/probes.rs
@@ -1,6 +1,6 @@
-//! Probes under way: HTTP calls to servers, so many at once, each answered or given up within its time.
+//! Probes: HTTP requests to servers, limited in number and each with a timeout.
 //!
-//! A probe that finds all places taken waits; one server waits once, so the queue is bounded by the servers.
+//! Probes beyond the limit wait. Each server waits at most once, so the queue is bounded by the number of servers.
 
 use pewtergap_http::{request, Bounds, Part, Reader, Side};
 use pewtergap_node::{Ended, Link};
@@ -9,43 +9,42 @@
 use pewtergap_time::{Moment, Span};
 use std::collections::{BTreeMap, VecDeque};
 
-/// How servers are asked.
+/// How servers are probed.
 #[derive(Clone, Debug)]
 pub struct ProbeConfig {
     pub path: String,
-    /// No answer by then is silence.
     pub timeout: Span,
     pub max_open: usize,
-    /// Names of utilization and of calls in hand, where the report comes as the answer's body; without them it
-    /// comes in the header.
+    /// Field names of utilization and calls in flight if the load report is the response body; otherwise the report is
+    /// in a header.
     pub body_fields: Option<(&'static [&'static str], &'static [&'static str])>,
 }
 
-/// Bytes of a report that are read.
-const MOST_REPORT: usize = 4 * 1024;
+/// Maximum size of a load report in bytes.
+const MAX_REPORT_LEN: usize = 4 * 1024;
 
 struct Open {
     server: usize,
-    until: Moment,
+    deadline: Moment,
     reader: Reader,
-    heard: Option<(ProbeOutcome, Load)>,
+    result: Option<(ProbeOutcome, Load)>,
     body: Vec<u8>,
 }
 
 pub struct Probes {
-    asked: ProbeConfig,
+    config: ProbeConfig,
     open: BTreeMap<Link, Open>,
     waiting: VecDeque<usize>,
 }
 
 impl Probes {
-    pub fn new(asked: ProbeConfig) -> Probes {
-        Probes { asked, open: BTreeMap::new(), waiting: VecDeque::new() }
+    pub fn new(config: ProbeConfig) -> Probes {
+        Probes { config, open: BTreeMap::new(), waiting: VecDeque::new() }
     }
 
-    /// So many at once from here on; those under way go on.
+    /// Changes the limit; probes in progress continue.
     pub fn set_max_open(&mut self, max_open: usize) {
-        self.asked.max_open = max_open;
+        self.config.max_open = max_open;
     }
 
     pub fn enqueue(&mut self, server: usize) {
@@ -54,40 +53,40 @@
         }
     }
 
-    /// The server's place is given up: its probe, if one is under way, ends untold.
+    /// Drops the probe of a server whose index is released; returns the link to close if one was in progress.
     pub fn remove(&mut self, server: usize) -> Option<Link> {
         self.waiting.retain(|waiting| *waiting != server);
-        self.give_up(server)
+        self.abort(server)
     }
 
-    fn give_up(&mut self, server: usize) -> Option<Link> {
+    fn abort(&mut self, server: usize) -> Option<Link> {
         let link = *self.open.iter().find(|open| open.1.server == server)?.0;
         self.open.remove(&link).map(|_| link)
     }
 
-    /// The server has started anew or listens elsewhere: what the former one still says, or its end, tells nothing of
-    /// it. The probe that is under way ends untold, and the server is asked again.
+    /// Restarts the probe of a server that was restarted or has another address, since a response of the old one says
+    /// nothing about it. Returns the link to close if a probe was in progress.
     pub fn restart(&mut self, server: usize) -> Option<Link> {
-        let link = self.give_up(server)?;
+        let link = self.abort(server)?;
         self.enqueue(server);
         Some(link)
     }
 
-    /// The server to ask next, if one waits and there is room.
+    /// Returns the next waiting server if the limit allows another probe.
     pub fn next_server(&mut self) -> Option<usize> {
-        (self.open.len() < self.asked.max_open).then(|| self.waiting.pop_front())?
+        (self.open.len() < self.config.max_open).then(|| self.waiting.pop_front())?
     }
 
-    /// Asked over this link; the call to write once it stands.
+    /// Registers the link of a probe and returns its deadline; the request is sent once the link is connected.
     pub fn start(&mut self, now: Moment, server: usize, link: Link) -> Moment {
-        let until = now + self.asked.timeout;
+        let deadline = now + self.config.timeout;
         let reader = Reader::new(Side::Answers, Bounds::default());
-        self.open.insert(link, Open { server, until, reader, heard: None, body: Vec::new() });
-        until
+        self.open.insert(link, Open { server, deadline, reader, result: None, body: Vec::new() });
+        deadline
     }
 
     pub fn request(&self, host: &str) -> Vec<u8> {
-        request("GET", &self.asked.path, &[("host", host), ("connection", "close")], None)
+        request("GET", &self.config.path, &[("host", host), ("connection", "close")], None)
     }
 
     pub fn owns_link(&self, link: Link) -> bool {
@@ -98,7 +97,7 @@
         (self.open.len(), self.waiting.len())
     }
 
-    /// The end of the probe, when this was the end.
+    /// Processes received bytes and returns the outcome if the probe is complete.
     pub fn receive(&mut self, link: Link, bytes: &[u8]) -> Option<(usize, ProbeOutcome, Load)> {
         let open = self.open.get_mut(&link)?;
         open.reader.push(bytes);
@@ -106,32 +105,32 @@
             match open.reader.take() {
                 Ok(Some(Part::Head(head))) => {
                     let report = head.header(HEADER).map(LoadReport::read).unwrap_or_default();
-                    let end = match head.status() {
+                    let outcome = match head.status() {
                         200..=299 => ProbeOutcome::Answered,
                         429 | 503 => ProbeOutcome::Rejected,
                         _ => ProbeOutcome::Error,
                     };
-                    open.heard = Some((end, Load { util: report.util, in_flight: report.in_hand }));
+                    open.result = Some((outcome, Load { util: report.util, in_flight: report.in_hand }));
                 }
                 Ok(Some(Part::Data(data))) => {
-                    if self.asked.body_fields.is_some() && open.body.len() + data.len() <= MOST_REPORT {
+                    if self.config.body_fields.is_some() && open.body.len() + data.len() <= MAX_REPORT_LEN {
                         open.body.extend(data);
                     }
                 }
-                Ok(Some(Part::End)) => return self.whole(link),
+                Ok(Some(Part::End)) => return self.completed(link),
                 Ok(None) => return None,
                 Err(_) => return self.end(link, ProbeOutcome::Error),
             }
         }
     }
 
-    /// The answer is complete.
-    fn whole(&mut self, link: Link) -> Option<(usize, ProbeOutcome, Load)> {
+    /// The response is complete.
+    fn completed(&mut self, link: Link) -> Option<(usize, ProbeOutcome, Load)> {
         let open = self.open.get_mut(&link)?;
-        if let (Some((util, in_hand)), Some(heard)) = (&self.asked.body_fields, &mut open.heard) {
+        if let (Some((util, in_flight)), Some(result)) = (&self.config.body_fields, &mut open.result) {
             let text = String::from_utf8_lossy(&open.body);
-            let report = LoadReport::read_as(&text, util, in_hand);
-            heard.1 = Load { util: report.util, in_flight: report.in_hand };
+            let report = LoadReport::read_as(&text, util, in_flight);
+            result.1 = Load { util: report.util, in_flight: report.in_hand };
         }
         self.end(link, ProbeOutcome::Error)
     }
@@ -140,27 +139,30 @@
         // A body without a length is complete with the end of the connection.
         let open = self.open.get_mut(&link)?;
         if why == Ended::Done && open.reader.close() == Ok(Some(Part::End)) {
-            return self.whole(link);
+            return self.completed(link);
         }
         match why {
             Ended::Refused | Ended::Reset | Ended::Done => self.end(link, ProbeOutcome::Unreachable),
             Ended::Ours | Ended::Handed => self.end(link, ProbeOutcome::TimedOut),
-            // This side had no room for the call, which says nothing of the server: it is asked again in its turn.
+            // This process had no resources for the request, which says nothing about the server; it is probed again later.
             Ended::Overflow => self.open.remove(&link).and(None),
         }
     }
 
-    /// Probes whose time is up.
+    /// Removes and returns the probes that timed out.
     pub fn take_timed_out(&mut self, now: Moment) -> Vec<(Link, usize)> {
-        let late: Vec<Link> =
-            self.open.iter().filter(|open| open.1.until <= now).map(|open| *open.0).collect();
-        late.into_iter().filter_map(|link| self.open.remove(&link).map(|open| (link, open.server))).collect()
+        let expired: Vec<Link> =
+            self.open.iter().filter(|open| open.1.deadline <= now).map(|open| *open.0).collect();
+        expired
+            .into_iter()
+            .filter_map(|link| self.open.remove(&link).map(|open| (link, open.server)))
+            .collect()
     }
 
-    /// What was heard goes before how the connection ended.
-    fn end(&mut self, link: Link, end: ProbeOutcome) -> Option<(usize, ProbeOutcome, Load)> {
+    /// Ends a probe; a response that was received takes precedence over how the connection ended.
+    fn end(&mut self, link: Link, outcome: ProbeOutcome) -> Option<(usize, ProbeOutcome, Load)> {
         let open = self.open.remove(&link)?;
-        let (end, load) = open.heard.unwrap_or((end, Load::default()));
-        Some((open.server, end, load))
+        let (outcome, load) = open.result.unwrap_or((outcome, Load::default()));
+        Some((open.server, outcome, load))
     }
 }
--- a/crates/control/src/report_queue.rs
+++ b/crates/control/src/report_queue.rs
@@ -1,7 +1,7 @@
-//! Reports of proxies, taken in at so many lines a second, oldest first.
+//! Queue of proxies' reports, passed to the planner core at a limited number of lines per second, oldest first.
 //!
-//! What proxies of a zone met at a server is one line, however many of them say so, and what comes while that
-//! line waits is added to it: the queue is bounded by servers times zones plus proxies times routes.
+//! The tries at a server by the proxies of a zone are one line, however many proxies report them, and further reports
+//! are added to a line while it waits. The queue is thus bounded by servers times zones plus proxies times routes.
 
 use pewtergap_planner::{Event, Load};
 use pewtergap_time::{Moment, Span};
@@ -9,7 +9,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Key {
-    Sums { server: usize, zone: usize },
+    ServerStats { server: usize, zone: usize },
     Arrivals { proxy: usize, route: usize },
 }
 
@@ -17,28 +17,34 @@
 struct Line {
     count: f64,
     dropped: f64,
-    /// Of the good tries, in all.
-    took: f64,
-    over: Span,
+    /// Total latency of the tries that were not dropped.
+    total_seconds: f64,
+    period: Span,
     load: Load,
 }
 
 #[derive(Debug)]
 pub struct ReportQueue {
-    per_s: f64,
-    /// Lines that may be taken in now, part of a second's worth at most.
+    lines_per_s: f64,
+    /// Lines that may be passed on now.
     allowance: f64,
-    last: Option<Moment>,
+    last_refill: Option<Moment>,
     queue: VecDeque<Key>,
     lines: HashMap<Key, Line>,
 }
 
-/// A pause does not save up more than this of a second's lines.
-const SAVED: f64 = 0.2;
+/// Maximum allowance that accumulates, in seconds' worth of lines.
+const MAX_BURST_SECONDS: f64 = 0.2;
 
 impl ReportQueue {
-    pub fn new(per_s: f64) -> ReportQueue {
-        ReportQueue { per_s, allowance: 0.0, last: None, queue: VecDeque::new(), lines: HashMap::new() }
+    pub fn new(lines_per_s: f64) -> ReportQueue {
+        ReportQueue {
+            lines_per_s,
+            allowance: 0.0,
+            last_refill: None,
+            queue: VecDeque::new(),
+            lines: HashMap::new(),
+        }
     }
 
     pub fn waiting(&self) -> usize {
@@ -53,52 +59,53 @@
     }
 
     #[allow(clippy::too_many_arguments)]
-    pub fn sums(
+    pub fn add_server_stats(
         &mut self,
         server: usize,
         zone: usize,
         tries: u64,
         dropped: u64,
-        mean: Span,
-        over: Span,
+        mean_latency: Span,
+        period: Span,
         load: Load,
     ) {
-        let line = self.line(Key::Sums { server, zone });
-        line.took += mean.seconds() * (tries.saturating_sub(dropped)) as f64;
+        let line = self.line(Key::ServerStats { server, zone });
+        line.total_seconds += mean_latency.seconds() * (tries.saturating_sub(dropped)) as f64;
         line.count += tries as f64;
         line.dropped += dropped as f64;
-        // Proxies of a zone report of about the same time, so the longest stands for all.
-        line.over = line.over.max(over);
+        // Reports of the proxies of a zone cover about the same time, so the longest period is used for all.
+        line.period = line.period.max(period);
         line.load =
             Load { util: load.util.or(line.load.util), in_flight: load.in_flight.or(line.load.in_flight) };
     }
 
-    pub fn arrivals(&mut self, proxy: usize, route: usize, calls: u64, dropped: u64, over: Span) {
+    pub fn add_arrivals(&mut self, proxy: usize, route: usize, calls: u64, dropped: u64, period: Span) {
         let line = self.line(Key::Arrivals { proxy, route });
         line.count += calls as f64;
         line.dropped += dropped as f64;
-        line.over = line.over + over;
+        line.period = line.period + period;
     }
 
-    /// The proxy left: what it said of its calls counts no more.
-    pub fn forget(&mut self, proxy: usize) {
-        let gone = |key: &Key| matches!(key, Key::Arrivals { proxy: at, .. } if *at == proxy);
-        self.queue.retain(|key| !gone(key));
-        self.lines.retain(|key, _| !gone(key));
+    /// Discards the arrivals reported by a proxy that left.
+    pub fn remove_proxy(&mut self, proxy: usize) {
+        let removed = |key: &Key| matches!(key, Key::Arrivals { proxy: at, .. } if *at == proxy);
+        self.queue.retain(|key| !removed(key));
+        self.lines.retain(|key, _| !removed(key));
     }
 
-    /// The server's place is given up: what was said of it must not be laid to the next that has the place.
-    pub fn forget_server(&mut self, server: usize) {
-        let gone = |key: &Key| matches!(key, Key::Sums { server: at, .. } if *at == server);
-        self.queue.retain(|key| !gone(key));
-        self.lines.retain(|key, _| !gone(key));
+    /// Discards the statistics of a server whose index is released and may be reused.
+    pub fn remove_server(&mut self, server: usize) {
+        let removed = |key: &Key| matches!(key, Key::ServerStats { server: at, .. } if *at == server);
+        self.queue.retain(|key| !removed(key));
+        self.lines.retain(|key, _| !removed(key));
     }
 
-    /// What may be taken in by now.
-    pub fn take(&mut self, now: Moment) -> Vec<Event> {
-        let gone = self.last.map_or(SAVED, |last| now.since(last).seconds());
-        self.last = Some(now);
-        self.allowance = (self.allowance + gone * self.per_s).min((SAVED * self.per_s).max(1.0));
+    /// Returns the events that may be passed on now.
+    pub fn take_due(&mut self, now: Moment) -> Vec<Event> {
+        let elapsed = self.last_refill.map_or(MAX_BURST_SECONDS, |last| now.since(last).seconds());
+        self.last_refill = Some(now);
+        self.allowance = (self.allowance + elapsed * self.lines_per_s)
+            .min((MAX_BURST_SECONDS * self.lines_per_s).max(1.0));
         let mut events = Vec::new();
         while self.allowance >= 1.0 {
             let Some(key) = self.queue.pop_front() else { break };
@@ -112,23 +119,13 @@
 
 impl Line {
     fn event(self, key: Key) -> Event {
-        let Line { count, dropped, took, over, load } = self;
+        let Line { count, dropped, total_seconds, period, load } = self;
         match key {
-            Key::Sums { server, zone } => {
-                let mean = Span::of_seconds(took / (count - dropped).max(1.0));
-                Event::ServerStats {
-                    server,
-                    zone,
-                    tries: count,
-                    dropped,
-                    mean_latency: mean,
-                    period: over,
-                    load,
-                }
-            }
-            Key::Arrivals { proxy, route } => {
-                Event::Arrivals { proxy, route, calls: count, dropped, period: over }
+            Key::ServerStats { server, zone } => {
+                let mean_latency = Span::of_seconds(total_seconds / (count - dropped).max(1.0));
+                Event::ServerStats { server, zone, tries: count, dropped, mean_latency, period, load }
             }
+            Key::Arrivals { proxy, route } => Event::Arrivals { proxy, route, calls: count, dropped, period },
         }
     }
 }
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -1,14 +1,14 @@
-//! The service as a node: inputs to events, orders to messages.
+//! The service as a node: converts inputs to events, and the planner core's actions to messages.
 
 use crate::admin::{AdminRequest, AdminServer};
 use crate::channel::Channel;
 use crate::endpoints::{EndpointChange, EndpointList, Slice, SliceList};
-use crate::kept;
 use crate::list_watch::{Action as ListAction, ListSource, ListWatch};
 use crate::overrides::{OverrideChange, Overrides};
 use crate::probes::{ProbeConfig, Probes};
 use crate::report_queue::ReportQueue;
-use crate::streams::{ReportConfig, Sent, Stream, Streams, MOST_UNANSWERED};
+use crate::saved_list;
+use crate::streams::{ReportConfig, Sent, Stream, Streams, MAX_UNANSWERED};
 use crate::tables::Tables;
 use crate::traffic::TrafficStats;
 use pewtergap_node::{Effect, Ended, Input, Level, Link, Node, Outbox};
@@ -20,50 +20,50 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{IpAddr, SocketAddr};
 
-/// Who this planner is, and whom it serves.
+/// The planner's name, and the zones and routes it serves.
 #[derive(Clone, Debug)]
 pub struct ServiceConfig {
     pub name: String,
     pub zones: Vec<String>,
     pub routes: Vec<String>,
-    /// How long a proxy may leave a message unanswered.
+    /// How long a proxy may leave a message unacknowledged.
     pub unresponsive_after: Span,
 }
 
-/// Where it listens and whence it calls.
+/// Listening addresses, and the source address of outgoing connections.
 #[derive(Clone, Copy, Debug)]
 pub struct ListenConfig {
     pub proxies: SocketAddr,
-    /// Health and metrics over HTTP.
+    /// Health, metrics and operators' requests over HTTP.
     pub admin: Option<SocketAddr>,
     pub source_ip: Option<IpAddr>,
 }
 
-const PROXIES: u32 = 0;
-const ADMIN: u32 = 1;
+const PROXY_LISTENER: u32 = 0;
+const ADMIN_LISTENER: u32 = 1;
 
-/// Events that come within this time share a turn.
-const ROUND: Span = Span::millis(2);
-const HOUSEKEEPING: Span = Span::millis(250);
-const INTAKE: Span = Span::millis(50);
-/// The list is kept on disk so long after it changed.
-const KEEP: Span = Span::millis(300);
-/// For last words to be written.
-const FAREWELL: Span = Span::millis(200);
+/// Events within this time are processed in one turn.
+const TURN_DELAY: Span = Span::millis(2);
+const HOUSEKEEPING_INTERVAL: Span = Span::millis(250);
+const REPORT_INTERVAL: Span = Span::millis(50);
+/// Delay between a change of the list and saving it on disk.
+const SAVE_DELAY: Span = Span::millis(300);
+/// Time to write the last messages before the process exits.
+const EXIT_DELAY: Span = Span::millis(200);
 
 mod timer {
     pub const TURN: u64 = 1;
-    pub const WOKEN: u64 = 2;
+    pub const WAKE: u64 = 2;
     pub const CHANNEL: u64 = 3;
     pub const HOUSEKEEPING: u64 = 4;
-    pub const INTAKE: u64 = 5;
+    pub const REPORTS: u64 = 5;
     pub const LIST: u64 = 6;
-    pub const KEEP: u64 = 7;
+    pub const SAVE_LIST: u64 = 7;
     pub const PROBES: u64 = 8;
     pub const EXIT: u64 = 9;
 }
 
-/// What is counted since the start, for metrics.
+/// Counters since the start, for metrics.
 #[derive(Default)]
 struct Counts {
     turns: u64,
@@ -80,7 +80,7 @@
     worst_ack: Span,
 }
 
-/// How a probe from here ended: utilization and calls in hand, where they were told.
+/// The outcome of a probe by this planner, with utilization and calls in flight if reported.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProbeResult {
     pub server: String,
@@ -88,7 +88,7 @@
     pub load: (Option<f64>, Option<f64>),
 }
 
-/// A drain that was told, which start of the server it is of, and when.
+/// A drain that the list announced: the server, its start time, and when this planner was notified.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DrainNotice {
     pub server: String,
@@ -96,57 +96,57 @@
     pub notified_at: Moment,
 }
 
-/// What other planners' words come to, for the module.
+/// Information derived from other planners' messages, for the planner core.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PeerHint {
-    /// Calls per second at the proxies of all others; none: nobody knows.
+    /// Calls per second at the proxies of all other planners, if known.
     OtherPlannersRate(Option<f64>),
-    /// Our part of what all may bring a cold server.
+    /// This planner's share of the calls that all planners may send to a cold server.
     ColdShare(Option<f64>),
-    /// A server weighs less by this part.
+    /// Reduce a server's weight by this fraction.
     ReduceWeight(String, f64),
-    /// A server is to be asked how it is.
+    /// Probe a server.
     Probe(String),
 }
 
-/// Drains told and not yet taken note of by whoever keeps them.
-const MOST_DRAINS: usize = 4_096;
+/// Maximum number of drain notices not yet taken by the owner of the service.
+const MAX_DRAIN_NOTICES: usize = 4_096;
 
 pub struct Service {
-    charge: ServiceConfig,
-    doors: ListenConfig,
+    config: ServiceConfig,
+    listen: ListenConfig,
     reports: ReportConfig,
     source: ListSource,
     planner: Planner,
-    /// Which start of this planner.
+    /// Identifies this run of the planner.
     epoch: u64,
     servers: Interner<String>,
     proxies: Interner<String>,
-    roll: EndpointList,
+    endpoints: EndpointList,
     watch: Option<ListWatch>,
     list_link: Option<Link>,
-    /// A complete list has come since the start.
-    listed: bool,
-    keep_set: bool,
+    /// A complete list was received since the start.
+    list_received: bool,
+    save_scheduled: bool,
     streams: Streams,
     tables: Tables,
     channel: Channel,
-    channel_set: Option<Moment>,
-    intake: ReportQueue,
-    intake_set: bool,
+    channel_timer: Option<Moment>,
+    report_queue: ReportQueue,
+    report_timer_set: bool,
     probes: Probes,
-    /// Probes are asked for, and told, by who stands beside: what the module wants goes to `probe_requests`, what came of those
-    /// from here to `probe_results`.
+    /// The owner of the service coordinates probes with other planners: the planner core's requests go to `probe_requests`,
+    /// and the outcomes of this planner's probes to `probe_results`.
     pub external_probes: bool,
-    probes_wanted: BTreeSet<usize>,
+    requested_probes: BTreeSet<usize>,
     pub probe_requests: Vec<String>,
     pub probe_results: Vec<ProbeResult>,
     admin: AdminServer,
-    /// Prefixes of what is answered by others, and what waits for them.
+    /// Path prefixes of admin requests that the owner of the service handles, and the requests waiting for it.
     pub external_paths: &'static [&'static str],
     pub external_requests: Vec<AdminRequest>,
-    standing: Overrides,
-    tried: (u64, u64),
+    overrides: Overrides,
+    try_counts: (u64, u64),
     pub traffic: TrafficStats,
     pub drain_notices: Vec<DrainNotice>,
     events: Vec<Event>,
@@ -159,8 +159,8 @@
     #[allow(clippy::too_many_arguments)]
     pub fn new(
         now: Moment,
-        charge: ServiceConfig,
-        doors: ListenConfig,
+        config: ServiceConfig,
+        listen: ListenConfig,
         source: ListSource,
         planner: Planner,
         channel: Channel,
@@ -168,35 +168,35 @@
         probing: ProbeConfig,
     ) -> Service {
         Service {
-            charge,
-            doors,
+            config,
+            listen,
             reports,
             source,
             planner,
             epoch: now.0,
             servers: Interner::default(),
             proxies: Interner::default(),
-            roll: EndpointList::default(),
+            endpoints: EndpointList::default(),
             watch: None,
             list_link: None,
-            listed: false,
-            keep_set: false,
+            list_received: false,
+            save_scheduled: false,
             streams: Streams::default(),
             tables: Tables::default(),
             channel,
-            channel_set: None,
-            intake: ReportQueue::new(reports.lines_per_s),
-            intake_set: false,
+            channel_timer: None,
+            report_queue: ReportQueue::new(reports.lines_per_s),
+            report_timer_set: false,
             probes: Probes::new(probing),
             external_probes: false,
-            probes_wanted: BTreeSet::new(),
+            requested_probes: BTreeSet::new(),
             probe_requests: Vec::new(),
             probe_results: Vec::new(),
             admin: AdminServer::default(),
             external_paths: &[],
             external_requests: Vec::new(),
-            standing: Overrides::default(),
-            tried: (0, 0),
+            overrides: Overrides::default(),
+            try_counts: (0, 0),
             traffic: TrafficStats::default(),
             drain_notices: Vec::new(),
             events: vec![Event::Tick],
@@ -206,91 +206,91 @@
         }
     }
 
-    fn kept_name(&self) -> String {
-        format!("{}.list.json", self.charge.name)
+    fn saved_list_name(&self) -> String {
+        format!("{}.list.json", self.config.name)
     }
 
     fn start(&mut self, now: Moment, out: &mut Outbox) {
-        out.push(Effect::Listen { door: PROXIES, at: self.doors.proxies });
-        if let Some(at) = self.doors.admin {
-            out.push(Effect::Listen { door: ADMIN, at });
+        out.push(Effect::Listen { door: PROXY_LISTENER, at: self.listen.proxies });
+        if let Some(at) = self.listen.admin {
+            out.push(Effect::Listen { door: ADMIN_LISTENER, at });
         }
-        out.push(Effect::Fetch { name: self.kept_name() });
-        out.wake(timer::HOUSEKEEPING, now + HOUSEKEEPING);
+        out.push(Effect::Fetch { name: self.saved_list_name() });
+        out.wake(timer::HOUSEKEEPING, now + HOUSEKEEPING_INTERVAL);
     }
 
     // ---- the list
 
-    fn kept(&mut self, now: Moment, bytes: Result<&[u8], String>, out: &mut Outbox) {
-        let mut highest = 0;
-        match bytes.and_then(kept::read) {
+    fn load_saved_list(&mut self, now: Moment, bytes: Result<&[u8], String>, out: &mut Outbox) {
+        let mut highest_version = 0;
+        match bytes.and_then(saved_list::decode) {
             Ok((version, known)) => {
                 out.log(Level::Info, "kept_list", vec![("servers", known.len().to_string())]);
                 let all: Vec<EndpointChange> = known.iter().map(|(at, e)| (at.clone(), e.clone())).collect();
-                (highest, self.roll) = (version, EndpointList::kept(known));
-                self.tell_list(now, ListKind::Kept, &all, out);
+                (highest_version, self.endpoints) = (version, EndpointList::from_saved(known));
+                self.send_list(now, ListKind::Kept, &all, out);
             }
             Err(why) => out.log(Level::Info, "no_kept_list", vec![("why", why)]),
         }
         match &self.source {
             ListSource::Watch { address, path } => {
-                self.watch = Some(ListWatch::new(*address, path.clone(), highest));
+                self.watch = Some(ListWatch::new(*address, path.clone(), highest_version));
                 out.wake(timer::LIST, now);
             }
             ListSource::File { name } => out.push(Effect::Fetch { name: name.clone() }),
         }
     }
 
-    fn list_file(&mut self, now: Moment, bytes: Result<&[u8], String>, out: &mut Outbox) {
-        match bytes.and_then(read_list_file) {
-            Ok(slices) => self.follow(now, vec![ListAction::All(slices)], out),
-            // What is held stays in force.
+    fn load_list_file(&mut self, now: Moment, bytes: Result<&[u8], String>, out: &mut Outbox) {
+        match bytes.and_then(parse_list_file) {
+            Ok(slices) => self.apply_list_actions(now, vec![ListAction::Replace(slices)], out),
+            // The current list stays in force.
             Err(why) => out.log(Level::Error, "list_file_refused", vec![("why", why)]),
         }
     }
 
-    fn follow(&mut self, now: Moment, told: Vec<ListAction>, out: &mut Outbox) {
-        for told in told {
-            let mut refused = Vec::new();
-            match told {
-                ListAction::Dial(to) => self.list_link = Some(out.connect(to, self.doors.source_ip)),
+    fn apply_list_actions(&mut self, now: Moment, actions: Vec<ListAction>, out: &mut Outbox) {
+        for action in actions {
+            let mut rejected = Vec::new();
+            match action {
+                ListAction::Connect(to) => self.list_link = Some(out.connect(to, self.listen.source_ip)),
                 ListAction::Send(bytes) => {
                     if let Some(link) = self.list_link {
                         out.send(link, bytes);
                     }
                 }
-                ListAction::Hangup { until } => {
+                ListAction::Disconnect { retry_at } => {
                     if let Some(link) = self.list_link.take() {
                         out.cut(link);
                     }
-                    out.wake(timer::LIST, until);
+                    out.wake(timer::LIST, retry_at);
                 }
-                ListAction::All(slices) => {
-                    let all = self.roll.replace(now, &slices, &mut refused);
-                    self.listed = true;
-                    self.tell_list(now, ListKind::Complete, &all, out);
+                ListAction::Replace(slices) => {
+                    let all = self.endpoints.replace(now, &slices, &mut rejected);
+                    self.list_received = true;
+                    self.send_list(now, ListKind::Complete, &all, out);
                 }
                 ListAction::Put(slice) => {
-                    let changes = self.roll.put(now, &slice, &mut refused);
-                    self.tell_list(now, ListKind::Changes, &changes, out);
+                    let changes = self.endpoints.put(now, &slice, &mut rejected);
+                    self.send_list(now, ListKind::Changes, &changes, out);
                 }
                 ListAction::Delete(name) => {
-                    let changes = self.roll.delete(now, &name);
-                    self.tell_list(now, ListKind::Changes, &changes, out);
+                    let changes = self.endpoints.delete(now, &name);
+                    self.send_list(now, ListKind::Changes, &changes, out);
                 }
-                ListAction::Note(event, why) => out.log(Level::Warn, event, vec![("why", why)]),
+                ListAction::Log(event, why) => out.log(Level::Warn, event, vec![("why", why)]),
             }
-            for what in refused {
+            for what in rejected {
                 out.log(Level::Warn, "list_entry_refused", vec![("what", what)]);
             }
         }
     }
 
-    fn tell_list(&mut self, now: Moment, kind: ListKind, changes: &[EndpointChange], out: &mut Outbox) {
+    fn send_list(&mut self, now: Moment, kind: ListKind, changes: &[EndpointChange], out: &mut Outbox) {
         let mut entries = Vec::new();
         for (at, endpoint) in changes {
-            let Some(zone) = self.charge.zones.iter().position(|zone| *zone == endpoint.zone) else {
-                let what = format!("{at}: zone '{}' is not among ours", endpoint.zone);
+            let Some(zone) = self.config.zones.iter().position(|zone| *zone == endpoint.zone) else {
+                let what = format!("{at}: zone '{}' is not configured", endpoint.zone);
                 out.log(Level::Warn, "list_entry_refused", vec![("what", what)]);
                 continue;
             };
@@ -298,16 +298,16 @@
             let (mut state, mut weight) = (endpoint.state, endpoint.weight);
             if state != ListedState::Running
                 && kind != ListKind::Kept
-                && self.drain_notices.len() < MOST_DRAINS
+                && self.drain_notices.len() < MAX_DRAIN_NOTICES
             {
                 let started = endpoint.started.unwrap_or_default();
                 self.drain_notices.push(DrainNotice { server: at.clone(), started, notified_at: now });
             }
-            if state == ListedState::Running && self.standing.drained.contains(at) {
+            if state == ListedState::Running && self.overrides.drained.contains(at) {
                 state = ListedState::Stopping;
             }
-            if let Some(held) = self.standing.weights.get(at) {
-                weight = *held;
+            if let Some(overridden) = self.overrides.weights.get(at) {
+                weight = *overridden;
             }
             entries.push(ListEntry { server, zone, cell: 0, state, weight, last_start: endpoint.started });
             if kind == ListKind::Changes {
@@ -331,18 +331,18 @@
             ];
             out.log(Level::Info, "list", fields);
         }
-        if kind != ListKind::Kept && !self.keep_set {
-            self.keep_set = true;
-            out.wake(timer::KEEP, now + KEEP);
+        if kind != ListKind::Kept && !self.save_scheduled {
+            self.save_scheduled = true;
+            out.wake(timer::SAVE_LIST, now + SAVE_DELAY);
         }
         self.event(now, Event::List { kind, entries }, out);
     }
 
-    fn keep(&mut self, out: &mut Outbox) {
-        self.keep_set = false;
-        let highest = self.watch.as_ref().map_or(0, ListWatch::highest);
-        let bytes = kept::write(highest, self.roll.known());
-        out.push(Effect::Keep { name: self.kept_name(), bytes });
+    fn save_list(&mut self, out: &mut Outbox) {
+        self.save_scheduled = false;
+        let highest_version = self.watch.as_ref().map_or(0, ListWatch::highest_version);
+        let bytes = saved_list::encode(highest_version, self.endpoints.endpoints());
+        out.push(Effect::Keep { name: self.saved_list_name(), bytes });
     }
 
     // ---- turns
@@ -351,7 +351,7 @@
         self.events.push(event);
         if !self.turn_set {
             self.turn_set = true;
-            out.wake(timer::TURN, now + ROUND);
+            out.wake(timer::TURN, now + TURN_DELAY);
         }
     }
 
@@ -363,25 +363,25 @@
         }
         self.counts.turns += 1;
         let turn = self.counts.turns;
-        let orders = self.planner.turn(now, &events);
-        for order in &orders {
-            match order {
+        let actions = self.planner.turn(now, &events);
+        for action in &actions {
+            match action {
                 Action::Probe { server } if self.external_probes => {
-                    self.probes_wanted.insert(*server);
+                    self.requested_probes.insert(*server);
                     self.probe_requests.push(self.servers.name(*server).clone());
                 }
                 Action::Probe { server } => self.probes.enqueue(*server),
-                Action::Wake { at } => out.wake(timer::WOKEN, *at),
+                Action::Wake { at } => out.wake(timer::WAKE, *at),
                 Action::Log { text } => out.log(Level::Info, "planner", vec![("text", text.clone())]),
                 Action::ReleaseServer { server } => {
                     if let Some(link) = self.probes.remove(*server) {
                         out.cut(link);
                     }
-                    self.probes_wanted.remove(server);
-                    self.intake.forget_server(*server);
+                    self.requested_probes.remove(server);
+                    self.report_queue.remove_server(*server);
                     self.servers.release(*server);
                 }
-                // The list is watched all the time; nothing has to be asked for.
+                // The list is watched at all times, there is nothing to request.
                 Action::Subscribe
                 | Action::SetLine { .. }
                 | Action::Bind { .. }
@@ -389,7 +389,7 @@
                 | Action::Mark { .. } => {}
             }
         }
-        let updates = self.tables.carry_out(now, turn, &orders, &self.servers);
+        let updates = self.tables.apply(now, turn, &actions, &self.servers);
         if !updates.is_empty() {
             let lines: u32 = updates.iter().map(|update| update.1.lines).sum();
             let fields = vec![
@@ -397,13 +397,13 @@
                 ("events", events.len().to_string()),
                 ("messages", updates.len().to_string()),
                 ("lines", lines.to_string()),
-                ("waiting", format!("{:.0}", self.channel.lines())),
+                ("waiting", format!("{:.0}", self.channel.waiting_lines())),
             ];
             out.log(Level::Info, "orders", fields);
         }
         for (proxy, update) in updates {
             if let Err(full) = self.channel.enqueue(now, proxy, update) {
-                // The module's arithmetic should never let this be; whoever it hits joins anew.
+                // The planner core's accounting should prevent this; the affected proxy has to join anew.
                 self.counts.channel_full += 1;
                 let fields = vec![
                     ("proxy", self.proxies.name(proxy).clone()),
@@ -411,35 +411,36 @@
                     ("more", full.more.to_string()),
                 ];
                 out.log(Level::Error, "channel_full", fields);
-                self.send_away(now, proxy, "the planner's channel is full", out);
+                self.disconnect(now, proxy, "the planner's channel is full", out);
             }
         }
-        self.ask_next(now, out);
-        self.drain(now, out);
+        self.start_probes(now, out);
+        self.send_due(now, out);
     }
 
-    /// Lets leave what may, and sets the timer for the next.
-    fn drain(&mut self, now: Moment, out: &mut Outbox) {
+    /// Sends the messages that are due and schedules the next.
+    fn send_due(&mut self, now: Moment, out: &mut Outbox) {
         while let Some((proxy, update)) = self.channel.pop(now) {
             self.send(now, proxy, update, out);
         }
         if let Some(due) = self.channel.next_send_at() {
-            if self.channel_set.is_none_or(|set| set > due || set <= now) {
-                self.channel_set = Some(due);
+            if self.channel_timer.is_none_or(|set| set > due || set <= now) {
+                self.channel_timer = Some(due);
                 out.wake(timer::CHANNEL, due);
             }
         }
     }
 
     fn send(&mut self, now: Moment, proxy: usize, mut update: Update, out: &mut Outbox) {
-        let Some((link, stream)) = self.streams.of(proxy) else { return };
+        let Some((link, stream)) = self.streams.get_mut(proxy) else { return };
         stream.nonce += 1;
         update.nonce = stream.nonce;
-        let ordered = Moment(update.ordered_at);
-        let sent = Sent { nonce: stream.nonce, mark: update.mark, turn: update.turn, at: now, ordered };
+        let ordered_at = Moment(update.ordered_at);
+        let sent =
+            Sent { nonce: stream.nonce, mark: update.mark, turn: update.turn, sent_at: now, ordered_at };
         stream.unanswered.push_back(sent);
-        stream.beat = now;
-        let crowded = stream.unanswered.len() > MOST_UNANSWERED;
+        stream.last_sent = now;
+        let too_many = stream.unanswered.len() > MAX_UNANSWERED;
         self.counts.messages += 1;
         self.counts.lines += u64::from(update.lines);
         let fields = vec![
@@ -447,32 +448,32 @@
             ("proxy", self.proxies.name(proxy).clone()),
             ("nonce", update.nonce.to_string()),
             ("lines", update.lines.to_string()),
-            ("waited", now.since(ordered).to_string()),
+            ("waited", now.since(ordered_at).to_string()),
         ];
         out.log(Level::Debug, "sent", fields);
         out.send(link, encode(&Down::of(down::Kind::Update(update))));
-        if crowded {
-            self.send_away(now, proxy, "too many messages without an answer", out);
+        if too_many {
+            self.disconnect(now, proxy, "too many messages without an answer", out);
         }
     }
 
     // ---- proxies
 
-    fn heard(&mut self, now: Moment, link: Link, bytes: &[u8], out: &mut Outbox) {
+    fn receive(&mut self, now: Moment, link: Link, bytes: &[u8], out: &mut Outbox) {
         let Some(stream) = self.streams.by_link.get_mut(&link) else { return };
-        stream.heard = now;
+        stream.last_contact = now;
         stream.frames.push(bytes);
         loop {
             let Some(stream) = self.streams.by_link.get_mut(&link) else { return };
-            let done = match stream.frames.take() {
+            let result = match stream.frames.take() {
                 Ok(None) => return,
                 Ok(Some(message)) => match message.kind {
                     Some(kind) => self.message(now, link, kind, out),
                     None => Ok(()),
                 },
-                Err(wrong) => Err(wrong.to_string()),
+                Err(error) => Err(error.to_string()),
             };
-            if let Err(why) = done {
+            if let Err(why) = result {
                 self.close(now, link, &why, out);
                 return;
             }
@@ -489,13 +490,14 @@
         };
         match kind {
             up::Kind::Hello(_) => return Err("a second hello".into()),
-            up::Kind::Ack(ack) if ack.nonce <= stream.void => {}
-            up::Kind::Nack(nack) if nack.nonce <= stream.void => {}
+            up::Kind::Ack(ack) if ack.nonce <= stream.voided_nonce => {}
+            up::Kind::Nack(nack) if nack.nonce <= stream.voided_nonce => {}
             up::Kind::Ack(ack) => {
-                let sent =
-                    stream.answered(ack.nonce).ok_or(format!("ack of {}, which was not sent", ack.nonce))?;
+                let sent = stream
+                    .acknowledge(ack.nonce)
+                    .ok_or(format!("ack of {}, which was not sent", ack.nonce))?;
                 self.counts.acks += 1;
-                let took = now.since(sent.ordered);
+                let took = now.since(sent.ordered_at);
                 self.counts.worst_ack = self.counts.worst_ack.max(took);
                 let fields = vec![
                     ("turn", sent.turn.to_string()),
@@ -508,17 +510,17 @@
                     self.event(now, Event::Applied { proxy, mark: u64::from(sent.mark) }, out);
                 }
             }
-            up::Kind::Nack(nack) => return self.refused(now, link, proxy, &nack, out),
-            up::Kind::Sums(sums) => self.sums(now, link, &sums, out),
+            up::Kind::Nack(nack) => return self.handle_nack(now, link, proxy, &nack, out),
+            up::Kind::Sums(sums) => self.server_stats(now, link, &sums, out),
             up::Kind::Arrivals(arrivals) => {
-                let (over, zone) = (Span::micros(arrivals.over_us), stream.zone);
-                stream.reported(arrivals.rows.iter().map(|row| row.calls).sum(), over);
-                for row in arrivals.rows.iter().filter(|row| (row.route as usize) < self.charge.routes.len())
+                let (period, zone) = (Span::micros(arrivals.over_us), stream.zone);
+                stream.record_calls(arrivals.rows.iter().map(|row| row.calls).sum(), period);
+                for row in arrivals.rows.iter().filter(|row| (row.route as usize) < self.config.routes.len())
                 {
-                    self.traffic.calls(row.route as usize, zone, row.calls);
-                    self.intake.arrivals(proxy, row.route as usize, row.calls, row.dropped, over);
+                    self.traffic.add_calls(row.route as usize, zone, row.calls);
+                    self.report_queue.add_arrivals(proxy, row.route as usize, row.calls, row.dropped, period);
                 }
-                self.set_intake(now, out);
+                self.schedule_reports(now, out);
             }
             up::Kind::Beat(_) => {}
         }
@@ -529,12 +531,12 @@
         if hello.protocol != VERSION {
             return Err(format!("protocol {} is not spoken here, {VERSION} is", hello.protocol));
         }
-        let zone = self.charge.zones.iter().position(|zone| *zone == hello.zone);
+        let zone = self.config.zones.iter().position(|zone| *zone == hello.zone);
         let zone = zone.ok_or(format!("zone '{}' is not known here", hello.zone))?;
-        if let Some(route) = hello.routes.iter().find(|route| !self.charge.routes.contains(route)) {
+        if let Some(route) = hello.routes.iter().find(|route| !self.config.routes.contains(route)) {
             return Err(format!("route '{route}' is not known here"));
         }
-        // A name is kept for good, as an index; whoever made up a new one each time would fill the memory.
+        // Each name uses an index for good, so a proxy that makes up new names must not exhaust the memory.
         let known = self.proxies.get(&hello.proxy).is_some();
         if !known && self.proxies.slots() >= 4 * self.reports.max_streams {
             return Err(format!(
@@ -543,24 +545,24 @@
             ));
         }
         let proxy = self.proxies.intern(&hello.proxy);
-        // It came back before its old stream was seen to be broken.
+        // The proxy reconnected before the end of its old stream was noticed.
         if let Some(old) = self.streams.by_proxy.get(&proxy).copied() {
-            self.forget(now, old, out);
+            self.remove_stream(now, old, out);
             out.cut(old);
         }
         let Some(stream) = self.streams.by_link.get_mut(&link) else { return Ok(()) };
         (stream.proxy, stream.zone, stream.calls_per_s) = (Some(proxy), zone, hello.calls_per_s);
         stream.rate = hello.calls_per_s;
         self.streams.by_proxy.insert(proxy, link);
-        let (name, epoch) = (&self.charge.name, self.epoch);
-        let ours = hello.held.iter().filter(|held| held.planner == *name && held.epoch == epoch);
-        self.tables.join(proxy, ours.map(|held| (held.table as usize, held.version)));
+        let (name, epoch) = (&self.config.name, self.epoch);
+        let own_tables = hello.held.iter().filter(|held| held.planner == *name && held.epoch == epoch);
+        self.tables.join(proxy, own_tables.map(|held| (held.table as usize, held.version)));
         self.counts.joins += 1;
         let welcome = Welcome {
             protocol: VERSION,
             planner: name.clone(),
             epoch,
-            routes: self.charge.routes.clone(),
+            routes: self.config.routes.clone(),
             report_every_us: self.reports.interval.0 / 1_000,
         };
         out.send(link, encode(&Down::of(down::Kind::Welcome(welcome))));
@@ -569,9 +571,9 @@
         Ok(())
     }
 
-    /// A message was refused. The module hears that the proxy left and joined: it is bound anew, with whole
-    /// tables, and what that costs is in the module's account.
-    fn refused(
+    /// Handles a rejected message. For the planner core the proxy leaves and joins again, so that it is bound anew with
+    /// whole tables and the cost of this is in the core's accounting.
+    fn handle_nack(
         &mut self,
         now: Moment,
         link: Link,
@@ -587,63 +589,71 @@
         ];
         out.log(Level::Warn, "refused", fields);
         let Some(stream) = self.streams.by_link.get_mut(&link) else { return Ok(()) };
-        if stream.refused(now) {
+        if stream.record_nack(now) {
             return Err("too many refusals".into());
         }
         stream.unanswered.clear();
-        stream.void = stream.nonce;
+        stream.voided_nonce = stream.nonce;
         let (zone, calls_per_s) = (stream.zone, stream.calls_per_s);
-        self.channel.forget(proxy);
+        self.channel.remove(proxy);
         self.tables.join(proxy, std::iter::empty());
         self.event(now, Event::ProxyLeft { proxy }, out);
         self.event(now, Event::ProxyJoined { proxy, zone, calls_per_s }, out);
         Ok(())
     }
 
-    fn sums(&mut self, now: Moment, link: Link, sums: &Sums, out: &mut Outbox) {
+    fn server_stats(&mut self, now: Moment, link: Link, sums: &Sums, out: &mut Outbox) {
         let zone = self.streams.by_link.get(&link).map_or(0, |stream| stream.zone);
         for row in &sums.rows {
-            // A server that no list of ours ever named is another planner's affair.
+            // Servers that were never in this planner's list are ignored; they belong to another planner.
             let Some(server) = self.servers.get(&row.server) else { continue };
-            self.tried.0 = self.tried.0.saturating_add(row.tries);
-            self.tried.1 = self.tried.1.saturating_add(row.dropped);
+            self.try_counts.0 = self.try_counts.0.saturating_add(row.tries);
+            self.try_counts.1 = self.try_counts.1.saturating_add(row.dropped);
             let load = Load { util: row.util, in_flight: row.in_hand };
-            let (mean, over) = (Span::micros(row.mean_us), Span::micros(sums.over_us));
-            self.traffic.met(&row.server, row.tries, row.dropped, mean.seconds());
-            self.intake.sums(server, zone, row.tries, row.dropped, mean, over, load);
+            let (mean_latency, period) = (Span::micros(row.mean_us), Span::micros(sums.over_us));
+            self.traffic.add_tries(&row.server, row.tries, row.dropped, mean_latency.seconds());
+            self.report_queue.add_server_stats(
+                server,
+                zone,
+                row.tries,
+                row.dropped,
+                mean_latency,
+                period,
+                load,
+            );
         }
-        self.set_intake(now, out);
+        self.schedule_reports(now, out);
     }
 
-    fn set_intake(&mut self, now: Moment, out: &mut Outbox) {
-        if !self.intake_set && self.intake.waiting() > 0 {
-            self.intake_set = true;
-            out.wake(timer::INTAKE, now + INTAKE);
+    fn schedule_reports(&mut self, now: Moment, out: &mut Outbox) {
+        if !self.report_timer_set && self.report_queue.waiting() > 0 {
+            self.report_timer_set = true;
+            out.wake(timer::REPORTS, now + REPORT_INTERVAL);
         }
     }
 
-    /// Says why and closes.
+    /// Closes a stream and tells the proxy why.
     fn close(&mut self, now: Moment, link: Link, why: &str, out: &mut Outbox) {
         out.log(Level::Warn, "stream_closed", vec![("link", link.0.to_string()), ("why", why.into())]);
         out.send(link, encode(&Down::of(down::Kind::Bye(Bye { reason: why.chars().take(512).collect() }))));
         out.finish(link);
-        self.forget(now, link, out);
+        self.remove_stream(now, link, out);
     }
 
-    fn send_away(&mut self, now: Moment, proxy: usize, why: &str, out: &mut Outbox) {
+    fn disconnect(&mut self, now: Moment, proxy: usize, why: &str, out: &mut Outbox) {
         if let Some(link) = self.streams.by_proxy.get(&proxy).copied() {
             self.close(now, link, why, out);
         }
     }
 
-    /// The stream is no more.
-    fn forget(&mut self, now: Moment, link: Link, out: &mut Outbox) {
+    /// Removes a closed stream.
+    fn remove_stream(&mut self, now: Moment, link: Link, out: &mut Outbox) {
         let Some(stream) = self.streams.by_link.remove(&link) else { return };
         let Some(proxy) = stream.proxy else { return };
         self.streams.by_proxy.remove(&proxy);
-        self.channel.forget(proxy);
+        self.channel.remove(proxy);
         self.tables.leave(proxy);
-        self.intake.forget(proxy);
+        self.report_queue.remove_proxy(proxy);
         self.counts.leaves += 1;
         out.log(Level::Info, "left", vec![("proxy", self.proxies.name(proxy).clone())]);
         self.event(now, Event::ProxyLeft { proxy }, out);
@@ -651,73 +661,80 @@
 
     // ---- probes
 
-    fn ask_next(&mut self, now: Moment, out: &mut Outbox) {
+    fn start_probes(&mut self, now: Moment, out: &mut Outbox) {
         while let Some(server) = self.probes.next_server() {
-            let Ok(at) = self.servers.name(server).parse::<SocketAddr>() else { continue };
-            let link = out.connect(at, self.doors.source_ip);
+            let Ok(address) = self.servers.name(server).parse::<SocketAddr>() else { continue };
+            let link = out.connect(address, self.listen.source_ip);
             self.counts.probes += 1;
-            let until = self.probes.start(now, server, link);
-            out.wake(timer::PROBES, until);
+            let deadline = self.probes.start(now, server, link);
+            out.wake(timer::PROBES, deadline);
             out.send(link, self.probes.request(self.servers.name(server)));
         }
     }
 
-    /// The end of a probe from here.
-    fn probe_ended(&mut self, now: Moment, server: usize, end: ProbeOutcome, load: Load, out: &mut Outbox) {
+    /// Handles the end of a probe by this planner.
+    fn probe_ended(
+        &mut self,
+        now: Moment,
+        server: usize,
+        outcome: ProbeOutcome,
+        load: Load,
+        out: &mut Outbox,
+    ) {
         if self.external_probes {
-            let at = self.servers.name(server).clone();
-            self.probe_results.push(ProbeResult { server: at, end, load: (load.util, load.in_flight) });
-            if !self.probes_wanted.remove(&server) {
+            let address = self.servers.name(server).clone();
+            self.probe_results.push(ProbeResult {
+                server: address,
+                end: outcome,
+                load: (load.util, load.in_flight),
+            });
+            if !self.requested_probes.remove(&server) {
                 return;
             }
         }
-        self.event(now, Event::ProbeEnded { server, outcome: end, load }, out);
+        self.event(now, Event::ProbeEnded { server, outcome, load }, out);
     }
 
-    /// Asks a server from here, for whomever.
+    /// Starts a probe by this planner.
     pub fn probe_server(&mut self, now: Moment, at: &str, out: &mut Outbox) {
         if let Some(server) = self.servers.get(&at.to_string()) {
             self.probes.enqueue(server);
-            self.ask_next(now, out);
+            self.start_probes(now, out);
         }
     }
 
-    /// What another planner saw; the module hears it if it wanted to know.
+    /// Handles the outcome of another planner's probe; it goes to the planner core if the core requested it.
     pub fn remote_probe_ended(
         &mut self,
         now: Moment,
         at: &str,
-        end: ProbeOutcome,
-        (util, in_hand): (Option<f64>, Option<f64>),
+        outcome: ProbeOutcome,
+        (util, in_flight): (Option<f64>, Option<f64>),
         out: &mut Outbox,
     ) {
         let Some(server) = self.servers.get(&at.to_string()) else { return };
-        if self.probes_wanted.remove(&server) {
-            self.event(
-                now,
-                Event::ProbeEnded { server, outcome: end, load: Load { util, in_flight: in_hand } },
-                out,
-            );
+        if self.requested_probes.remove(&server) {
+            self.event(now, Event::ProbeEnded { server, outcome, load: Load { util, in_flight } }, out);
         }
     }
 
-    /// What others told, for the module.
+    /// Passes information from other planners to the planner core.
     pub fn apply_hint(&mut self, now: Moment, hint: PeerHint, out: &mut Outbox) {
         let event = match hint {
-            PeerHint::OtherPlannersRate(calls) => Event::OtherPlannersRate { calls_per_s: calls },
-            PeerHint::ColdShare(part) => Event::ColdShare { share: part },
-            PeerHint::ReduceWeight(at, part) => match self.servers.get(&at) {
-                Some(server) => Event::ReduceWeight { server, by: part },
+            PeerHint::OtherPlannersRate(calls_per_s) => Event::OtherPlannersRate { calls_per_s },
+            PeerHint::ColdShare(share) => Event::ColdShare { share },
+            PeerHint::ReduceWeight(at, by) => match self.servers.get(&at) {
+                Some(server) => Event::ReduceWeight { server, by },
                 None => return,
             },
             PeerHint::Probe(at) => {
                 let Some(server) = self.servers.get(&at) else { return };
                 if self.external_probes {
-                    self.probes_wanted.insert(server);
+                    self.requested_probes.insert(server);
                     self.probe_requests.push(at);
                 } else {
                     self.probes.enqueue(server);
-                    self.ask_next(now, out);
+                    self.start_probes(now, out);
                 }
                 return;
             }
@@ -725,68 +742,68 @@
         self.event(now, event, out);
     }
 
-    /// Proxies that are joined, and their calls per second.
+    /// Number of joined proxies, and their calls per second.
     pub fn joined_proxies(&self) -> (usize, f64) {
-        (self.streams.joined(), self.streams.rate())
+        (self.streams.joined_count(), self.streams.total_rate())
     }
 
     pub fn routes(&self) -> &[String] {
-        &self.charge.routes
+        &self.config.routes
     }
 
     pub fn zones(&self) -> &[String] {
-        &self.charge.zones
+        &self.config.zones
     }
 
-    /// Listed weight of each zone.
+    /// Sum of the listed weights of each zone.
     pub fn zone_weights(&self) -> BTreeMap<String, f64> {
         let mut weights = BTreeMap::new();
-        for known in self.roll.known().values() {
+        for known in self.endpoints.endpoints().values() {
             *weights.entry(known.zone.clone()).or_default() += known.weight;
         }
         weights
     }
 
-    /// Tries of proxies here, and those dropped by servers, since the start.
+    /// Tries by this planner's proxies since the start, and how many of them servers dropped.
     pub fn try_counts(&self) -> (u64, u64) {
-        self.tried
+        self.try_counts
     }
 
     pub fn endpoint(&self, at: &str) -> Option<&crate::endpoints::Endpoint> {
-        self.roll.known().get(at)
+        self.endpoints.endpoints().get(at)
     }
 
     pub fn servers_in_zone<'a>(&'a self, zone: &'a str) -> impl Iterator<Item = &'a String> + 'a {
-        self.roll.known().iter().filter(move |known| known.1.zone == zone).map(|known| known.0)
+        self.endpoints.endpoints().iter().filter(move |known| known.1.zone == zone).map(|known| known.0)
     }
 
-    /// All that are listed, once a list was heard.
+    /// All listed servers, once a list was received.
     pub fn server_names(&self) -> Option<impl Iterator<Item = &String> + '_> {
-        self.listed.then(|| self.roll.known().keys())
+        self.list_received.then(|| self.endpoints.endpoints().keys())
     }
 
     pub fn zone_of(&self, at: &str) -> Option<&str> {
-        self.roll.known().get(at).map(|known| known.zone.as_str())
+        self.endpoints.endpoints().get(at).map(|known| known.zone.as_str())
     }
 
-    fn late_probes(&mut self, now: Moment, out: &mut Outbox) {
+    fn time_out_probes(&mut self, now: Moment, out: &mut Outbox) {
         for (link, server) in self.probes.take_timed_out(now) {
             out.cut(link);
             self.probe_ended(now, server, ProbeOutcome::TimedOut, Load::default(), out);
         }
-        self.ask_next(now, out);
+        self.start_probes(now, out);
     }
 
     // ---- health and metrics
 
     fn admin(&mut self, link: Link, bytes: &[u8], out: &mut Outbox) {
-        for asked in self.admin.receive(link, bytes, out) {
-            if self.external_paths.iter().any(|prefix| asked.target.starts_with(prefix)) {
-                self.external_requests.push(asked);
+        for request in self.admin.receive(link, bytes, out) {
+            if self.external_paths.iter().any(|prefix| request.target.starts_with(prefix)) {
+                self.external_requests.push(request);
                 continue;
             }
-            let (status, body) = match asked.target.as_str() {
-                "/healthz" if self.listed => (200, "ok\n".to_string()),
+            let (status, body) = match request.target.as_str() {
+                "/healthz" if self.list_received => (200, "ok\n".to_string()),
                 "/healthz" => (503, "no list yet\n".to_string()),
                 "/metrics" => (200, self.metrics()),
                 _ => (404, "there are /healthz and /metrics\n".to_string()),
@@ -795,40 +812,41 @@
         }
     }
 
-    /// The answer to what was asked elsewhere; who asked may have gone.
+    /// Answers an external request, unless its connection has been closed.
     pub fn answer_admin(&mut self, link: Link, status: u16, json: &str, out: &mut Outbox) {
         self.admin.answer(link, status, "application/json", json, out);
     }
 
-    /// Whether the list names this very start of a server, or an earlier one.
+    /// Whether the list has the server with this start time or an earlier one.
     pub fn lists_start(&self, at: &str, started_ms: u64) -> bool {
-        let listed = self.roll.known().get(at).map(|known| known.started.unwrap_or_default());
+        let listed = self.endpoints.endpoints().get(at).map(|known| known.started.unwrap_or_default());
         listed.is_some_and(|listed| listed.0 / 1_000_000 <= started_ms)
     }
 
-    /// Which start of this planner it is; told before the start.
+    /// Sets the identifier of this run; called before the start.
     pub fn set_epoch(&mut self, epoch: u64) {
         self.epoch = epoch;
     }
 
     pub fn overrides(&self) -> &Overrides {
-        &self.standing
+        &self.overrides
     }
 
-    /// Operators' orders reach the module as what the list and they together say.
-    pub fn apply_overrides(&mut self, now: Moment, stands: &[OverrideChange], out: &mut Outbox) {
+    /// Applies changes of operators' orders; the planner core gets the list and the orders combined.
+    pub fn apply_overrides(&mut self, now: Moment, overrides: &[OverrideChange], out: &mut Outbox) {
         let mut changes: Vec<EndpointChange> = Vec::new();
-        for stands in stands {
-            if !self.standing.take(stands) {
+        for change in overrides {
+            if !self.overrides.apply(change) {
                 continue;
             }
-            match stands {
+            match change {
                 OverrideChange::Drained(at, _) | OverrideChange::Weight(at, _) => {
-                    let known = self.roll.known().get(at).filter(|_| !changes.iter().any(|c| c.0 == *at));
+                    let known =
+                        self.endpoints.endpoints().get(at).filter(|_| !changes.iter().any(|c| c.0 == *at));
                     changes.extend(known.map(|known| (at.clone(), known.clone())));
                 }
                 OverrideChange::Cap(name, level) => {
-                    if let Some(route) = self.charge.routes.iter().position(|route| route == name) {
+                    if let Some(route) = self.config.routes.iter().position(|route| route == name) {
                         self.event(now, Event::LimitRoute { route, level: level.unwrap_or(1.0) }, out);
                     }
                 }
@@ -836,7 +854,7 @@
             }
         }
         if !changes.is_empty() {
-            self.tell_list(now, ListKind::Changes, &changes, out);
+            self.send_list(now, ListKind::Changes, &changes, out);
         }
     }
 
@@ -856,11 +874,11 @@
             ("list_failures_total", self.watch.as_ref().map_or(0.0, |watch| watch.failures as f64)),
             ("streams_refused_total", c.refused_streams as f64),
             ("channel_full_total", c.channel_full as f64),
-            ("streams", self.streams.joined() as f64),
-            ("channel_lines", self.channel.lines()),
-            ("channel_lines_peak", self.channel.peak),
-            ("channel_messages", self.channel.messages() as f64),
-            ("reports_waiting", self.intake.waiting() as f64),
+            ("streams", self.streams.joined_count() as f64),
+            ("channel_lines", self.channel.waiting_lines()),
+            ("channel_lines_peak", self.channel.peak_lines),
+            ("channel_messages", self.channel.waiting_messages() as f64),
+            ("reports_waiting", self.report_queue.waiting() as f64),
             ("probes_open", (probing + probes_waiting) as f64),
             ("worst_ack_seconds", c.worst_ack.seconds()),
         ];
@@ -873,23 +891,28 @@
         text
     }
 
-    // ---- upkeep
+    // ---- housekeeping
 
     fn housekeeping(&mut self, now: Moment, out: &mut Outbox) {
-        out.wake(timer::HOUSEKEEPING, now + HOUSEKEEPING);
-        let every = self.reports.interval;
-        let overdue = |stream: &Stream| stream.overdue(now, every, self.charge.unresponsive_after);
-        let late: Vec<(Link, &str)> =
-            self.streams.by_link.iter().filter_map(|(link, s)| overdue(s).map(|why| (*link, why))).collect();
-        for (link, why) in late {
+        out.wake(timer::HOUSEKEEPING, now + HOUSEKEEPING_INTERVAL);
+        let interval = self.reports.interval;
+        let close_reason =
+            |stream: &Stream| stream.close_reason(now, interval, self.config.unresponsive_after);
+        let overdue: Vec<(Link, &str)> = self
+            .streams
+            .by_link
+            .iter()
+            .filter_map(|(link, s)| close_reason(s).map(|why| (*link, why)))
+            .collect();
+        for (link, why) in overdue {
             out.log(Level::Warn, "stream_closed", vec![("link", link.0.to_string()), ("why", why.into())]);
-            // It does not read: nothing that is written would reach it in order.
+            // The peer may not be reading, so it could not receive a closing message.
             out.cut(link);
-            self.forget(now, link, out);
+            self.remove_stream(now, link, out);
         }
         for (link, stream) in &mut self.streams.by_link {
-            if stream.proxy.is_some() && now.since(stream.beat) >= every {
-                stream.beat = now;
+            if stream.proxy.is_some() && now.since(stream.last_sent) >= interval {
+                stream.last_sent = now;
                 out.send(*link, encode(&Down::of(down::Kind::Beat(Beat {}))));
             }
         }
@@ -897,45 +920,45 @@
 
     fn stop(&mut self, now: Moment, out: &mut Outbox) {
         self.stopping = true;
-        out.log(Level::Info, "stopping", vec![("streams", self.streams.joined().to_string())]);
+        out.log(Level::Info, "stopping", vec![("streams", self.streams.joined_count().to_string())]);
         let bye = encode(&Down::of(down::Kind::Bye(Bye { reason: "the planner stops".into() })));
         for link in self.streams.by_link.keys() {
             out.send(*link, bye.clone());
             out.finish(*link);
         }
-        if self.listed {
-            self.keep(out);
+        if self.list_received {
+            self.save_list(out);
         }
-        out.push(Effect::Unlisten { door: PROXIES });
-        out.wake(timer::EXIT, now + FAREWELL);
+        out.push(Effect::Unlisten { door: PROXY_LISTENER });
+        out.wake(timer::EXIT, now + EXIT_DELAY);
     }
 
     fn due(&mut self, now: Moment, timer: u64, out: &mut Outbox) {
         match timer {
             timer::TURN => self.turn(now, out),
-            timer::WOKEN => self.event(now, Event::Tick, out),
-            timer::CHANNEL => self.drain(now, out),
+            timer::WAKE => self.event(now, Event::Tick, out),
+            timer::CHANNEL => self.send_due(now, out),
             timer::HOUSEKEEPING => self.housekeeping(now, out),
-            timer::INTAKE => {
-                self.intake_set = false;
-                for event in self.intake.take(now) {
+            timer::REPORTS => {
+                self.report_timer_set = false;
+                for event in self.report_queue.take_due(now) {
                     self.event(now, event, out);
                 }
-                self.set_intake(now, out);
+                self.schedule_reports(now, out);
             }
             timer::LIST => {
-                let told = self.watch.as_mut().map(|watch| watch.due(now)).unwrap_or_default();
-                self.follow(now, told, out);
+                let actions = self.watch.as_mut().map(|watch| watch.due(now)).unwrap_or_default();
+                self.apply_list_actions(now, actions, out);
             }
-            timer::KEEP => self.keep(out),
-            timer::PROBES => self.late_probes(now, out),
+            timer::SAVE_LIST => self.save_list(out),
+            timer::PROBES => self.time_out_probes(now, out),
             timer::EXIT => out.push(Effect::Exit { code: 0 }),
             _ => {}
         }
     }
 
     fn accepted(&mut self, now: Moment, link: Link, door: u32, out: &mut Outbox) {
-        if door == ADMIN {
+        if door == ADMIN_LISTENER {
             return self.admin.accepted(link, out);
         }
         if self.streams.by_link.len() >= self.reports.max_streams {
@@ -951,36 +974,36 @@
     fn closed(&mut self, now: Moment, link: Link, why: Ended, out: &mut Outbox) {
         if self.list_link == Some(link) {
             self.list_link = None;
-            let told =
+            let actions =
                 self.watch.as_mut().map(|watch| watch.closed(now, format!("the connection ended: {why:?}")));
-            self.follow(now, told.unwrap_or_default(), out);
+            self.apply_list_actions(now, actions.unwrap_or_default(), out);
         } else if self.probes.owns_link(link) {
-            if let Some((server, end, load)) = self.probes.closed(link, why) {
-                self.probe_ended(now, server, end, load, out);
+            if let Some((server, outcome, load)) = self.probes.closed(link, why) {
+                self.probe_ended(now, server, outcome, load, out);
             }
-            self.ask_next(now, out);
+            self.start_probes(now, out);
         } else if !self.admin.closed(link) {
             if why == Ended::Overflow {
                 out.log(Level::Warn, "stream_closed", vec![("why", "it does not read".into())]);
             }
-            self.forget(now, link, out);
+            self.remove_stream(now, link, out);
         }
     }
 
     fn bytes(&mut self, now: Moment, link: Link, bytes: &[u8], out: &mut Outbox) {
         if self.list_link == Some(link) {
-            let told = self.watch.as_mut().map(|watch| watch.bytes(now, bytes)).unwrap_or_default();
-            self.follow(now, told, out);
+            let actions = self.watch.as_mut().map(|watch| watch.receive(now, bytes)).unwrap_or_default();
+            self.apply_list_actions(now, actions, out);
         } else if self.probes.owns_link(link) {
-            if let Some((server, end, load)) = self.probes.receive(link, bytes) {
+            if let Some((server, outcome, load)) = self.probes.receive(link, bytes) {
                 out.cut(link);
-                self.probe_ended(now, server, end, load, out);
-                self.ask_next(now, out);
+                self.probe_ended(now, server, outcome, load, out);
+                self.start_probes(now, out);
             }
         } else if self.admin.owns_link(link) {
             self.admin(link, bytes, out);
         } else {
-            self.heard(now, link, bytes, out);
+            self.receive(now, link, bytes, out);
         }
     }
 }
@@ -993,8 +1016,8 @@
     }
 }
 
-/// One `EndpointSliceList`, or slices one a line.
-fn read_list_file(bytes: &[u8]) -> Result<Vec<Slice>, String> {
+/// Parses a list file: one `EndpointSliceList`, or one slice per line.
+fn parse_list_file(bytes: &[u8]) -> Result<Vec<Slice>, String> {
     if let Ok(list) = serde_json::from_slice::<SliceList>(bytes) {
         if let Some(items) = list.items {
             return Ok(items);
@@ -1010,19 +1033,21 @@
         match input {
             Input::Start => self.start(now, out),
             Input::Listening { door, at } => {
-                let what = if door == PROXIES { "proxies" } else { "admin" };
+                let what = if door == PROXY_LISTENER { "proxies" } else { "admin" };
                 out.log(Level::Info, "listening", vec![("door", what.into()), ("at", at.to_string())]);
             }
             Input::NotListening { why, .. } => {
                 out.log(Level::Error, "not_listening", vec![("why", why)]);
                 out.push(Effect::Exit { code: 3 });
             }
-            Input::File { name, bytes } if name == self.kept_name() => self.kept(now, bytes, out),
-            Input::File { bytes, .. } => self.list_file(now, bytes, out),
+            Input::File { name, bytes } if name == self.saved_list_name() => {
+                self.load_saved_list(now, bytes, out)
+            }
+            Input::File { bytes, .. } => self.load_list_file(now, bytes, out),
             Input::Accepted { link, door, .. } => self.accepted(now, link, door, out),
             Input::Opened { link } if self.list_link == Some(link) => {
-                let told = self.watch.as_mut().map(|watch| watch.opened(now)).unwrap_or_default();
-                self.follow(now, told, out);
+                let actions = self.watch.as_mut().map(|watch| watch.opened(now)).unwrap_or_default();
+                self.apply_list_actions(now, actions, out);
             }
             Input::Opened { .. } => {}
             Input::Bytes { link, bytes } => self.bytes(now, link, bytes, out),
--- a/crates/control/src/streams.rs
+++ b/crates/control/src/streams.rs
@@ -1,49 +1,50 @@
-//! The streams of proxies: who is behind each, what was sent and not yet answered.
+//! Proxies' streams: the proxy of each, and the messages sent and not yet acknowledged.
 
 use pewtergap_node::Link;
 use pewtergap_protocol::{Frames, Up};
 use pewtergap_time::{Moment, Span};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-/// How proxies report, and how long one may keep silent.
+/// How often proxies report, and limits on reports and streams.
 #[derive(Clone, Copy, Debug)]
 pub struct ReportConfig {
     pub interval: Span,
-    /// Lines of reports that the module takes in a second.
+    /// Report lines per second that are passed to the planner core.
     pub lines_per_s: f64,
-    /// Streams at once; one more is refused.
+    /// Maximum concurrent streams; further ones are rejected.
     pub max_streams: usize,
 }
 
-/// Reports that a proxy may miss before its stream counts as broken.
-pub const MISSED: f64 = 4.0;
-/// Messages that a proxy may leave unanswered.
-pub const MOST_UNANSWERED: usize = 256;
-/// Refusals within a minute after which a proxy is sent away: it would be sent whole tables without end.
-pub const MOST_NACKS: usize = 5;
+/// Report intervals without any message after which a stream counts as broken.
+pub const MAX_MISSED_REPORTS: f64 = 4.0;
+/// Maximum number of unacknowledged messages of a proxy.
+pub const MAX_UNANSWERED: usize = 256;
+/// Maximum rejected messages within a minute; beyond it a proxy is disconnected, as it would be sent whole tables without
+/// end.
+pub const MAX_NACKS: usize = 5;
 
-/// A message that was sent and not yet answered.
+/// A message that was sent and not yet acknowledged.
 #[derive(Clone, Copy, Debug)]
 pub struct Sent {
     pub nonce: u64,
     pub mark: u32,
     pub turn: u64,
-    pub at: Moment,
-    pub ordered: Moment,
+    pub sent_at: Moment,
+    pub ordered_at: Moment,
 }
 
 pub struct Stream {
     pub frames: Frames<Up>,
-    /// Known once it said hello.
+    /// Known once it has sent its hello.
     pub proxy: Option<usize>,
     pub zone: usize,
     pub calls_per_s: f64,
-    /// Calls per second by its reports, from its own word at first.
+    /// Calls per second according to its reports, starting from the value in its hello.
     pub rate: f64,
-    /// Messages up to this nonce no longer count: one of them was refused, and all is sent anew.
-    pub void: u64,
-    pub heard: Moment,
-    pub beat: Moment,
+    /// Acknowledgements up to this nonce are ignored: one of these messages was rejected, and everything is sent again.
+    pub voided_nonce: u64,
+    pub last_contact: Moment,
+    pub last_sent: Moment,
     pub nonce: u64,
     pub unanswered: VecDeque<Sent>,
     pub nacks: VecDeque<Moment>,
@@ -57,33 +58,39 @@
             zone: 0,
             calls_per_s: 0.0,
             rate: 0.0,
-            void: 0,
-            heard: now,
-            beat: now,
+            voided_nonce: 0,
+            last_contact: now,
+            last_sent: now,
             nonce: 0,
             unanswered: VecDeque::new(),
             nacks: VecDeque::new(),
         }
     }
 
-    /// The message with this nonce and all before it are answered; the one it names, if it was sent.
-    pub fn answered(&mut self, nonce: u64) -> Option<Sent> {
+    /// Marks the message with this nonce and all before it as acknowledged; returns it if it was sent.
+    pub fn acknowledge(&mut self, nonce: u64) -> Option<Sent> {
         let at = self.unanswered.iter().position(|sent| sent.nonce == nonce)?;
         self.unanswered.drain(..=at).next_back()
     }
 
-    /// One refusal more; true when they are too many.
-    pub fn refused(&mut self, now: Moment) -> bool {
+    /// Counts a rejected message; returns whether there were too many.
+    pub fn record_nack(&mut self, now: Moment) -> bool {
         self.nacks.retain(|at| now.since(*at) < Span::millis(60_000));
         self.nacks.push_back(now);
-        self.nacks.len() > MOST_NACKS
+        self.nacks.len() > MAX_NACKS
     }
 
-    /// Why the stream should be closed now, if it should.
-    pub fn overdue(&self, now: Moment, every: Span, unresponsive_after: Span) -> Option<&'static str> {
-        let silent = now.since(self.heard) > every.times(MISSED);
-        let deaf = self.unanswered.front().is_some_and(|sent| now.since(sent.at) > unresponsive_after);
-        match (self.proxy, silent, deaf) {
+    /// Returns why the stream should be closed now, if it should.
+    pub fn close_reason(
+        &self,
+        now: Moment,
+        interval: Span,
+        unresponsive_after: Span,
+    ) -> Option<&'static str> {
+        let silent = now.since(self.last_contact) > interval.times(MAX_MISSED_REPORTS);
+        let unresponsive =
+            self.unanswered.front().is_some_and(|sent| now.since(sent.sent_at) > unresponsive_after);
+        match (self.proxy, silent, unresponsive) {
             (None, true, _) => Some("no hello"),
             (_, true, _) => Some("silent"),
             (_, _, true) => Some("does not answer messages"),
@@ -92,17 +99,18 @@
     }
 }
 
-/// A report's part in what a proxy's rate is held to be.
-const REPORT: f64 = 0.3;
+/// Weight of a new report in a proxy's smoothed call rate.
+const RATE_SMOOTHING: f64 = 0.3;
 
 impl Stream {
-    pub fn reported(&mut self, calls: u64, over: Span) {
-        let seen = calls as f64 / over.seconds().max(1e-3);
-        self.rate = if self.rate > 0.0 { self.rate + REPORT * (seen - self.rate) } else { seen };
+    pub fn record_calls(&mut self, calls: u64, period: Span) {
+        let measured = calls as f64 / period.seconds().max(1e-3);
+        self.rate =
+            if self.rate > 0.0 { self.rate + RATE_SMOOTHING * (measured - self.rate) } else { measured };
     }
 }
 
-/// All streams, found by link or by proxy.
+/// All streams, by link and by proxy.
 #[derive(Default)]
 pub struct Streams {
     pub by_link: BTreeMap<Link, Stream>,
@@ -110,17 +118,17 @@
 }
 
 impl Streams {
-    pub fn of(&mut self, proxy: usize) -> Option<(Link, &mut Stream)> {
+    pub fn get_mut(&mut self, proxy: usize) -> Option<(Link, &mut Stream)> {
         let link = *self.by_proxy.get(&proxy)?;
         self.by_link.get_mut(&link).map(|stream| (link, stream))
     }
 
-    /// Calls per second at all that joined.
-    pub fn rate(&self) -> f64 {
+    /// Calls per second at all joined proxies.
+    pub fn total_rate(&self) -> f64 {
         self.by_link.values().filter(|stream| stream.proxy.is_some()).map(|stream| stream.rate).sum()
     }
 
-    pub fn joined(&self) -> usize {
+    pub fn joined_count(&self) -> usize {
         self.by_proxy.len()
     }
 }
--- a/crates/control/src/tables.rs
+++ b/crates/control/src/tables.rs
@@ -1,7 +1,7 @@
-//! How the module's orders become versions of tables and messages to proxies.
+//! Converts the planner core's actions into table versions and messages to proxies.
 //!
-//! Each table has a version that rises by one with each turn that changes it. A proxy that is bound anew gets
-//! the whole table, one that follows it the change from the version it was sent last.
+//! The version of a table increases by one with each turn that changes it. A newly bound proxy gets the whole table,
+//! and one that follows the table gets the changes since the version it was last sent.
 
 use crate::channel::count_lines;
 use pewtergap_planner::interner::Interner;
@@ -11,58 +11,58 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Debug, Default)]
-struct Standing {
+struct Table {
     version: u64,
     lines: BTreeMap<usize, f64>,
     gates: Vec<Gate>,
-    /// What the present turn changed.
-    touched: BTreeSet<usize>,
-    gated: Vec<Gate>,
+    /// Servers whose lines the current turn changed.
+    changed_lines: BTreeSet<usize>,
+    changed_gates: Vec<Gate>,
 }
 
 #[derive(Debug, Default)]
 struct Follower {
-    /// Table by mask of routes.
-    bound: Vec<(u64, usize)>,
-    /// Versions that its messages lead to, sent and waiting ones.
+    /// Bit mask of routes and the table they are bound to.
+    bindings: Vec<(u64, usize)>,
+    /// Table versions that result from its messages, both sent and waiting.
     versions: BTreeMap<usize, u64>,
 }
 
 #[derive(Debug, Default)]
 pub struct Tables {
-    tables: BTreeMap<usize, Standing>,
+    tables: BTreeMap<usize, Table>,
     followers: BTreeMap<usize, Follower>,
 }
 
 impl Tables {
-    /// The proxy joined; it holds these tables at these versions from an earlier stream to this very start.
+    /// Adds a proxy that joined, with the table versions it holds from an earlier stream to this run of the planner.
     pub fn join(&mut self, proxy: usize, held: impl Iterator<Item = (usize, u64)>) {
-        self.followers.insert(proxy, Follower { bound: Vec::new(), versions: held.collect() });
+        self.followers.insert(proxy, Follower { bindings: Vec::new(), versions: held.collect() });
     }
 
     pub fn leave(&mut self, proxy: usize) {
         self.followers.remove(&proxy);
     }
 
-    /// Takes the orders of one turn and gives the message for each proxy concerned.
-    pub fn carry_out(
+    /// Applies the actions of one turn and returns a message for each affected proxy.
+    pub fn apply(
         &mut self,
         now: Moment,
         turn: u64,
-        orders: &[Action],
+        actions: &[Action],
         servers: &Interner<String>,
     ) -> Vec<(usize, Update)> {
         let mut mark = 0;
         let mut binds: Vec<(usize, usize, u64)> = Vec::new();
-        for order in orders {
-            match order {
+        for action in actions {
+            match action {
                 Action::SetLine { table, server, weight } => {
-                    let standing = self.tables.entry(*table).or_default();
-                    standing.touched.insert(*server);
+                    let state = self.tables.entry(*table).or_default();
+                    state.changed_lines.insert(*server);
                     if *weight > 0.0 {
-                        standing.lines.insert(*server, *weight);
+                        state.lines.insert(*server, *weight);
                     } else {
-                        standing.lines.remove(server);
+                        state.lines.remove(server);
                     }
                 }
                 Action::SetLevel { table, routes, level, resend } => {
@@ -72,44 +72,46 @@
                         ResendPolicy::Once => 2,
                     };
                     let gate = Gate { routes: *routes, level: *level, resend };
-                    let standing = self.tables.entry(*table).or_default();
-                    for gates in [&mut standing.gates, &mut standing.gated] {
+                    let state = self.tables.entry(*table).or_default();
+                    for gates in [&mut state.gates, &mut state.changed_gates] {
                         gates.retain(|known| gate.routes != 0 && known.routes != gate.routes);
                         gates.push(gate.clone());
                     }
                 }
                 Action::Bind { proxy, table, routes } => binds.push((*proxy, *table, *routes)),
-                Action::Mark { mark: ordered } => mark = *ordered as u32,
+                Action::Mark { mark: number } => mark = *number as u32,
                 _ => {}
             }
         }
-        for standing in self.tables.values_mut().filter(|t| !t.touched.is_empty() || !t.gated.is_empty()) {
-            standing.version += 1;
+        for state in
+            self.tables.values_mut().filter(|t| !t.changed_lines.is_empty() || !t.changed_gates.is_empty())
+        {
+            state.version += 1;
         }
         let mut updates = Vec::new();
         for (proxy, follower) in &mut self.followers {
             let mut update = Update { turn, ordered_at: now.0, mark, ..Update::default() };
             for (_, table, routes) in binds.iter().filter(|bind| bind.0 == *proxy) {
-                let standing = self.tables.entry(*table).or_default();
-                follower.bound.retain(|known| *routes != 0 && known.0 != *routes);
-                follower.bound.push((*routes, *table));
+                let state = self.tables.entry(*table).or_default();
+                follower.bindings.retain(|known| *routes != 0 && known.0 != *routes);
+                follower.bindings.push((*routes, *table));
                 update.binds.push(Bind { table: *table as u32, routes: *routes });
-                if standing.version > 0 && follower.versions.get(table) != Some(&standing.version) {
-                    update.tables.push(standing.whole(*table, servers));
-                    follower.versions.insert(*table, standing.version);
+                if state.version > 0 && follower.versions.get(table) != Some(&state.version) {
+                    update.tables.push(state.full_change(*table, servers));
+                    follower.versions.insert(*table, state.version);
                 }
             }
-            let Follower { bound, versions } = follower;
-            // What a proxy came with stays known until it is bound: it may be bound to just that.
-            if bound.is_empty() {
+            let Follower { bindings, versions } = follower;
+            // The versions a proxy brought along are kept until it is bound, since it may be bound to one of them.
+            if bindings.is_empty() {
                 continue;
             }
-            versions.retain(|table, _| bound.iter().any(|known| known.1 == *table));
+            versions.retain(|table, _| bindings.iter().any(|known| known.1 == *table));
             for (table, version) in versions {
-                let Some(standing) = self.tables.get(table) else { continue };
-                if *version < standing.version {
-                    update.tables.push(standing.change(*table, *version, servers));
-                    *version = standing.version;
+                let Some(state) = self.tables.get(table) else { continue };
+                if *version < state.version {
+                    update.tables.push(state.delta(*table, *version, servers));
+                    *version = state.version;
                 }
             }
             if !update.tables.is_empty() || !update.binds.is_empty() {
@@ -117,39 +119,39 @@
                 updates.push((*proxy, update));
             }
         }
-        for standing in self.tables.values_mut() {
-            standing.touched.clear();
-            standing.gated.clear();
+        for state in self.tables.values_mut() {
+            state.changed_lines.clear();
+            state.changed_gates.clear();
         }
         updates
     }
 
-    /// Lines and version of each table, for those on call.
+    /// Number, version and line count of each table, for metrics.
     pub fn sizes(&self) -> impl Iterator<Item = (usize, u64, usize)> + '_ {
-        self.tables.iter().map(|(table, standing)| (*table, standing.version, standing.lines.len()))
+        self.tables.iter().map(|(table, state)| (*table, state.version, state.lines.len()))
     }
 }
 
-impl Standing {
+impl Table {
     fn line(&self, server: usize, weight: f64, servers: &Interner<String>) -> Line {
         Line { server: servers.name(server).clone(), weight }
     }
 
-    fn whole(&self, table: usize, servers: &Interner<String>) -> TableChange {
+    fn full_change(&self, table: usize, servers: &Interner<String>) -> TableChange {
         let set = self.lines.iter().map(|(server, weight)| self.line(*server, *weight, servers)).collect();
         let (table, to, gates) = (table as u32, self.version, self.gates.clone());
         TableChange { table, from: 0, to, whole: true, set, removed: Vec::new(), gates }
     }
 
-    fn change(&self, table: usize, from: u64, servers: &Interner<String>) -> TableChange {
+    fn delta(&self, table: usize, from: u64, servers: &Interner<String>) -> TableChange {
         let mut change = TableChange {
             table: table as u32,
             from,
             to: self.version,
-            gates: self.gated.clone(),
+            gates: self.changed_gates.clone(),
             ..TableChange::default()
         };
-        for server in &self.touched {
+        for server in &self.changed_lines {
             match self.lines.get(server) {
                 Some(weight) => change.set.push(self.line(*server, *weight, servers)),
                 None => change.removed.push(servers.name(*server).clone()),
--- a/crates/control/src/traffic.rs
+++ b/crates/control/src/traffic.rs
@@ -1,17 +1,17 @@
-//! What passes here that other planners may want to know: calls by route and zone, and what proxies met at servers. Kept only
-//! where somebody asks for it, and handed over at each look.
+//! Traffic statistics that other planners may request: calls by route and zone, and the results of tries by server.
+//! They are collected only if enabled; the totals by server are reset when taken.
 
 use std::collections::BTreeMap;
 
-/// Servers that are kept between two looks; what is met at more is left out.
-const MOST: usize = 16_384;
+/// Maximum number of servers with statistics at a time; tries at further ones are not counted.
+const MAX_SERVERS: usize = 16_384;
 
-/// What proxies met at one server since the last look.
+/// Results of the proxies' tries at one server since the totals were last taken.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ServerTotals {
     pub tries: f64,
     pub dropped: f64,
-    /// Of all tries together, in seconds: by the time between two looks it is the calls under way.
+    /// Total latency of all tries; divided by the time it covers, it is the mean number of calls in progress.
     pub total_seconds: f64,
 }
 
@@ -20,25 +20,25 @@
     pub enabled: bool,
     /// By route and zone, since the start.
     calls: BTreeMap<(usize, usize), u64>,
-    met: BTreeMap<String, ServerTotals>,
+    by_server: BTreeMap<String, ServerTotals>,
 }
 
 impl TrafficStats {
-    pub(crate) fn calls(&mut self, route: usize, zone: usize, calls: u64) {
+    pub(crate) fn add_calls(&mut self, route: usize, zone: usize, calls: u64) {
         if self.enabled {
-            let known = self.calls.entry((route, zone)).or_default();
-            *known = known.saturating_add(calls);
+            let total = self.calls.entry((route, zone)).or_default();
+            *total = total.saturating_add(calls);
         }
     }
 
-    pub(crate) fn met(&mut self, server: &str, tries: u64, dropped: u64, mean: f64) {
-        if !self.enabled || !self.met.contains_key(server) && self.met.len() >= MOST {
+    pub(crate) fn add_tries(&mut self, server: &str, tries: u64, dropped: u64, mean_seconds: f64) {
+        if !self.enabled || !self.by_server.contains_key(server) && self.by_server.len() >= MAX_SERVERS {
             return;
         }
-        let met = self.met.entry(server.into()).or_default();
-        met.tries += tries as f64;
-        met.dropped += dropped as f64;
-        met.total_seconds += tries as f64 * mean;
+        let totals = self.by_server.entry(server.into()).or_default();
+        totals.tries += tries as f64;
+        totals.dropped += dropped as f64;
+        totals.total_seconds += tries as f64 * mean_seconds;
     }
 
     pub fn calls_by_route_and_zone(&self) -> impl Iterator<Item = (usize, usize, u64)> + '_ {
@@ -46,6 +46,6 @@
     }
 
     pub fn take_server_totals(&mut self) -> BTreeMap<String, ServerTotals> {
-        std::mem::take(&mut self.met)
+        std::mem::take(&mut self.by_server)
     }
 }
--- a/crates/control/tests/parts.rs
+++ b/crates/control/tests/parts.rs
@@ -1,4 +1,4 @@
-//! The service's small machines, as short printed traces.
+//! The service's state machines, tested by short traces.
 
 use pewtergap_control::channel::{count_lines, Channel};
 use pewtergap_control::endpoints::{Endpoint, EndpointList, Slice};
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn removals_leave_first_and_join_what_waits_for_the_same_proxy() {
+fn removals_are_sent_first_and_merged_with_waiting_updates() {
     let mut channel = Channel::new(100.0, 3.0, 1000.0);
     let mut trace = String::new();
     for proxy in 0..3 {
@@ -45,7 +45,7 @@
     }
     channel.enqueue(ms(5), 2, change(1, 2, &[], &["b"])).unwrap();
     channel.enqueue(ms(6), 1, change(1, 2, &[("b", 3.0)], &[])).unwrap();
-    trace += &format!("{} lines wait\n", channel.lines());
+    trace += &format!("{} lines wait\n", channel.waiting_lines());
     for at in 10..400 {
         while let Some((proxy, update)) = channel.pop(ms(at)) {
             trace += &format!("{at} ms to {proxy}: {} lines, {}\n", update.lines, shown(&update));
@@ -55,22 +55,22 @@
 }
 
 #[test]
-fn a_channel_takes_no_more_than_its_limit_however_long_nobody_reads() {
+fn a_channel_never_exceeds_its_limit() {
     let mut channel = Channel::new(1.0, 3.0, 50.0);
-    let mut refused = 0;
+    let mut rejected = 0;
     for turn in 0..1_000u64 {
         let server = format!("s{turn}");
-        refused +=
+        rejected +=
             usize::from(channel.enqueue(ms(turn), 7, change(1, turn, &[(&server, 1.0)], &[])).is_err());
-        assert!(channel.lines() <= 50.0);
+        assert!(channel.waiting_lines() <= 50.0);
     }
-    assert!(refused > 10, "{refused}");
-    channel.forget(7);
-    assert_eq!((channel.lines(), channel.messages()), (0.0, 0));
+    assert!(rejected > 10, "{rejected}");
+    channel.remove(7);
+    assert_eq!((channel.waiting_lines(), channel.waiting_messages()), (0.0, 0));
 }
 
 #[test]
-fn a_proxy_gets_the_whole_once_and_changes_from_then_on() {
+fn a_proxy_gets_the_whole_table_once_and_then_changes() {
     let mut servers: Interner<String> = Interner::default();
     for name in ["a:1", "b:1", "c:1"] {
         servers.intern(&name.to_string());
@@ -79,8 +79,8 @@
     let bind = |proxy, table| Action::Bind { proxy, table, routes: 0 };
     let mut tables = Tables::default();
     let mut trace = String::new();
-    let mut turn = |tables: &mut Tables, at: u64, orders: &[Action]| {
-        for (proxy, update) in tables.carry_out(ms(at), at, orders, &servers) {
+    let mut turn = |tables: &mut Tables, at: u64, actions: &[Action]| {
+        for (proxy, update) in tables.apply(ms(at), at, actions, &servers) {
             trace += &format!("turn {at} to {proxy}: {}\n", shown(&update));
         }
     };
@@ -89,12 +89,12 @@
     let gate = Action::SetLevel { table: 0, routes: 1, level: 0.5, resend: ResendPolicy::Never };
     turn(&mut tables, 2, &[set(0, 2, 0.25), gate]);
     turn(&mut tables, 3, &[set(0, 1, 0.0)]);
-    // Seen in a rehearsal: it came back with version 3 of this very start, was bound a turn later and sent the
-    // whole again.
+    // The proxy reconnects with version 3 from this run of the planner and is bound a turn later; it must not be sent
+    // the whole table again.
     tables.join(0, [(0, 3)].into_iter());
     turn(&mut tables, 4, &[Action::Mark { mark: 1 }]);
     turn(&mut tables, 5, &[bind(0, 0)]);
-    // Another came with an older version, and one left: nothing is ordered for it.
+    // Another proxy joins with an older version, and the first leaves: nothing is sent to it any more.
     tables.join(1, [(0, 2)].into_iter());
     tables.leave(0);
     turn(&mut tables, 6, &[bind(1, 0)]);
@@ -103,17 +103,17 @@
 }
 
 #[test]
-fn reports_are_taken_in_at_their_rate_and_joined_while_they_wait() {
-    let mut intake = ReportQueue::new(50.0);
+fn reports_are_passed_on_at_their_rate_and_merged_while_they_wait() {
+    let mut report_queue = ReportQueue::new(50.0);
     let load = Load { util: Some(0.5), in_flight: None };
     for _ in 0..100 {
         for server in 0..40 {
-            intake.sums(server, 0, 10, 1, Span::millis(20), Span::millis(500), load);
+            report_queue.add_server_stats(server, 0, 10, 1, Span::millis(20), Span::millis(500), load);
         }
     }
-    assert_eq!(intake.waiting(), 40);
-    let taken: Vec<usize> = (0..10).map(|at| intake.take(ms(at * 100)).len()).collect();
-    insta::assert_snapshot!(format!("{taken:?} then {} wait", intake.waiting()));
+    assert_eq!(report_queue.waiting(), 40);
+    let taken: Vec<usize> = (0..10).map(|at| report_queue.take_due(ms(at * 100)).len()).collect();
+    insta::assert_snapshot!(format!("{taken:?} then {} wait", report_queue.waiting()));
 }
 
 fn slice(version: u64, endpoints: &str, annotations: &str) -> Slice {
@@ -129,80 +129,86 @@
 }
 
 #[test]
-fn slices_become_changes_and_what_cannot_be_used_is_named() {
-    let mut roll = EndpointList::default();
+fn slices_become_changes_and_invalid_entries_are_described() {
+    let mut list = EndpointList::default();
     let mut trace = String::new();
-    let mut say = |what: &str, changes: Vec<(String, Endpoint)>, refused: &[String]| {
+    let mut record = |what: &str, changes: Vec<(String, Endpoint)>, rejected: &[String]| {
         trace += &format!("{what}\n");
         for (at, e) in changes {
             let started = e.started.map(|started| started.since(START));
             trace += &format!("  {at} {:?} weight {} started {started:?}\n", e.state, e.weight);
         }
-        refused.iter().for_each(|what| trace += &format!("  refused: {what}\n"));
+        rejected.iter().for_each(|what| trace += &format!("  rejected: {what}\n"));
     };
     let ready = r#""ready":true"#;
     let first = [endpoint("10.0.0.1", ready), endpoint("10.0.0.2", ready)].join(",");
-    let mut refused = Vec::new();
+    let mut rejected = Vec::new();
     let changes =
-        roll.replace(ms(0), &[slice(5, &first, r#""pewtergap/weight":"10.0.0.1=2.5""#)], &mut refused);
-    say("the first list: no start is told, all count as warm", changes, &refused);
+        list.replace(ms(0), &[slice(5, &first, r#""pewtergap/weight":"10.0.0.1=2.5""#)], &mut rejected);
+    record("the first list: no start times, all count as warm", changes, &rejected);
     let second = [
         endpoint("10.0.0.1", r#""ready":false,"terminating":true"#),
         endpoint("10.0.0.3", ""),
         endpoint("10.0.0.4", r#""ready":false"#),
         endpoint("elsewhere", ready),
     ];
-    let mut refused = Vec::new();
-    let changes = roll.put(ms(50), &slice(6, &second.join(","), r#""pewtergap/weight":"-1""#), &mut refused);
-    say("one stops, one is new, one is not ready, one has no address, one is gone", changes, &refused);
-    let mut refused = Vec::new();
-    let changes = roll.put(ms(60), &slice(5, &first, ""), &mut refused);
-    say("an older version of the slice comes late", changes, &refused);
-    say("the slice is deleted", roll.delete(ms(70), "n"), &[]);
+    let mut rejected = Vec::new();
+    let changes = list.put(ms(50), &slice(6, &second.join(","), r#""pewtergap/weight":"-1""#), &mut rejected);
+    record(
+        "one stops, one is new, one is not ready, one has no valid address, one is gone",
+        changes,
+        &rejected,
+    );
+    let mut rejected = Vec::new();
+    let changes = list.put(ms(60), &slice(5, &first, ""), &mut rejected);
+    record("an older version of the slice arrives late", changes, &rejected);
+    record("the slice is deleted", list.delete(ms(70), "n"), &[]);
     insta::assert_snapshot!(trace);
 }
 
-/// A watch on a bare stage, what it wants done as text.
-struct Stage {
+/// Drives a watch and records its actions as text.
+struct Harness {
     watch: ListWatch,
     trace: String,
 }
 
-impl Stage {
-    fn new(highest: u64) -> Stage {
+impl Harness {
+    fn new(highest_version: u64) -> Harness {
         let at = SocketAddr::from(([127, 0, 0, 1], 7000));
-        Stage { watch: ListWatch::new(at, "/slices".into(), highest), trace: String::new() }
+        Harness { watch: ListWatch::new(at, "/slices".into(), highest_version), trace: String::new() }
     }
 
-    fn say(&mut self, what: &str, told: Vec<ListAction>) {
+    fn record(&mut self, what: &str, actions: Vec<ListAction>) {
         self.trace += &format!("{what}\n");
-        for told in told {
-            self.trace += &match told {
-                ListAction::Dial(at) => format!("  dial {at}\n"),
+        for action in actions {
+            self.trace += &match action {
+                ListAction::Connect(at) => format!("  connect {at}\n"),
                 ListAction::Send(bytes) => {
                     format!("  {}\n", String::from_utf8_lossy(&bytes).lines().next().unwrap_or(""))
                 }
-                ListAction::Hangup { until } => format!("  hang up, wait {}\n", until.since(START)),
-                ListAction::All(slices) => format!("  all: {} slices\n", slices.len()),
+                ListAction::Disconnect { retry_at } => {
+                    format!("  disconnect, retry after {}\n", retry_at.since(START))
+                }
+                ListAction::Replace(slices) => format!("  replace: {} slices\n", slices.len()),
                 ListAction::Put(slice) => {
                     format!("  put {} version {}\n", slice.metadata.name, slice.metadata.resource_version)
                 }
                 ListAction::Delete(name) => format!("  delete {name}\n"),
-                ListAction::Note(event, why) => format!("  {event}: {why}\n"),
+                ListAction::Log(event, why) => format!("  {event}: {why}\n"),
             };
         }
     }
 
     fn connect(&mut self) {
-        let told = self.watch.due(START);
-        self.say("due", told);
-        let told = self.watch.opened(START);
-        self.say("opened", told);
+        let actions = self.watch.due(START);
+        self.record("due", actions);
+        let actions = self.watch.opened(START);
+        self.record("opened", actions);
     }
 
     fn bytes(&mut self, what: &str, bytes: &str) {
-        let told = self.watch.bytes(START, bytes.as_bytes());
-        self.say(what, told);
+        let actions = self.watch.receive(START, bytes.as_bytes());
+        self.record(what, actions);
     }
 
     fn list(&mut self, version: u64) {
@@ -222,59 +228,59 @@
 }
 
 #[test]
-fn a_watch_goes_on_from_its_place_and_lists_anew_when_that_is_too_old() {
-    let mut stage = Stage::new(0);
-    stage.connect();
-    stage.list(10);
-    stage.bytes(
+fn a_watch_resumes_from_its_version_and_lists_again_when_that_expired() {
+    let mut harness = Harness::new(0);
+    harness.connect();
+    harness.list(10);
+    harness.bytes(
         "one change and a bookmark",
         &(WATCH.to_string() + &event("MODIFIED", 11) + &event("BOOKMARK", 15)),
     );
-    let torn = event("MODIFIED", 16);
-    stage.bytes("half a line", &torn[..torn.len() / 2]);
-    let closed = stage.watch.closed(START, "the connection ended".into());
-    stage.say("the connection ends within the line", closed);
-    stage.connect();
-    stage.bytes("410 as the answer", "HTTP/1.1 410 Gone\r\ncontent-length: 0\r\n\r\n");
-    stage.connect();
-    stage.list(30);
+    let partial = event("MODIFIED", 16);
+    harness.bytes("half a line", &partial[..partial.len() / 2]);
+    let closed = harness.watch.closed(START, "the connection ended".into());
+    harness.record("the connection ends within the line", closed);
+    harness.connect();
+    harness.bytes("status 410", "HTTP/1.1 410 Gone\r\ncontent-length: 0\r\n\r\n");
+    harness.connect();
+    harness.list(30);
     let error = r#"{"type":"ERROR","object":{"code":410}}"#;
-    stage.bytes("410 as an event", &format!("{WATCH}{:x}\r\n{error}\n\r\n", error.len() + 1));
-    stage.connect();
-    stage.bytes("no list at all", "HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\n[1,2");
-    stage.bytes("what comes after a hang-up", "HTTP/1.1 200 OK\r\n\r\n");
-    insta::assert_snapshot!(stage.trace);
+    harness.bytes("410 as an event", &format!("{WATCH}{:x}\r\n{error}\n\r\n", error.len() + 1));
+    harness.connect();
+    harness.bytes("invalid JSON instead of a list", "HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\n[1,2");
+    harness.bytes("bytes after a disconnect", "HTTP/1.1 200 OK\r\n\r\n");
+    insta::assert_snapshot!(harness.trace);
 }
 
 #[test]
-fn a_list_that_went_back_is_doubted_and_believed_when_it_stays() {
-    let mut stage = Stage::new(50);
+fn an_older_list_is_accepted_only_after_repeated_confirmation() {
+    let mut harness = Harness::new(50);
     for _ in 0..6 {
-        stage.connect();
-        stage.list(40);
+        harness.connect();
+        harness.list(40);
     }
-    insta::assert_snapshot!(stage.trace);
+    insta::assert_snapshot!(harness.trace);
 }
 
 #[test]
-fn a_watch_of_damaged_bytes_breaks_and_never_panics() {
+fn a_watch_with_corrupted_bytes_fails_and_never_panics() {
     let mut rng = fastrand::Rng::with_seed(5);
-    let good = WATCH.to_string() + &event("MODIFIED", 11) + &event("DELETED", 12) + &event("ADDED", 13);
-    let mut broken = 0;
+    let valid = WATCH.to_string() + &event("MODIFIED", 11) + &event("DELETED", 12) + &event("ADDED", 13);
+    let mut failed = 0;
     for _ in 0..3_000 {
-        let mut bytes = good.clone().into_bytes();
+        let mut bytes = valid.clone().into_bytes();
         for _ in 0..rng.usize(1..4) {
             let at = rng.usize(0..bytes.len());
             bytes[at] = rng.u8(..);
         }
-        let mut stage = Stage::new(0);
-        stage.connect();
-        stage.list(10);
-        let cut = rng.usize(0..bytes.len());
-        for part in [&bytes[..cut], &bytes[cut..]] {
-            let heard = stage.watch.bytes(START, part);
-            broken += usize::from(heard.iter().any(|told| matches!(told, ListAction::Note(..))));
+        let mut harness = Harness::new(0);
+        harness.connect();
+        harness.list(10);
+        let split = rng.usize(0..bytes.len());
+        for part in [&bytes[..split], &bytes[split..]] {
+            let actions = harness.watch.receive(START, part);
+            failed += usize::from(actions.iter().any(|action| matches!(action, ListAction::Log(..))));
         }
     }
-    assert!(broken > 500, "{broken}");
+    assert!(failed > 500, "{failed}");
 }
--- a/crates/control/tests/service.rs
+++ b/crates/control/tests/service.rs
@@ -1,4 +1,5 @@
-//! The service as a node: proxies that do not read, refuse, flood or come twice; a list kept for the next start.
+//! The service as a node: proxies that do not read, reject messages, flood or reconnect, and the list saved for the next
+//! start.
 
 use pewtergap_control::channel::Channel as Queue;
 use pewtergap_control::{
@@ -15,20 +16,20 @@
     "endpoints":[{"addresses":["10.0.0.1"],"zone":"north"},{"addresses":["10.0.0.2"],"zone":"north"},
                  {"addresses":["10.0.0.3"],"zone":"north"}],"ports":[{"port":80}]}]}"#;
 
-struct Stage {
+struct Harness {
     service: Service,
     now: Moment,
     out: Outbox,
     trace: String,
     timers: Vec<(Moment, u64)>,
     streams: BTreeMap<Link, (String, Frames<Down>, u64)>,
-    kept: Option<Vec<u8>>,
-    next: u64,
+    saved_list: Option<Vec<u8>>,
+    next_link: u64,
 }
 
 fn service(lines_per_s: f64) -> Service {
     let ms = Span::millis;
-    let listen = SocketAddr::from(([127, 0, 0, 1], 0));
+    let address = SocketAddr::from(([127, 0, 0, 1], 0));
     let fleet = Fleet {
         zones: 1,
         proxies: 4,
@@ -72,20 +73,20 @@
     };
     let slicing = Slicing { slices: 0, exclusive: false, write_stop_delay: ms(0), write_linger: ms(0) };
     let planner = Planner::new(START, 7, fleet, vec![route], channel, contract, capabilities, slicing);
-    let charge = ServiceConfig {
+    let config = ServiceConfig {
         name: "a".into(),
         zones: vec!["north".into()],
         routes: vec!["order".into()],
         unresponsive_after: ms(3_000),
     };
-    let doors = ListenConfig { proxies: listen, admin: None, source_ip: None };
+    let listen = ListenConfig { proxies: address, admin: None, source_ip: None };
     let reports = ReportConfig { interval: ms(1_000), lines_per_s: 100.0, max_streams: 5 };
     let probing = ProbeConfig { path: "/healthz".into(), timeout: ms(500), max_open: 4, body_fields: None };
     let queue = Queue::new(lines_per_s, 3.0, 400.0);
     Service::new(
         START,
-        charge,
-        doors,
+        config,
+        listen,
         ListSource::File { name: "list".into() },
         planner,
         queue,
@@ -94,48 +95,48 @@
     )
 }
 
-impl Stage {
-    fn new(lines_per_s: f64, kept: Option<&[u8]>, list: &str) -> Stage {
-        let mut stage = Stage {
+impl Harness {
+    fn new(lines_per_s: f64, saved: Option<&[u8]>, list: &str) -> Harness {
+        let mut harness = Harness {
             service: service(lines_per_s),
             now: START,
             out: Outbox::default(),
             trace: String::new(),
             timers: Vec::new(),
             streams: BTreeMap::new(),
-            kept: None,
-            next: 1_000,
+            saved_list: None,
+            next_link: 1_000,
         };
-        stage.give(Input::Start);
-        stage.give(Input::File { name: "a.list.json", bytes: kept.ok_or("there is none".to_string()) });
-        stage.give(Input::File { name: "list", bytes: Ok(list.as_bytes()) });
-        stage.pass(10);
-        stage
+        harness.input(Input::Start);
+        harness.input(Input::File { name: "a.list.json", bytes: saved.ok_or("there is none".to_string()) });
+        harness.input(Input::File { name: "list", bytes: Ok(list.as_bytes()) });
+        harness.advance(10);
+        harness
     }
 
-    fn give(&mut self, input: Input<'_>) {
+    fn input(&mut self, input: Input<'_>) {
         self.service.handle(self.now, input, &mut self.out);
-        self.carry_out();
+        self.apply_effects();
     }
 
-    fn orders(&mut self, standing: Overrides) {
-        let stands = self.service.overrides().diff(&standing);
-        self.service.apply_overrides(self.now, &stands, &mut self.out);
-        self.carry_out();
+    fn set_overrides(&mut self, overrides: Overrides) {
+        let changes = self.service.overrides().diff(&overrides);
+        self.service.apply_overrides(self.now, &changes, &mut self.out);
+        self.apply_effects();
     }
 
-    fn carry_out(&mut self) {
+    fn apply_effects(&mut self) {
         for effect in std::mem::take(&mut self.out.effects) {
             let at = self.now.since(START).0 / 1_000_000;
             match effect {
                 Effect::Wake { timer, at } => self.timers.push((at, timer)),
-                Effect::Keep { bytes, .. } => self.kept = Some(bytes),
+                Effect::Keep { bytes, .. } => self.saved_list = Some(bytes),
                 Effect::Cut { link } => self.trace += &format!("{at:>5} cuts {}\n", self.name(link)),
                 Effect::Finish { link } => self.trace += &format!("{at:>5} finishes {}\n", self.name(link)),
                 Effect::Send { link, bytes } => {
                     let Some((name, frames, nonce)) = self.streams.get_mut(&link) else { continue };
                     frames.push(&bytes);
-                    let told = match frames.take().unwrap().unwrap().kind.unwrap() {
+                    let message = match frames.take().unwrap().unwrap().kind.unwrap() {
                         down::Kind::Welcome(_) | down::Kind::Beat(_) => continue,
                         down::Kind::Bye(bye) => format!("bye: {}", bye.reason),
                         down::Kind::Update(update) => {
@@ -147,7 +148,7 @@
                             format!("{} ({} lines)", tables.collect::<Vec<_>>().join(", "), update.lines)
                         }
                     };
-                    self.trace += &format!("{at:>5} to {name}: {told}\n");
+                    self.trace += &format!("{at:>5} to {name}: {message}\n");
                 }
                 _ => {}
             }
@@ -158,48 +159,48 @@
         self.streams.get(&link).map_or("one".into(), |stream| stream.0.clone())
     }
 
-    fn pass(&mut self, ms: u64) {
+    fn advance(&mut self, ms: u64) {
         let until = self.now + Span::millis(ms);
         loop {
             self.timers.sort();
             let Some((at, timer)) = self.timers.first().copied().filter(|t| t.0 <= until) else { break };
             self.timers.remove(0);
             self.now = self.now.max(at);
-            self.give(Input::Due { timer });
+            self.input(Input::Due { timer });
         }
         self.now = until;
     }
 
     fn open(&mut self, name: &str) -> Link {
-        self.next += 1;
-        let link = Link(self.next);
+        self.next_link += 1;
+        let link = Link(self.next_link);
         self.streams.insert(link, (name.into(), Frames::default(), 0));
-        self.give(Input::Accepted { link, door: 0, from: SocketAddr::from(([127, 0, 0, 1], 9)) });
+        self.input(Input::Accepted { link, door: 0, from: SocketAddr::from(([127, 0, 0, 1], 9)) });
         link
     }
 
     fn join(&mut self, name: &str) -> Link {
         let link = self.open(name);
         let (proxy, zone, routes) = (name.into(), "north".into(), vec!["order".into()]);
-        self.say(
+        self.send(
             link,
             up::Kind::Hello(Hello { protocol: 1, proxy, zone, calls_per_s: 5.0, held: vec![], routes }),
         );
         link
     }
 
-    fn say(&mut self, link: Link, kind: up::Kind) {
-        self.give(Input::Bytes { link, bytes: &encode(&Up::of(kind)) });
+    fn send(&mut self, link: Link, kind: up::Kind) {
+        self.input(Input::Bytes { link, bytes: &encode(&Up::of(kind)) });
     }
 
-    /// Answers the last message.
+    /// Acknowledges the last message.
     fn ack(&mut self, link: Link) {
         let nonce = self.streams[&link].2;
-        self.say(link, up::Kind::Ack(Ack { nonce, mark: 0 }));
+        self.send(link, up::Kind::Ack(Ack { nonce, mark: 0 }));
     }
 
     fn list(&mut self, text: &str) {
-        self.give(Input::File { name: "list", bytes: Ok(text.as_bytes()) });
+        self.input(Input::File { name: "list", bytes: Ok(text.as_bytes()) });
     }
 }
 
@@ -210,77 +211,77 @@
 }
 
 #[test]
-fn a_proxy_that_does_not_answer_keeps_no_removal_from_the_others_and_is_closed() {
-    let mut stage = Stage::new(100.0, None, LIST);
-    let (good, deaf) = (stage.join("good"), stage.join("deaf"));
-    stage.pass(300);
-    stage.ack(good);
-    stage.trace += "# a server drains; only one proxy answers\n";
-    stage.list(&without("10.0.0.2"));
-    stage.pass(400);
-    stage.ack(good);
+fn an_unresponsive_proxy_delays_no_removal_for_others_and_is_closed() {
+    let mut harness = Harness::new(100.0, None, LIST);
+    let (responsive, unresponsive) = (harness.join("responsive"), harness.join("unresponsive"));
+    harness.advance(300);
+    harness.ack(responsive);
+    harness.trace += "# a server drains; only one proxy acknowledges\n";
+    harness.list(&without("10.0.0.2"));
+    harness.advance(400);
+    harness.ack(responsive);
     for _ in 0..8 {
-        stage.pass(500);
-        for link in [good, deaf] {
-            stage.say(link, up::Kind::Beat(pewtergap_protocol::Beat {}));
+        harness.advance(500);
+        for link in [responsive, unresponsive] {
+            harness.send(link, up::Kind::Beat(pewtergap_protocol::Beat {}));
         }
     }
-    stage.trace += "# another drains\n";
-    stage.list(&without("10.0.0.1"));
-    stage.pass(300);
-    insta::assert_snapshot!(stage.trace);
+    harness.trace += "# another drains\n";
+    harness.list(&without("10.0.0.1"));
+    harness.advance(300);
+    insta::assert_snapshot!(harness.trace);
 }
 
 #[test]
-fn a_refused_message_leads_to_the_whole_and_five_refusals_to_the_door() {
-    let mut stage = Stage::new(10_000.0, None, LIST);
-    let link = stage.join("p");
+fn a_rejected_message_leads_to_a_whole_table_and_five_rejections_to_a_disconnect() {
+    let mut harness = Harness::new(10_000.0, None, LIST);
+    let link = harness.join("p");
     for _ in 0..7 {
-        stage.pass(300);
-        let nonce = stage.streams[&link].2;
-        stage.say(link, up::Kind::Nack(Nack { nonce, reason: "version gap".into(), table: 0, holds: 0 }));
+        harness.advance(300);
+        let nonce = harness.streams[&link].2;
+        harness.send(link, up::Kind::Nack(Nack { nonce, reason: "version gap".into(), table: 0, holds: 0 }));
     }
-    insta::assert_snapshot!(stage.trace);
+    insta::assert_snapshot!(harness.trace);
 }
 
 #[test]
-fn what_no_proxy_may_send_is_answered_with_the_reason() {
-    let mut stage = Stage::new(10_000.0, None, LIST);
+fn invalid_messages_of_proxies_are_answered_with_the_reason() {
+    let mut harness = Harness::new(10_000.0, None, LIST);
     let hello = |zone: &str, protocol, route: &str| {
         let (proxy, zone, routes) = ("p".into(), zone.into(), vec![route.into()]);
         up::Kind::Hello(Hello { protocol, proxy, zone, calls_per_s: 5.0, held: vec![], routes })
     };
     for (name, kind) in [
-        ("far", hello("east", 1, "order")),
-        ("old", hello("north", 0, "order")),
-        ("odd", hello("north", 1, "refund")),
-        ("hasty", up::Kind::Ack(Ack { nonce: 1, mark: 0 })),
+        ("wrong-zone", hello("east", 1, "order")),
+        ("wrong-protocol", hello("north", 0, "order")),
+        ("unknown-route", hello("north", 1, "refund")),
+        ("no-hello", up::Kind::Ack(Ack { nonce: 1, mark: 0 })),
     ] {
-        let link = stage.open(name);
-        stage.say(link, kind);
+        let link = harness.open(name);
+        harness.send(link, kind);
     }
-    let link = stage.join("liar");
-    stage.say(link, up::Kind::Ack(Ack { nonce: 77, mark: 0 }));
-    let link = stage.open("noise");
-    stage.give(Input::Bytes { link, bytes: b"GET / HTTP/1.1\r\n\r\n" });
-    stage.trace += "# silent after connecting\n";
-    stage.open("mute");
-    stage.pass(5_000);
-    stage.trace += "# one stream too many\n";
+    let link = harness.join("unknown-nonce");
+    harness.send(link, up::Kind::Ack(Ack { nonce: 77, mark: 0 }));
+    let link = harness.open("not-a-frame");
+    harness.input(Input::Bytes { link, bytes: b"GET / HTTP/1.1\r\n\r\n" });
+    harness.trace += "# silent after connecting\n";
+    harness.open("silent");
+    harness.advance(5_000);
+    harness.trace += "# one stream too many\n";
     for _ in 0..6 {
-        stage.join("many");
+        harness.join("many");
     }
     for at in 0..6 {
-        stage.join(&format!("q{at}"));
+        harness.join(&format!("q{at}"));
     }
-    let open: Vec<Link> = stage.streams.keys().copied().collect();
-    open.into_iter().for_each(|link| stage.give(Input::Closed { link, why: Ended::Done }));
-    stage.trace += "# new names without end\n";
+    let open: Vec<Link> = harness.streams.keys().copied().collect();
+    open.into_iter().for_each(|link| harness.input(Input::Closed { link, why: Ended::Done }));
+    harness.trace += "# an unlimited number of new names\n";
     for at in 0..20 {
-        let link = stage.join(&format!("made-up-{at}"));
-        stage.give(Input::Closed { link, why: Ended::Done });
+        let link = harness.join(&format!("made-up-{at}"));
+        harness.input(Input::Closed { link, why: Ended::Done });
     }
-    insta::assert_snapshot!(stage
+    insta::assert_snapshot!(harness
         .trace
         .lines()
         .filter(|line| !line.contains("set ["))
@@ -289,66 +290,66 @@
 }
 
 #[test]
-fn a_fresh_start_goes_by_the_list_kept_on_disk_until_it_hears_better() {
-    let mut stage = Stage::new(10_000.0, None, LIST);
-    stage.pass(1_000);
-    let kept = stage.kept.take().unwrap();
-    let mut stage = Stage::new(10_000.0, Some(&kept), "{ not a list");
-    stage.join("p");
-    stage.pass(300);
-    stage.trace += "# a kept list that was cut off is no list\n";
-    let mut cut = Stage::new(10_000.0, Some(&kept[..kept.len() / 2]), LIST);
-    cut.join("p");
-    cut.pass(300);
-    insta::assert_snapshot!(stage.trace + &cut.trace);
+fn a_start_uses_the_list_saved_on_disk_until_a_list_is_received() {
+    let mut harness = Harness::new(10_000.0, None, LIST);
+    harness.advance(1_000);
+    let saved = harness.saved_list.take().unwrap();
+    let mut harness = Harness::new(10_000.0, Some(&saved), "{ not a list");
+    harness.join("p");
+    harness.advance(300);
+    harness.trace += "# a truncated saved list is ignored\n";
+    let mut truncated = Harness::new(10_000.0, Some(&saved[..saved.len() / 2]), LIST);
+    truncated.join("p");
+    truncated.advance(300);
+    insta::assert_snapshot!(harness.trace + &truncated.trace);
 }
 
 #[test]
-fn a_proxy_that_comes_back_before_its_old_stream_broke_is_taken_over() {
-    let mut stage = Stage::new(10_000.0, None, LIST);
-    let old = stage.join("p");
-    stage.pass(300);
-    stage.ack(old);
-    stage.join("p");
-    stage.pass(300);
-    // The end of the old stream comes late and means nothing.
-    stage.give(Input::Closed { link: old, why: Ended::Ours });
-    stage.list(&without("10.0.0.2"));
-    stage.pass(300);
-    stage.trace += "# stopped in order\n";
-    stage.give(Input::Stop);
-    stage.pass(500);
-    insta::assert_snapshot!(stage.trace);
+fn a_reconnecting_proxy_replaces_its_old_stream() {
+    let mut harness = Harness::new(10_000.0, None, LIST);
+    let old = harness.join("p");
+    harness.advance(300);
+    harness.ack(old);
+    harness.join("p");
+    harness.advance(300);
+    // The end of the old stream is noticed late and must have no effect.
+    harness.input(Input::Closed { link: old, why: Ended::Ours });
+    harness.list(&without("10.0.0.2"));
+    harness.advance(300);
+    harness.trace += "# regular stop\n";
+    harness.input(Input::Stop);
+    harness.advance(500);
+    insta::assert_snapshot!(harness.trace);
 }
 
 #[test]
-fn orders_bind_whatever_the_list_says_until_they_are_taken_back() {
-    let mut stage = Stage::new(1_000.0, None, LIST);
-    let proxy = stage.join("p");
-    stage.pass(300);
-    stage.ack(proxy);
-    stage.trace += "# drained by order, in the same turn\n";
+fn overrides_apply_whatever_the_list_says_until_they_are_lifted() {
+    let mut harness = Harness::new(1_000.0, None, LIST);
+    let proxy = harness.join("p");
+    harness.advance(300);
+    harness.ack(proxy);
+    harness.trace += "# drained by an override\n";
     let drained = Overrides { drained: ["10.0.0.2:80".to_string()].into(), ..Overrides::default() };
-    stage.orders(drained.clone());
-    stage.pass(100);
-    stage.ack(proxy);
-    stage.trace += "# the list says once more that it runs\n";
-    stage.list(LIST);
-    stage.pass(1_000);
-    stage.trace += "# a weight is held, and a cap\n";
+    harness.set_overrides(drained.clone());
+    harness.advance(100);
+    harness.ack(proxy);
+    harness.trace += "# the list still has it as running\n";
+    harness.list(LIST);
+    harness.advance(1_000);
+    harness.trace += "# a weight and a cap are overridden\n";
     let caps = [("order".to_string(), 0.5)].into();
     let weights = [("10.0.0.3:80".to_string(), 0.25)].into();
-    stage.orders(Overrides { weights, caps, ..drained });
+    harness.set_overrides(Overrides { weights, caps, ..drained });
     for _ in 0..8 {
-        let before = stage.streams[&proxy].2;
-        stage.say(proxy, up::Kind::Beat(pewtergap_protocol::Beat {}));
-        stage.pass(500);
-        if stage.streams[&proxy].2 != before {
-            stage.ack(proxy);
+        let before = harness.streams[&proxy].2;
+        harness.send(proxy, up::Kind::Beat(pewtergap_protocol::Beat {}));
+        harness.advance(500);
+        if harness.streams[&proxy].2 != before {
+            harness.ack(proxy);
         }
     }
-    stage.trace += "# all taken back\n";
-    stage.orders(Overrides::default());
-    stage.pass(300);
-    insta::assert_snapshot!(stage.trace);
+    harness.trace += "# all overrides lifted\n";
+    harness.set_overrides(Overrides::default());
+    harness.advance(300);
+    insta::assert_snapshot!(harness.trace);
 }
--- a/crates/platform/src/node.rs
+++ b/crates/platform/src/node.rs
@@ -408,20 +408,20 @@
 
     fn start_probes(&mut self, now: Moment, out: &mut Outbox) {
         while let Some(server) = self.probes.next_server() {
-            let Some((at, _)) = self.endpoints.get(server).copied().flatten() else { continue };
-            let link = out.connect(at, None);
-            let until = self.probes.start(now, server, link);
-            out.wake(timer::PROBES, until);
+            let Some((address, _)) = self.endpoints.get(server).copied().flatten() else { continue };
+            let link = out.connect(address, None);
+            let deadline = self.probes.start(now, server, link);
+            out.wake(timer::PROBES, deadline);
         }
     }
 
     fn probe_ended(
         &mut self,
         now: Moment,
-        (server, end, load): (usize, ProbeOutcome, Load),
+        (server, outcome, load): (usize, ProbeOutcome, Load),
         out: &mut Outbox,
     ) {
-        let name = match end {
+        let name = match outcome {
             ProbeOutcome::Answered => "answered",
             ProbeOutcome::Rejected => "refused",
             ProbeOutcome::Error => "erring",
@@ -430,11 +430,11 @@
         };
         *self.tally.probes.entry(name).or_default() += 1;
         self.tally.probe_reports += u64::from(load.util.is_some());
-        if matches!(end, ProbeOutcome::Error | ProbeOutcome::TimedOut | ProbeOutcome::Unreachable) {
+        if matches!(outcome, ProbeOutcome::Error | ProbeOutcome::TimedOut | ProbeOutcome::Unreachable) {
             let fields = vec![("server", self.servers.name(server).clone()), ("end", name.into())];
             self.log(now, Level::Info, "probe", fields, out);
         }
-        self.event(now, Event::ProbeEnded { server, outcome: end, load }, out);
+        self.event(now, Event::ProbeEnded { server, outcome, load }, out);
         self.start_probes(now, out);
     }
 
