--- a/crates/platform/tests/crossings.rs
+++ b/crates/platform/tests/crossings.rs
@@ -57,7 +57,7 @@
     harness.input(Input::Closed { link: former, why: Ended::Reset });
     harness.advance(2_500);
     assert_ne!(harness.latest_connection(901), former, "probed again");
-    assert!(!harness.failed_probes.iter().any(|told| told.contains("dead")), "{:?}", harness.failed_probes);
+    assert!(!harness.failed_probes.iter().any(|probe| probe.contains("dead")), "{:?}", harness.failed_probes);
 }
 
 #[test]
@@ -95,7 +95,11 @@
     harness.input(Input::Opened { link: probe });
     harness.input(Input::Bytes { link: probe, bytes: VALID_REPORT });
     harness.advance(1_000);
-    assert!(!harness.failed_probes.iter().any(|told| told.starts_with("s-9")), "{:?}", harness.failed_probes);
+    assert!(
+        !harness.failed_probes.iter().any(|probe| probe.starts_with("s-9")),
+        "{:?}",
+        harness.failed_probes
+    );
     let (mut harness, _) = planner_with_server(&server_row("s-9", 901, 0));
     let probe = harness.latest_connection(901);
     harness.input(Input::Opened { link: probe });
@@ -134,13 +138,13 @@
 #[test]
 fn a_dial_that_stands_after_it_was_given_up_is_asked_nothing() {
     let mut harness = Harness::new(&settings(10, 256));
-    let given_up = harness.latest_connection(85);
-    while harness.latest_connection(85) == given_up {
+    let timed_out = harness.latest_connection(85);
+    while harness.latest_connection(85) == timed_out {
         harness.advance(10);
     }
     harness.take_output();
-    harness.input(Input::Opened { link: given_up });
-    harness.answer_list(given_up, r#"{"rev":9,"all":true,"targets":[]}"#);
+    harness.input(Input::Opened { link: timed_out });
+    harness.answer_list(timed_out, r#"{"rev":9,"all":true,"targets":[]}"#);
     assert_eq!(
         (harness.take_output(), harness.list_events),
         (String::new(), 1),
@@ -176,21 +180,22 @@
 #[test]
 fn a_signal_while_the_next_reading_is_a_second_away_has_the_file_read_soon_again() {
     let mut harness = Harness::new(&settings(10, 256));
-    let torn = |harness: &mut Harness| harness.input(Input::File { name: "config.json", bytes: Ok(b"{") });
+    let send_invalid_file =
+        |harness: &mut Harness| harness.input(Input::File { name: "config.json", bytes: Ok(b"{") });
     let fetched = |harness: &mut Harness, ms: u64| {
         harness.effects.clear();
         harness.advance(ms);
         harness.effects.iter().any(|effect| matches!(effect, Effect::Fetch { .. }))
     };
     harness.input(Input::Reload);
-    torn(&mut harness);
+    send_invalid_file(&mut harness);
     for _ in 0..5 {
         assert!(fetched(&mut harness, 100));
-        torn(&mut harness);
+        send_invalid_file(&mut harness);
     }
     assert!(!fetched(&mut harness, 300), "from here on, one retry a second");
     harness.input(Input::Reload);
-    torn(&mut harness);
+    send_invalid_file(&mut harness);
     assert!(fetched(&mut harness, 100), "the new file may be in the middle of its replacement");
 }
 
@@ -198,18 +203,18 @@
 fn one_that_answers_at_once_and_closes_each_time_is_dialled_at_a_pace() {
     let mut harness = Harness::new(&settings(10, 256));
     let connects_before = harness.connects.len();
-    let mut answered = harness.latest_connection(85);
+    let mut connection = harness.latest_connection(85);
     let end = harness.now + Span::millis(1_000);
     let body = r#"{"rev":5,"all":false,"targets":[]}"#;
     let answer =
         format!("HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length: {}\r\n\r\n{body}", body.len());
     while harness.now < end && harness.connects.len() < 100 {
-        harness.input(Input::Opened { link: answered });
-        harness.input(Input::Bytes { link: answered, bytes: answer.as_bytes() });
-        while harness.latest_connection(85) == answered && harness.now < end {
+        harness.input(Input::Opened { link: connection });
+        harness.input(Input::Bytes { link: connection, bytes: answer.as_bytes() });
+        while harness.latest_connection(85) == connection && harness.now < end {
             harness.advance(1);
         }
-        answered = harness.latest_connection(85);
+        connection = harness.latest_connection(85);
     }
     let connects =
         harness.connects.iter().skip(connects_before).filter(|connect| connect.1.port() == 85).count();
@@ -233,14 +238,18 @@
     let mut harness = Harness::new(&settings(10, 256));
     harness.advance(10);
     harness.take_output();
-    let brief = harness.join(3);
-    harness.input(Input::Closed { link: brief, why: Ended::Reset });
+    let short_lived = harness.join(3);
+    harness.input(Input::Closed { link: short_lived, why: Ended::Reset });
     let (former, present) = (harness.join(4), harness.join(4));
     harness.input(Input::Closed { link: former, why: Ended::Done });
     harness.advance(200);
     let seen = harness.take_output();
-    let told = |link: Link| seen.lines().any(|line| line.starts_with(&format!("{}: CONFIG", link.0)));
-    assert_eq!((told(brief), told(former), told(present)), (false, false, true), "{seen}");
+    let got_config = |link: Link| seen.lines().any(|line| line.starts_with(&format!("{}: CONFIG", link.0)));
+    assert_eq!(
+        (got_config(short_lived), got_config(former), got_config(present)),
+        (false, false, true),
+        "{seen}"
+    );
 }
 
 #[test]
--- a/crates/platform/tests/harness/mod.rs
+++ b/crates/platform/tests/harness/mod.rs
@@ -50,7 +50,7 @@
 
 impl Harness {
     pub fn new(text: &str) -> Harness {
-        let config = Config::parse(text, |_| None).expect("a good configuration");
+        let config = Config::parse(text, |_| None).expect("a valid configuration");
         let node = Platform::new(START, config, "config.json".into());
         let (out, timers, effects, connects) = (Outbox::default(), vec![], vec![], vec![]);
         let (list_events, failed_probes) = (0, vec![]);
--- a/crates/platform/tests/node.rs
+++ b/crates/platform/tests/node.rs
@@ -26,11 +26,11 @@
     harness.send(proxy, "ACK sidecar 7 version 1 lag_ms 12.5");
     seen.push(harness.take_output());
     // An older answer changes nothing; an invalid entry leaves the known state of its server.
-    let odd = row("s-1", "a", "Asleep");
+    let invalid = row("s-1", "a", "Asleep");
     harness.answer_list(list, &format!(r#"{{"rev":3,"all":false,"targets":[{}]}}"#, row("s-1", "a", "Gone")));
     harness.answer_list(
         list,
-        &format!(r#"{{"rev":6,"all":true,"targets":[{odd},{}]}}"#, row("s-3", "a", "Ready")),
+        &format!(r#"{{"rev":6,"all":true,"targets":[{invalid},{}]}}"#, row("s-3", "a", "Ready")),
     );
     harness.advance(1_200);
     seen.push(harness.take_output());
@@ -45,9 +45,9 @@
     let rows = [row("s-1", "a", "Ready"), row("s-2", "b", "Asleep")].join(",");
     let whole = format!(r#"{{"rev":5,"all":true,"targets":[{rows}]}}"#);
     harness.answer_list(list, &whole);
-    let told = harness.list_events;
+    let lists_before = harness.list_events;
     harness.answer_list(list, &whole);
-    assert_eq!((told, harness.list_events), (2, 2), "the saved list, and the whole list once");
+    assert_eq!((lists_before, harness.list_events), (2, 2), "the saved list, and the whole list once");
 }
 
 #[test]
@@ -183,8 +183,8 @@
         seen.contains(&format!("{}: CONFIG lines s-2:0", alive.0)),
         "the responsive proxy gets the change: {seen}"
     );
-    let told = |seen: &str| seen.lines().any(|line| line.starts_with(&format!("{}: ", silent.0)));
-    assert!(!told(&seen), "the silent one gets nothing and is not closed: {seen}");
+    let reached = |seen: &str| seen.lines().any(|line| line.starts_with(&format!("{}: ", silent.0)));
+    assert!(!reached(&seen), "the silent one gets nothing and is not closed: {seen}");
     harness.send(silent, "RATE sidecar 1 kind lookup n 1 bad 0 window 1000");
     harness.advance(300);
     let seen = harness.take_output();
--- a/crates/resp/tests/messages.rs
+++ b/crates/resp/tests/messages.rs
@@ -81,10 +81,10 @@
 fn fragmentation_does_not_change_the_messages() {
     let texts =
         ["PING", "RATE sidecar 17 kind lookup n 1 bad 2 window 1000.0", "PING", "SOURCE az a", "X  y"];
-    let good: Vec<u8> = texts.iter().flat_map(|text| message(text)).collect();
-    let bad = [&good[..], b"*1\r\n$4\r\nPINGxx*1\r\n"].concat();
-    let partial = [&good[..], b"*2\r\n$4\r\nPING\r\n$1"].concat();
-    for stream in [good, bad, partial] {
+    let valid: Vec<u8> = texts.iter().flat_map(|text| message(text)).collect();
+    let invalid = [&valid[..], b"*1\r\n$4\r\nPINGxx*1\r\n"].concat();
+    let partial = [&valid[..], b"*2\r\n$4\r\nPING\r\n$1"].concat();
+    for stream in [valid, invalid, partial] {
         let whole = read_all([&stream[..]].into_iter());
         for size in 1..stream.len() {
             assert_eq!(read_all(stream.chunks(size)), whole, "in pieces of {size}");
