--- a/crates/raft/src/leader.rs
+++ b/crates/raft/src/leader.rs
@@ -1,376 +1,404 @@
-//! A leader's work: entries to all, what is committed, reads, hand-over, changes of members.
+//! The leader's part: replication, commit index, reads, leadership transfer and membership changes.
 
 use crate::log::Snapshot;
-use crate::machine::RaftNode;
+use crate::raft_node::RaftNode;
 use crate::{Action, Body, Id, Index, Member, Members, Payload, RaftError, Role, Term};
 use pewtergap_time::Moment;
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-/// Bytes of entries in one message, messages under way to one member, bytes of a snapshot's piece.
-const MOST_BYTES: usize = 64 * 1024;
-const MOST_UNDER_WAY: usize = 16;
-const PIECE: usize = 64 * 1024;
-/// Reads that wait to be confirmed; more are refused.
-const MOST_READS: usize = 4096;
-/// A member this close to the end has caught up.
-const CLOSE: Index = 64;
+/// Limits on the entry bytes in one message, the unacknowledged messages to one member, and the bytes of a
+/// snapshot chunk.
+const MAX_APPEND_BYTES: usize = 64 * 1024;
+const MAX_IN_FLIGHT: usize = 16;
+const CHUNK_BYTES: usize = 64 * 1024;
+/// Reads waiting for confirmation; further ones are rejected.
+const MAX_PENDING_READS: usize = 4096;
+/// A learner whose log ends within so many entries of the leader's has caught up.
+const CAUGHT_UP_MARGIN: Index = 64;
 
-/// How a member is brought up.
+/// How entries reach a member.
 #[derive(Clone, Debug)]
-enum Feeding {
-    /// Where its log ends is not known: one message at a time.
-    Seeking,
-    Streaming,
-    /// It is given a snapshot, so many bytes so far.
-    Pieces(Arc<Snapshot>, u64),
+enum ReplicationMode {
+    /// The end of its log is unknown: one message at a time.
+    Probe,
+    Replicate,
+    /// A snapshot is being sent; the number is how many bytes it has received.
+    Snapshot(Arc<Snapshot>, u64),
 }
 
 #[derive(Clone, Debug)]
 struct Progress {
-    next: Index,
-    matched: Index,
-    feeding: Feeding,
-    /// Messages not answered.
-    under_way: usize,
-    /// When it was sent something and heard last, and the newest round it has answered.
-    spoken: Moment,
-    heard: Moment,
-    round: u64,
+    next_index: Index,
+    match_index: Index,
+    mode: ReplicationMode,
+    /// Unacknowledged messages.
+    in_flight: usize,
+    /// When it was last sent something and last heard from, and the newest heartbeat round it has
+    /// acknowledged.
+    last_sent: Moment,
+    last_contact: Moment,
+    acked_round: u64,
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Lead {
-    members: BTreeMap<Id, Progress>,
-    pub beat_at: Moment,
-    /// Rounds of messages that confirm leadership.
+pub struct LeaderState {
+    progress: BTreeMap<Id, Progress>,
+    pub next_heartbeat: Moment,
+    /// Counts heartbeat rounds; a majority's acknowledgement of one confirms leadership.
     round: u64,
-    /// Token, round that has to be answered, index to be applied.
-    reads: VecDeque<(u64, u64, Index)>,
-    /// To whom leadership is being handed, until when.
-    pub handing: Option<(Id, Moment)>,
-    since: Moment,
-    /// Its first entry.
-    first: Index,
+    /// Token, the round that has to be acknowledged, and the index that has to be applied.
+    pending_reads: VecDeque<(u64, u64, Index)>,
+    /// The target of a leadership transfer and when the attempt expires.
+    pub transfer: Option<(Id, Moment)>,
+    leading_since: Moment,
+    /// The first entry of its term.
+    first_index: Index,
 }
 
 impl RaftNode {
-    pub(crate) fn begin(&mut self, now: Moment) {
-        self.turn(Role::Leader, Some(self.id));
-        self.lead = Lead { beat_at: now, since: now, ..Lead::default() };
-        self.lead.first = self.extend(Body::Empty);
-        self.meet(now);
-        self.beat(now);
+    pub(crate) fn become_leader(&mut self, now: Moment) {
+        self.set_role(Role::Leader, Some(self.id));
+        self.leader_state = LeaderState { next_heartbeat: now, leading_since: now, ..LeaderState::default() };
+        self.leader_state.first_index = self.append_local(Body::Empty);
+        self.track_members(now);
+        self.send_heartbeats(now);
     }
 
-    /// Whoever belongs is fed, whoever belongs no more is not.
-    fn meet(&mut self, now: Moment) {
-        let last = self.log.last().1;
+    /// Starts tracking new members and drops removed ones.
+    fn track_members(&mut self, now: Moment) {
+        let last_index = self.log.last().1;
         let ids: Vec<Id> = self.log.members.1.list.iter().map(|member| member.id).collect();
-        self.lead.members.retain(|id, _| ids.contains(id));
+        self.leader_state.progress.retain(|id, _| ids.contains(id));
         for id in ids.into_iter().filter(|id| *id != self.id && *id != 0) {
-            self.lead.members.entry(id).or_insert(Progress {
-                next: last,
-                matched: 0,
-                feeding: Feeding::Seeking,
-                under_way: 0,
-                spoken: Moment(0),
-                heard: now,
-                round: 0,
+            self.leader_state.progress.entry(id).or_insert(Progress {
+                next_index: last_index,
+                match_index: 0,
+                mode: ReplicationMode::Probe,
+                in_flight: 0,
+                last_sent: Moment(0),
+                last_contact: now,
+                acked_round: 0,
             });
         }
     }
 
-    pub(crate) fn resign(&mut self) {
-        let reads = std::mem::take(&mut self.lead.reads);
-        self.out.extend(reads.into_iter().map(|read| Action::ReadFailed { token: read.0 }));
-        self.lead = Lead::default();
+    pub(crate) fn clear_leader_state(&mut self) {
+        let reads = std::mem::take(&mut self.leader_state.pending_reads);
+        self.actions.extend(reads.into_iter().map(|read| Action::ReadFailed { token: read.0 }));
+        self.leader_state = LeaderState::default();
     }
 
-    /// Members of whom something was heard within an election's time, this one among them.
-    fn hears_majority(&self, now: Moment) -> bool {
+    /// Whether a majority of voters, this one included, was heard from within the election timeout.
+    fn has_quorum_contact(&self, now: Moment) -> bool {
         let members = &self.log.members.1;
-        let span = self.times.election_timeout;
-        let hears =
-            |id: &Id| *id == self.id || self.lead.members.get(id).is_some_and(|m| now.since(m.heard) < span);
-        members.voters().filter(hears).count() >= members.majority()
+        let timeout = self.config.election_timeout;
+        let in_contact = |id: &Id| {
+            *id == self.id
+                || self.leader_state.progress.get(id).is_some_and(|m| now.since(m.last_contact) < timeout)
+        };
+        members.voters().filter(in_contact).count() >= members.majority()
     }
 
-    pub(crate) fn beat(&mut self, now: Moment) {
-        // Heard by nobody, it would serve old news; and others may not dare to stand while they hear it.
-        if now.since(self.lead.since) >= self.times.election_timeout && !self.hears_majority(now) {
-            self.turn(Role::Follower, None);
-            return self.rest(now);
+    pub(crate) fn send_heartbeats(&mut self, now: Moment) {
+        // Without a majority's contact a leader would serve stale reads, and its heartbeats could keep others
+        // from an election.
+        if now.since(self.leader_state.leading_since) >= self.config.election_timeout
+            && !self.has_quorum_contact(now)
+        {
+            self.set_role(Role::Follower, None);
+            return self.reset_election_deadline(now);
         }
-        if self.lead.handing.is_some_and(|handing| now >= handing.1) {
-            self.lead.handing = None;
+        if self.leader_state.transfer.is_some_and(|transfer| now >= transfer.1) {
+            self.leader_state.transfer = None;
         }
-        self.lead.beat_at = now + self.times.heartbeat_interval;
-        self.lead.round += 1;
-        let ids: Vec<Id> = self.lead.members.keys().copied().collect();
+        self.leader_state.next_heartbeat = now + self.config.heartbeat_interval;
+        self.leader_state.round += 1;
+        let ids: Vec<Id> = self.leader_state.progress.keys().copied().collect();
         for id in ids {
-            self.speak(now, id, true);
+            self.replicate_to(now, id, true);
         }
     }
 
-    pub(crate) fn feed_all(&mut self, now: Moment) {
-        let ids: Vec<Id> = self.lead.members.keys().copied().collect();
+    pub(crate) fn replicate_all(&mut self, now: Moment) {
+        let ids: Vec<Id> = self.leader_state.progress.keys().copied().collect();
         for id in ids {
-            self.speak(now, id, false);
+            self.replicate_to(now, id, false);
         }
     }
 
-    /// Sends a member what it lacks, as far as it may be under way. `beat`: at least a sign of life.
-    fn speak(&mut self, now: Moment, id: Id, beat: bool) {
+    /// Sends a member what it lacks, up to the in-flight limit. With `heartbeat` it sends at least an empty
+    /// message.
+    fn replicate_to(&mut self, now: Moment, id: Id, heartbeat: bool) {
         let (base, last, commit, round) =
-            (self.log.base(), self.log.last().1, self.commit_index, self.lead.round);
-        let Some(member) = self.lead.members.get_mut(&id) else { return };
-        if member.next <= base && !matches!(member.feeding, Feeding::Pieces(..)) {
+            (self.log.base(), self.log.last().1, self.commit_index, self.leader_state.round);
+        let Some(member) = self.leader_state.progress.get_mut(&id) else { return };
+        if member.next_index <= base && !matches!(member.mode, ReplicationMode::Snapshot(..)) {
             let Some(snapshot) = &self.log.snapshot else { return };
-            member.feeding = Feeding::Pieces(Arc::new(snapshot.clone()), 0);
-            member.under_way = 0;
+            member.mode = ReplicationMode::Snapshot(Arc::new(snapshot.clone()), 0);
+            member.in_flight = 0;
         }
-        let mut says = Vec::new();
-        match &member.feeding {
-            Feeding::Pieces(snapshot, at) => {
-                // Again at each beat: a piece may have been lost with its connection.
-                if member.under_way == 0 || beat && now.since(member.spoken) >= self.times.election_timeout {
-                    let from = *at as usize;
-                    let upto = (from + PIECE).min(snapshot.data.len());
-                    let data = snapshot.data[from..upto].to_vec();
+        let mut messages = Vec::new();
+        match &member.mode {
+            ReplicationMode::Snapshot(snapshot, offset) => {
+                // Sent again by heartbeats: the connection may have lost the chunk.
+                if member.in_flight == 0
+                    || heartbeat && now.since(member.last_sent) >= self.config.election_timeout
+                {
+                    let from = *offset as usize;
+                    let end = (from + CHUNK_BYTES).min(snapshot.data.len());
+                    let data = snapshot.data[from..end].to_vec();
                     let (index, term, members) = (snapshot.index, snapshot.term, snapshot.members.clone());
-                    let piece = Snapshot { index, term, members, data };
-                    says.push(Payload::SnapshotChunk {
-                        snapshot: piece,
-                        offset: *at,
+                    let chunk = Snapshot { index, term, members, data };
+                    messages.push(Payload::SnapshotChunk {
+                        snapshot: chunk,
+                        offset: *offset,
                         total_bytes: snapshot.data.len() as u64,
                     });
-                    member.under_way = 1;
-                    member.spoken = now;
+                    member.in_flight = 1;
+                    member.last_sent = now;
                 }
-                if beat {
+                if heartbeat {
                     let prev = (self.log.term_at(base).unwrap_or(0), base);
-                    says.push(Payload::AppendEntries { prev, entries: Vec::new(), commit: 0, round });
+                    messages.push(Payload::AppendEntries { prev, entries: Vec::new(), commit: 0, round });
                 }
             }
-            feeding => {
-                let (window, streaming) = match feeding {
-                    Feeding::Streaming => (MOST_UNDER_WAY, true),
+            mode => {
+                let (window, streaming) = match mode {
+                    ReplicationMode::Replicate => (MAX_IN_FLIGHT, true),
                     _ => (1, false),
                 };
-                // A connection that broke took what was under way with it: begin again from what is known.
-                if beat && member.under_way > 0 && now.since(member.heard) >= self.times.election_timeout {
-                    (member.under_way, member.next) = (0, member.matched + 1);
-                    member.feeding = Feeding::Seeking;
+                // A broken connection loses its messages in flight: continue from the last acknowledged
+                // index.
+                if heartbeat
+                    && member.in_flight > 0
+                    && now.since(member.last_contact) >= self.config.election_timeout
+                {
+                    (member.in_flight, member.next_index) = (0, member.match_index + 1);
+                    member.mode = ReplicationMode::Probe;
                 }
-                let mut spoke = false;
-                while member.next <= last && member.under_way < window {
-                    let prev = member.next - 1;
+                let mut sent = false;
+                while member.next_index <= last && member.in_flight < window {
+                    let prev = member.next_index - 1;
                     let Some(term) = self.log.term_at(prev) else { break };
-                    let entries = self.log.entries_from(member.next, MOST_BYTES);
+                    let entries = self.log.entries_from(member.next_index, MAX_APPEND_BYTES);
                     if streaming {
-                        member.next += entries.len() as Index;
+                        member.next_index += entries.len() as Index;
                     }
-                    member.under_way += 1;
-                    (spoke, member.spoken) = (true, now);
-                    says.push(Payload::AppendEntries { prev: (term, prev), entries, commit, round });
+                    member.in_flight += 1;
+                    (sent, member.last_sent) = (true, now);
+                    messages.push(Payload::AppendEntries { prev: (term, prev), entries, commit, round });
                     if !streaming {
                         break;
                     }
                 }
-                if beat && !spoke {
-                    let prev = member.next.min(last + 1) - 1;
+                if heartbeat && !sent {
+                    let prev = member.next_index.min(last + 1) - 1;
                     let prev = (self.log.term_at(prev).unwrap_or(0), prev);
-                    says.push(Payload::AppendEntries { prev, entries: Vec::new(), commit, round });
+                    messages.push(Payload::AppendEntries { prev, entries: Vec::new(), commit, round });
                 }
             }
         }
-        says.into_iter().for_each(|say| self.say_now(id, say));
+        messages.into_iter().for_each(|payload| self.send_now(id, payload));
     }
 
-    pub(crate) fn count_took(&mut self, now: Moment, from: Id, refused: bool, matched: Index, round: u64) {
+    pub(crate) fn handle_append_response(
+        &mut self,
+        now: Moment,
+        from: Id,
+        rejected: bool,
+        match_index: Index,
+        round: u64,
+    ) {
         let last = self.log.last().1;
-        let Some(member) = self.lead.members.get_mut(&from) else { return };
-        member.heard = now;
-        member.round = member.round.max(round);
-        member.under_way = member.under_way.saturating_sub(1);
-        if refused {
-            if matched < member.matched {
-                self.out.push(Action::LogRegressed { id: from });
+        let Some(member) = self.leader_state.progress.get_mut(&from) else { return };
+        member.last_contact = now;
+        member.acked_round = member.acked_round.max(round);
+        member.in_flight = member.in_flight.saturating_sub(1);
+        if rejected {
+            if match_index < member.match_index {
+                self.actions.push(Action::LogRegressed { id: from });
                 return;
             }
-            member.next = (matched + 1).min(last + 1).max(member.matched + 1);
-            (member.feeding, member.under_way) = (Feeding::Seeking, 0);
-            self.speak(now, from, false);
+            member.next_index = (match_index + 1).min(last + 1).max(member.match_index + 1);
+            (member.mode, member.in_flight) = (ReplicationMode::Probe, 0);
+            self.replicate_to(now, from, false);
         } else {
-            member.matched = member.matched.max(matched.min(last));
-            match member.feeding {
-                Feeding::Pieces(ref snapshot, _) if matched < snapshot.index => {}
+            member.match_index = member.match_index.max(match_index.min(last));
+            match member.mode {
+                ReplicationMode::Snapshot(ref snapshot, _) if match_index < snapshot.index => {}
                 _ => {
-                    member.feeding = Feeding::Streaming;
-                    member.next = member.next.max(member.matched + 1);
+                    member.mode = ReplicationMode::Replicate;
+                    member.next_index = member.next_index.max(member.match_index + 1);
                 }
             }
-            self.advance(now);
-            self.hand_now(from);
-            self.speak(now, from, false);
+            self.advance_commit(now);
+            self.send_timeout_now(from);
+            self.replicate_to(now, from, false);
         }
-        self.confirm(now);
+        self.confirm_reads(now);
     }
 
-    pub(crate) fn count_got(&mut self, now: Moment, from: Id, index: Index, bytes: u64) {
-        let Some(member) = self.lead.members.get_mut(&from) else { return };
-        member.heard = now;
-        if let Feeding::Pieces(snapshot, at) = &mut member.feeding {
-            if snapshot.index == index && bytes <= snapshot.data.len() as u64 {
-                (*at, member.under_way) = (bytes, 0);
-                self.speak(now, from, false);
+    pub(crate) fn handle_chunk_ack(&mut self, now: Moment, from: Id, index: Index, bytes_received: u64) {
+        let Some(member) = self.leader_state.progress.get_mut(&from) else { return };
+        member.last_contact = now;
+        if let ReplicationMode::Snapshot(snapshot, offset) = &mut member.mode {
+            if snapshot.index == index && bytes_received <= snapshot.data.len() as u64 {
+                (*offset, member.in_flight) = (bytes_received, 0);
+                self.replicate_to(now, from, false);
             }
         }
     }
 
-    /// What a majority has on disk, of this very term, is committed; and all before it.
-    pub(crate) fn advance(&mut self, now: Moment) {
+    /// Commits what a majority has on disk, provided the entry is of the current term; all earlier entries
+    /// follow.
+    pub(crate) fn advance_commit(&mut self, now: Moment) {
         let members = &self.log.members.1;
-        let has = |id: Id| match id == self.id {
-            true => self.stable,
-            false => self.lead.members.get(&id).map_or(0, |member| member.matched),
+        let stored_index = |id: Id| match id == self.id {
+            true => self.stable_index,
+            false => self.leader_state.progress.get(&id).map_or(0, |member| member.match_index),
         };
-        let mut held: Vec<Index> = members.voters().map(has).collect();
-        held.sort_unstable_by(|a, b| b.cmp(a));
-        let Some(index) = held.get(members.majority() - 1).copied() else { return };
+        let mut indexes: Vec<Index> = members.voters().map(stored_index).collect();
+        indexes.sort_unstable_by(|a, b| b.cmp(a));
+        let Some(index) = indexes.get(members.majority() - 1).copied() else { return };
         if index > self.commit_index && self.log.term_at(index) == Some(self.log.term) {
             let before = self.commit_index;
             self.commit_index = index;
-            if before < self.lead.first && index >= self.lead.first {
-                self.confirm(now);
+            if before < self.leader_state.first_index && index >= self.leader_state.first_index {
+                self.confirm_reads(now);
             }
-            // Who is no voter any more leads no longer, once that is committed.
+            // A leader that lost its vote steps down once that change is committed.
             if self.log.members.0 <= index && !self.log.members.1.is_voter(self.id) {
-                self.turn(Role::Follower, None);
-                self.rest(now);
+                self.set_role(Role::Follower, None);
+                self.reset_election_deadline(now);
             }
         }
     }
 
     // ---- reads
 
-    /// Asks for an index up to which a fresh read has to have applied.
+    /// Requests an index that a linearizable read has to wait for.
     pub fn request_read(&mut self, now: Moment, token: u64) -> Result<(), RaftError> {
         if self.role != Role::Leader {
             return Err(RaftError::NotLeader);
         }
-        if self.lead.reads.len() >= MOST_READS {
+        if self.leader_state.pending_reads.len() >= MAX_PENDING_READS {
             return Err(RaftError::QueueFull);
         }
-        // Of a round that begins after the read was asked for.
-        let round = self.lead.round + 1;
-        self.lead.reads.push_back((token, round, self.commit_index));
-        if self.lead.reads.len() == 1 {
-            self.beat(now);
+        // Only a round that starts after the request confirms it.
+        let round = self.leader_state.round + 1;
+        self.leader_state.pending_reads.push_back((token, round, self.commit_index));
+        if self.leader_state.pending_reads.len() == 1 {
+            self.send_heartbeats(now);
         }
-        self.confirm(now);
+        self.confirm_reads(now);
         Ok(())
     }
 
-    /// Reads whose round a majority has answered. Before its first entry is committed a leader does not know what
-    /// is.
-    fn confirm(&mut self, now: Moment) {
-        if self.commit_index < self.lead.first || self.role != Role::Leader {
+    /// Answers the reads whose round a majority has acknowledged. Until the first entry of its term is
+    /// committed, a leader does not know the commit index.
+    fn confirm_reads(&mut self, now: Moment) {
+        if self.commit_index < self.leader_state.first_index || self.role != Role::Leader {
             return;
         }
         let members = &self.log.members.1;
         let round_of = |id: Id| match id == self.id {
             true => u64::MAX,
-            false => self.lead.members.get(&id).map_or(0, |member| member.round),
+            false => self.leader_state.progress.get(&id).map_or(0, |member| member.acked_round),
         };
         let mut rounds: Vec<u64> = members.voters().map(round_of).collect();
         rounds.sort_unstable_by(|a, b| b.cmp(a));
         let confirmed = rounds.get(members.majority() - 1).copied().unwrap_or(0);
         let mut done = false;
-        while self.lead.reads.front().is_some_and(|read| read.1 <= confirmed) {
-            let Some((token, _, index)) = self.lead.reads.pop_front() else { break };
+        while self.leader_state.pending_reads.front().is_some_and(|read| read.1 <= confirmed) {
+            let Some((token, _, index)) = self.leader_state.pending_reads.pop_front() else { break };
             done = true;
-            self.out.push(Action::ReadReady { token, index: index.max(self.lead.first) });
+            self.actions.push(Action::ReadReady { token, index: index.max(self.leader_state.first_index) });
         }
-        if done && !self.lead.reads.is_empty() {
-            self.beat(now);
+        if done && !self.leader_state.pending_reads.is_empty() {
+            self.send_heartbeats(now);
         }
     }
 
-    // ---- hand-over
+    // ---- leadership transfer
 
-    /// Hands leadership to the member that lacks least; takes no commands meanwhile. True if there is one.
+    /// Transfers leadership to the most up-to-date reachable voter and accepts no commands meanwhile. Returns
+    /// false if there is no candidate.
     pub fn transfer_leadership(&mut self, now: Moment) -> bool {
         if self.role != Role::Leader {
             return false;
         }
         let members = &self.log.members.1;
-        let fit = self
-            .lead
-            .members
-            .iter()
-            .filter(|(id, m)| members.is_voter(**id) && now.since(m.heard) < self.times.election_timeout);
-        let Some(to) = fit.max_by_key(|(_, member)| member.matched).map(|fit| *fit.0) else { return false };
-        self.lead.handing = Some((to, now + self.times.election_timeout));
-        self.hand_now(to);
+        let candidates = self.leader_state.progress.iter().filter(|(id, m)| {
+            members.is_voter(**id) && now.since(m.last_contact) < self.config.election_timeout
+        });
+        let Some(to) =
+            candidates.max_by_key(|(_, member)| member.match_index).map(|candidates| *candidates.0)
+        else {
+            return false;
+        };
+        self.leader_state.transfer = Some((to, now + self.config.election_timeout));
+        self.send_timeout_now(to);
         true
     }
 
-    fn hand_now(&mut self, id: Id) {
-        let ready = self.lead.members.get(&id).is_some_and(|m| m.matched == self.log.last().1);
-        if self.lead.handing.is_some_and(|handing| handing.0 == id) && ready {
-            self.say_now(id, Payload::TimeoutNow);
+    fn send_timeout_now(&mut self, id: Id) {
+        let ready = self.leader_state.progress.get(&id).is_some_and(|m| m.match_index == self.log.last().1);
+        if self.leader_state.transfer.is_some_and(|transfer| transfer.0 == id) && ready {
+            self.send_now(id, Payload::TimeoutNow);
         }
     }
 
-    // ---- members
+    // ---- membership
 
-    /// A connection to a member broke: what was under way may be lost.
+    /// The connection to a member broke; messages in flight may be lost.
     pub fn on_connection_lost(&mut self, id: Id) {
-        if let Some(member) = self.lead.members.get_mut(&id) {
-            member.under_way = 0;
-            member.next = member.matched + 1;
-            if !matches!(member.feeding, Feeding::Pieces(..)) {
-                member.feeding = Feeding::Seeking;
+        if let Some(member) = self.leader_state.progress.get_mut(&id) {
+            member.in_flight = 0;
+            member.next_index = member.match_index + 1;
+            if !matches!(member.mode, ReplicationMode::Snapshot(..)) {
+                member.mode = ReplicationMode::Probe;
             }
         }
     }
 
-    /// What a member is known to have on its disk, and when it was heard; for a leader.
+    /// On the leader: the index a member is known to have on disk, and when it was last heard from.
     pub fn progress(&self, id: Id) -> Option<(Index, Moment)> {
-        self.lead.members.get(&id).map(|member| (member.matched, member.heard))
+        self.leader_state.progress.get(&id).map(|member| (member.match_index, member.last_contact))
     }
 
-    /// Whether a learner has so little left to learn that its vote would not hold others up.
+    /// Whether a learner is close enough to the end of the log that giving it a vote would not delay commits.
     pub fn is_caught_up(&self, id: Id) -> bool {
-        let close = |member: &Progress| member.matched > 0 && member.matched + CLOSE >= self.log.last().1;
-        self.lead.members.get(&id).is_some_and(close)
+        let is_close = |member: &Progress| {
+            member.match_index > 0 && member.match_index + CAUGHT_UP_MARGIN >= self.log.last().1
+        };
+        self.leader_state.progress.get(&id).is_some_and(is_close)
     }
 
-    /// Proposes who belongs from here on. One voter more or less at a time: any two majorities then share a member.
+    /// Proposes a new membership. It may differ by one voter, so that any two consecutive majorities overlap.
     pub fn change_members(&mut self, now: Moment, members: Members) -> Result<(Term, Index), RaftError> {
-        if self.role != Role::Leader || self.lead.handing.is_some() {
+        if self.role != Role::Leader || self.leader_state.transfer.is_some() {
             return Err(RaftError::NotLeader);
         }
-        // An earlier leader's change may not be committed, but may yet be: with ours it could be two at once.
-        if self.commit_index < self.lead.first || self.log.members.0 > self.commit_index {
+        // An uncommitted change by an earlier leader may still be committed; together with ours that would be
+        // two changes at once.
+        if self.commit_index < self.leader_state.first_index || self.log.members.0 > self.commit_index {
             return Err(RaftError::ChangePending);
         }
         let before: Vec<Id> = self.log.members.1.voters().collect();
         let after: Vec<Id> = members.voters().collect();
         let changed = before.iter().filter(|id| !after.contains(id)).count()
             + after.iter().filter(|id| !before.contains(id)).count();
-        let known = &self.log.members.1;
-        let raised = members
+        let current = &self.log.members.1;
+        let gives_observer_vote = members
             .list
             .iter()
-            .any(|member| member.is_voter && (member.is_observer || known.is_observer(member.id)));
-        if changed > 1 || after.is_empty() || after.contains(&0) || raised {
+            .any(|member| member.is_voter && (member.is_observer || current.is_observer(member.id)));
+        if changed > 1 || after.is_empty() || after.contains(&0) || gives_observer_vote {
             return Err(RaftError::InvalidChange);
         }
-        let index = self.extend(Body::Members(members));
-        self.meet(now);
+        let index = self.append_local(Body::Members(members));
+        self.track_members(now);
         Ok((self.log.term, index))
     }
 
@@ -378,25 +406,25 @@
         self.log.members.1.find(id)
     }
 
-    /// When this member last heard enough of the others to know what is committed: a leader a majority, others
-    /// the leader.
+    /// When this member last had contact that tells it what is committed: for a leader contact with a
+    /// majority, for others with the leader.
     pub fn last_quorum_contact(&self, now: Moment) -> Option<Moment> {
         if self.role != Role::Leader {
-            return self.heard;
+            return self.last_leader_contact;
         }
-        let heard_of = |id: Id| {
+        let contact_of = |id: Id| {
             if id == self.id {
                 now
             } else {
-                self.lead.members.get(&id).map_or(Moment(0), |m| m.heard)
+                self.leader_state.progress.get(&id).map_or(Moment(0), |m| m.last_contact)
             }
         };
-        let mut heard: Vec<Moment> = self.log.members.1.voters().map(heard_of).collect();
-        heard.sort_unstable_by(|a, b| b.cmp(a));
-        heard.get(self.log.members.1.majority() - 1).copied()
+        let mut contacts: Vec<Moment> = self.log.members.1.voters().map(contact_of).collect();
+        contacts.sort_unstable_by(|a, b| b.cmp(a));
+        contacts.get(self.log.members.1.majority() - 1).copied()
     }
 
     pub fn leading_since(&self) -> Option<(Moment, Term)> {
-        (self.role == Role::Leader).then_some((self.lead.since, self.log.term))
+        (self.role == Role::Leader).then_some((self.leader_state.leading_since, self.log.term))
     }
 }
--- a/crates/raft/src/lib.rs
+++ b/crates/raft/src/lib.rs
@@ -1,52 +1,56 @@
-//! Agreement on a log among 1 to 7 members: Raft ("In Search of an Understandable Consensus Algorithm", 2014) with
-//! the dissertation's trial votes, leaders that give up without a majority's answers, hand-over, reads that confirm
-//! leadership, learners, and changes of members one voter at a time (with the erratum: none before the leader has
-//! committed in its own term). Beside the voters any number of observers are kept up to date; they never vote.
+//! Raft consensus among 1 to 7 voters ("In Search of an Understandable Consensus Algorithm", 2014), with these
+//! parts of the dissertation: pre-votes, leaders that step down without a majority's acknowledgements, leadership
+//! transfer, reads confirmed by a heartbeat round, learners, and membership changes one voter at a time (including
+//! the erratum: no change before the leader has committed an entry of its own term). Any number of observers
+//! receive the log as well; they never vote.
 //!
-//! A state machine without I/O, clock or thread: inputs are method calls that carry the moment, what it wants done
-//! comes out of `take`. It contains no transport, no disk and no meaning of commands. Call `tick` at `due()` or
-//! later; a spurious call is harmless.
+//! This is a state machine without I/O, clock or threads: inputs are method calls that carry the current time, and
+//! the resulting actions are collected with `take_actions`. Transport, storage and the meaning of commands are the
+//! caller's. Call `tick` at `next_tick()` or later; a spurious call is harmless.
 //!
-//! - **Durable first.** Each `Effect::Save` has a ticket. A vote or an acknowledgement leaves only after `synced` of
-//!   the ticket it rests on; a leader counts itself only up to what is synced. Entries go out to others meanwhile.
-//! - **Identity is the disk.** A member's id is drawn when its disk is made. One that lost its disk is another
-//!   member and cannot vote as its old self.
-//! - **Bounds.** Entries in one message, messages under way to one member, a snapshot's bytes and those of a piece.
-//!   The log in memory is the caller's to bound, by `compact`.
+//! - **Durability.** Each `Action::Save` has a ticket. A vote or an acknowledgement is sent only after `on_synced` was
+//!   called for the ticket it depends on; a leader counts its own log only up to what is synced. Entries are sent to
+//!   other members in the meantime.
+//! - **Identity.** A member's id is drawn when its disk is created. A member that lost its disk comes back as another
+//!   member and cannot vote under the old id.
+//! - **Limits.** Bounded are the entries in one message, the messages in flight to one member, the size of a snapshot
+//!   and that of a chunk. The caller bounds the log in memory with `compact`.
 #![forbid(unsafe_code)]
 
-mod ballot;
+mod election;
 mod leader;
 mod log;
-mod machine;
+mod raft_node;
 
 pub use log::{Log, Snapshot};
-pub use machine::RaftNode;
+pub use raft_node::RaftNode;
 
 use pewtergap_time::Span;
 
-/// A member, by the number drawn when its disk was made.
+/// A member's id, drawn when its disk is created.
 pub type Id = u64;
 pub type Term = u64;
 pub type Index = u64;
 
-/// Who belongs, and where each is found. The names and addresses are for the caller's sake.
+/// The membership. Names and addresses are kept on behalf of the caller.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Members {
     pub list: Vec<Member>,
-    /// Ids that were replaced, oldest first: whoever comes under one of them is refused. The last few are kept.
+    /// Ids that were replaced, oldest first; a connection under one of them is refused. Only the most recent
+    /// are kept.
     pub retired: Vec<Id>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// 0 while it is expected and its disk is not known.
+    /// 0 while the member is expected and the id of its disk is unknown.
     pub id: Id,
     pub name: String,
     pub address: String,
     pub is_voter: bool,
-    /// It is fed like all others and never gets a vote: no majority counts it, it grants nobody one and never stands. Its
-    /// disk stays an observer for good; to vote, its place has to be given up and another disk to come.
+    /// Receives the log but never votes: it does not count towards a majority, grants no votes and never
+    /// starts an election. Its disk stays an observer's for good; to get a vote, the member has to be removed
+    /// and come back with a new disk.
     pub is_observer: bool,
 }
 
@@ -71,7 +75,7 @@
         self.find(id).is_some_and(|member| member.is_observer)
     }
 
-    /// More than half of the voters.
+    /// The number of voters that form a majority.
     pub fn majority(&self) -> usize {
         self.voters().count() / 2 + 1
     }
@@ -79,7 +83,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Body {
-    /// A leader's first entry: commits what earlier terms left.
+    /// A leader's first entry; commits what earlier terms left uncommitted.
     Empty,
     Command(Vec<u8>),
     Members(Members),
@@ -91,8 +95,8 @@
     pub body: Body,
 }
 
-/// What a member keeps on its disk, in order; the last of a kind counts, and an entry replaces the one of its index
-/// and all that follow it.
+/// A record in a member's log file. Records are ordered: the last one of a kind counts, and an entry replaces
+/// the one with the same index and all that follow.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WalRecord {
     HardState { term: Term, vote: Id },
@@ -108,14 +112,15 @@
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Payload {
-    /// Would you vote for me in this term? Changes nothing at either end.
+    /// Asks whether the receiver would grant a vote in this term. Changes no state on either side.
     PreVoteRequest {
         last_log: (Term, Index),
     },
     PreVoteResponse {
         granted: bool,
     },
-    /// `handed`: the leader itself asked for it, so nobody holds on to that leader.
+    /// `leader_transfer`: sent at the leader's own request, so receivers ignore their contact with that
+    /// leader.
     VoteRequest {
         last_log: (Term, Index),
         leader_transfer: bool,
@@ -129,8 +134,8 @@
         commit: Index,
         round: u64,
     },
-    /// Up to `matched` the logs are the same and on the member's disk, or `refused`: it has nothing of that kind
-    /// beyond `matched`.
+    /// The logs match up to `match_index` and that part is on the member's disk; if `rejected`, the member
+    /// has no matching entry beyond `match_index`.
     AppendResponse {
         rejected: bool,
         match_index: Index,
@@ -141,12 +146,12 @@
         offset: u64,
         total_bytes: u64,
     },
-    /// So many bytes of the snapshot of this index are here.
+    /// How many bytes of the snapshot with this index have arrived.
     SnapshotChunkAck {
         index: Index,
         bytes_received: u64,
     },
-    /// Stand for election at once.
+    /// Start an election at once.
     TimeoutNow,
 }
 
@@ -156,62 +161,63 @@
         to: Id,
         message: Message,
     },
-    /// Put on disk, after all that was saved before, and answer by `synced`. With `anew` what was saved before is
-    /// replaced by these rows.
+    /// Write these records to disk after all earlier ones and report back with `on_synced`. With
+    /// `replace_all` they replace everything written before.
     Save {
         ticket: u64,
         records: Vec<WalRecord>,
         replace_all: bool,
     },
-    /// In the order of the log, each once.
+    /// Delivered in log order, each entry once.
     Commit {
         index: Index,
         entry: Entry,
     },
-    /// All that was committed so far is replaced by this.
+    /// The snapshot replaces all state applied so far.
     Restore(Snapshot),
-    /// A read that was asked for may be answered once all up to `index` is applied.
+    /// A requested read may be answered once everything up to `index` is applied.
     ReadReady {
         token: u64,
         index: Index,
     },
-    /// Leadership was lost before it could be confirmed.
+    /// Leadership was lost before the read could be confirmed.
     ReadFailed {
         token: u64,
     },
-    /// A member's log is shorter than what it acknowledged: its disk is an old copy.
+    /// A member's log ends before what it has acknowledged, so its disk is an old copy.
     LogRegressed {
         id: Id,
     },
-    /// Who leads has changed, or the role of this one.
+    /// The leader or this member's role has changed.
     RoleChanged,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Role {
     Follower,
-    /// Asks whether it would be voted for.
+    /// Sends pre-votes.
     Trying,
     Candidate,
     Leader,
 }
 
-/// Why nothing was taken in.
+/// Why a request was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RaftError {
     NotLeader,
-    /// Nothing of its own term is committed yet, or another change of members is under way.
+    /// No entry of the current term is committed yet, or another membership change is pending.
     ChangePending,
-    /// It is no change of one voter, or leaves none; or it gives an observer a vote.
+    /// The change differs by more than one voter, leaves no voter, or gives an observer a vote.
     InvalidChange,
-    /// Too much waits.
+    /// Too many requests are waiting.
     QueueFull,
 }
 
 #[derive(Clone, Copy, Debug)]
 pub struct RaftConfig {
-    /// A leader speaks to each member at least this often.
+    /// A leader sends to each member at least this often.
     pub heartbeat_interval: Span,
-    /// Silence of a leader that makes a member stand, at least; up to twice that by chance.
+    /// A member starts an election after hearing from no leader for this time plus a random part of up to as
+    /// much again.
     pub election_timeout: Span,
 }
--- a/crates/raft/src/log.rs
+++ b/crates/raft/src/log.rs
@@ -1,9 +1,9 @@
-//! The log in memory: entries after a base, and who belongs by the newest entry that says so.
+//! The log in memory: the entries after a base index and the membership they imply.
 
 use crate::{Body, Entry, Id, Index, Members, Term, WalRecord};
 use std::collections::VecDeque;
 
-/// All that entries up to an index led to.
+/// The state that results from all entries up to an index.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Snapshot {
     pub index: Index,
@@ -16,21 +16,21 @@
 pub struct Log {
     pub term: Term,
     pub voted_for: Id,
-    /// The entry before the first that is held.
+    /// The entry before the first one held.
     base: (Term, Index),
     entries: VecDeque<Entry>,
     pub snapshot: Option<Snapshot>,
-    /// The entry that said who belongs (0: nobody has), and who.
+    /// The index of the entry that set the membership (0: none has), and the membership.
     pub members: (Index, Members),
 }
 
 impl Log {
-    /// From what a disk holds, in its order. Rows that cannot follow what was before are an error: the store has
-    /// checked that they are whole, so this would be a fault of the program.
-    pub fn from_records(rows: impl IntoIterator<Item = WalRecord>) -> Result<Log, String> {
+    /// Rebuilds the log from a disk's records, in order. A record that cannot follow its predecessors is an
+    /// error: the store has checked that the records are intact, so this would be a bug.
+    pub fn from_records(records: impl IntoIterator<Item = WalRecord>) -> Result<Log, String> {
         let mut log = Log::default();
-        for row in rows {
-            match row {
+        for record in records {
+            match record {
                 WalRecord::HardState { term, vote } if term < log.term => {
                     return Err(format!("term {term} (vote {vote}) after term {}", log.term));
                 }
@@ -61,7 +61,7 @@
         self.entries.len()
     }
 
-    /// The term of an entry; nothing if it lies before the base or after the end.
+    /// The term of an entry; `None` before the base or after the end.
     pub fn term_at(&self, index: Index) -> Option<Term> {
         match index.checked_sub(self.base.1)? {
             0 => Some(self.base.0),
@@ -73,16 +73,16 @@
         self.entries.get(index.checked_sub(self.base.1 + 1)? as usize)
     }
 
-    /// Entries from an index on, as many as the bytes allow, one at least.
-    pub fn entries_from(&self, index: Index, most: usize) -> Vec<Entry> {
+    /// Entries from an index on, limited by their size in bytes but at least one.
+    pub fn entries_from(&self, index: Index, max_bytes: usize) -> Vec<Entry> {
         let mut bytes = 0;
-        let from = (index - self.base.1 - 1) as usize;
+        let start = (index - self.base.1 - 1) as usize;
         let fits = |entry: &&Entry| {
             let first = bytes == 0;
             bytes += entry.size();
-            first || bytes <= most
+            first || bytes <= max_bytes
         };
-        self.entries.iter().skip(from).take_while(fits).cloned().collect()
+        self.entries.iter().skip(start).take_while(fits).cloned().collect()
     }
 
     pub fn push(&mut self, entry: Entry) -> Index {
@@ -93,7 +93,7 @@
         self.last().1
     }
 
-    /// Drops the entry of this index and all after it.
+    /// Drops the entry at this index and all later ones.
     pub fn truncate_from(&mut self, index: Index) {
         self.entries.truncate((index - self.base.1 - 1) as usize);
         if self.members.0 >= index {
@@ -101,18 +101,18 @@
         }
     }
 
-    /// Who belongs by the entries up to an index.
-    pub fn members_at(&self, upto: Index) -> (Index, Members) {
+    /// The membership according to the entries up to an index.
+    pub fn members_at(&self, last: Index) -> (Index, Members) {
         let from_snapshot = self.snapshot.as_ref().map(|snapshot| (snapshot.index, snapshot.members.clone()));
-        let held = (self.base.1 + 1..=upto).rev().find_map(|index| match &self.get(index)?.body {
+        let from_entries = (self.base.1 + 1..=last).rev().find_map(|index| match &self.get(index)?.body {
             Body::Members(members) => Some((index, members.clone())),
             _ => None,
         });
-        // A snapshot may reach beyond the base: what is newer counts.
-        held.into_iter().chain(from_snapshot).max_by_key(|said| said.0).unwrap_or_default()
+        // A snapshot may reach beyond the base, so the newer of both wins.
+        from_entries.into_iter().chain(from_snapshot).max_by_key(|found| found.0).unwrap_or_default()
     }
 
-    /// A snapshot takes the place of the entries up to `base`, which is no further than it reaches.
+    /// Replaces the entries up to `base` by a snapshot that covers at least these.
     pub fn compact(&mut self, snapshot: Snapshot, base: Index) {
         let base = base.max(self.base.1);
         if let Some(term) = self.term_at(base) {
@@ -122,7 +122,7 @@
         self.snapshot = Some(snapshot);
     }
 
-    /// A snapshot takes the place of everything.
+    /// Replaces the whole log by a snapshot.
     pub fn restore(&mut self, snapshot: Snapshot) {
         self.entries.clear();
         self.base = (snapshot.term, snapshot.index);
@@ -130,21 +130,21 @@
         self.snapshot = Some(snapshot);
     }
 
-    /// All that has to be on a disk, shortest first.
+    /// The shortest sequence of records that restores this log.
     pub fn to_records(&self) -> Vec<WalRecord> {
         let from = self.snapshot.as_ref().map_or(self.base.1, |snapshot| snapshot.index);
-        let mut rows: Vec<WalRecord> = self.snapshot.iter().cloned().map(WalRecord::Snapshot).collect();
-        rows.push(WalRecord::HardState { term: self.term, vote: self.voted_for });
+        let mut records: Vec<WalRecord> = self.snapshot.iter().cloned().map(WalRecord::Snapshot).collect();
+        records.push(WalRecord::HardState { term: self.term, vote: self.voted_for });
         let entries = (from + 1..=self.last().1).filter_map(|index| {
             self.get(index).map(|entry| WalRecord::Entry { index, entry: entry.clone() })
         });
-        rows.extend(entries);
-        rows
+        records.extend(entries);
+        records
     }
 }
 
 impl Entry {
-    /// About what it takes on a link.
+    /// The approximate size on the wire.
     pub fn size(&self) -> usize {
         16 + match &self.body {
             Body::Empty => 0,
--- a/crates/raft/tests/interleavings.rs
+++ b/crates/raft/tests/interleavings.rs
@@ -1,10 +1,11 @@
-//! Three members, two commands, one kill and one election: every order of what can happen next, to a stated depth.
+//! Explores every order of events, to a fixed depth, for three members with two commands, one crash and one
+//! election timeout.
 
-mod stage;
+mod cluster;
 
+use cluster::*;
 use pewtergap_raft::Id;
 use pewtergap_time::Span;
-use stage::*;
 use std::collections::hash_map::DefaultHasher;
 use std::collections::HashSet;
 use std::hash::{Hash, Hasher};
@@ -12,79 +13,79 @@
 const DEPTH: usize = 7;
 
 #[derive(Clone, Copy, Debug)]
-enum Next {
+enum Event {
     Deliver(Id, Id),
     Sync(Id),
-    Kill(Id, usize),
+    Crash(Id, usize),
     Start(Id),
-    /// Long enough for this member to stand.
-    Late(Id),
+    /// Time advances far enough for this member to start an election.
+    ElectionTimeout(Id),
 }
 
-fn choices(stage: &Stage, kills: usize, lates: usize) -> Vec<Next> {
-    let mut next: Vec<Next> =
-        stage.under_way().into_iter().map(|link| Next::Deliver(link.0, link.1)).collect();
-    for id in stage.ids() {
-        let (saving, running) = stage.saving(id);
-        next.extend((saving && running).then_some(Next::Sync(id)));
-        next.extend((!running).then_some(Next::Start(id)));
-        if running && kills > 0 {
-            next.push(Next::Kill(id, 0));
-            next.extend(saving.then_some(Next::Kill(id, 1)));
+fn choices(cluster: &TestCluster, crashes: usize, timeouts: usize) -> Vec<Event> {
+    let mut next: Vec<Event> =
+        cluster.deliverable_links().into_iter().map(|link| Event::Deliver(link.0, link.1)).collect();
+    for id in cluster.ids() {
+        let (saving, running) = cluster.save_status(id);
+        next.extend((saving && running).then_some(Event::Sync(id)));
+        next.extend((!running).then_some(Event::Start(id)));
+        if running && crashes > 0 {
+            next.push(Event::Crash(id, 0));
+            next.extend(saving.then_some(Event::Crash(id, 1)));
         }
-        next.extend((running && lates > 0).then_some(Next::Late(id)));
+        next.extend((running && timeouts > 0).then_some(Event::ElectionTimeout(id)));
     }
     next
 }
 
 fn explore(
-    stage: &Stage,
+    cluster: &TestCluster,
     left: (usize, usize, usize),
-    met: &mut HashSet<u64>,
-    path: &mut Vec<Next>,
+    seen: &mut HashSet<u64>,
+    path: &mut Vec<Event>,
 ) -> usize {
-    let (depth, kills, lates) = left;
+    let (depth, crashes, timeouts) = left;
     let mut digest = DefaultHasher::new();
-    format!("{stage:?}{left:?}").hash(&mut digest);
-    if depth == 0 || !met.insert(digest.finish()) {
+    format!("{cluster:?}{left:?}").hash(&mut digest);
+    if depth == 0 || !seen.insert(digest.finish()) {
         return 0;
     }
     let mut count = 1;
-    for next in choices(stage, kills, lates) {
-        let mut stage = stage.clone();
-        let mut left = (depth - 1, kills, lates);
+    for next in choices(cluster, crashes, timeouts) {
+        let mut cluster = cluster.clone();
+        let mut left = (depth - 1, crashes, timeouts);
         match next {
-            Next::Deliver(from, to) => stage.deliver((from, to)),
-            Next::Sync(id) => stage.sync(id),
-            Next::Kill(id, reached) => {
-                stage.kill(id, reached);
+            Event::Deliver(from, to) => cluster.deliver((from, to)),
+            Event::Sync(id) => cluster.sync(id),
+            Event::Crash(id, reached) => {
+                cluster.crash(id, reached);
                 left.1 -= 1;
             }
-            Next::Start(id) => stage.start(id),
-            Next::Late(id) => {
-                stage.now = stage.now + Span::millis(700);
-                stage.tick(id);
+            Event::Start(id) => cluster.start(id),
+            Event::ElectionTimeout(id) => {
+                cluster.now = cluster.now + Span::millis(700);
+                cluster.tick(id);
                 left.2 -= 1;
             }
         }
         path.push(next);
-        assert!(stage.wrong.is_none(), "{:?} after {path:?}", stage.wrong);
-        count += explore(&stage, left, met, path);
+        assert!(cluster.violation.is_none(), "{:?} after {path:?}", cluster.violation);
+        count += explore(&cluster, left, seen, path);
         path.pop();
     }
     count
 }
 
 #[test]
-fn two_commands_one_kill_and_one_election_in_every_order() {
-    let mut stage = Stage::new(3, Plant::Nothing);
-    stage.settle(2_000);
-    let leader = stage.leader().expect("a leader");
+fn every_order_of_two_commands_one_crash_and_one_election_is_safe() {
+    let mut cluster = TestCluster::new(3, InjectedFault::None);
+    cluster.run(2_000);
+    let leader = cluster.leader().expect("a leader");
     for command in [b"one".to_vec(), b"two".to_vec()] {
-        stage.with(leader, |agree, _| agree.propose(command)).expect("running").expect("taken in");
+        cluster.with_raft(leader, |raft, _| raft.propose(command)).expect("running").expect("accepted");
     }
-    let mut met = HashSet::new();
-    let states = explore(&stage, (DEPTH, 1, 1), &mut met, &mut Vec::new());
+    let mut seen = HashSet::new();
+    let states = explore(&cluster, (DEPTH, 1, 1), &mut seen, &mut Vec::new());
     println!("{states} states within {DEPTH} steps");
     assert!(states > 1_000, "{states}");
 }
--- a/crates/raft/tests/schedules.rs
+++ b/crates/raft/tests/schedules.rs
@@ -1,212 +1,220 @@
-//! Thousands of schedules of delivery, loss, cuts, kills and late disks; safety is checked after each step.
+//! Random schedules of delivery, message loss, cut links, crashes and delayed syncs; safety is checked after
+//! each step.
 
-mod stage;
+mod cluster;
 
+use cluster::*;
 use pewtergap_raft::{RaftError, Role};
 use proptest::prelude::*;
-use stage::*;
 
-/// One step of a schedule: what, to whom, how much.
+/// One step of a schedule: operation, member, parameter.
 type Step = (u8, u8, u8);
 
-fn play(members: u64, steps: &[Step], plant: Plant) -> Stage {
-    play_on(Stage::new(members, plant), steps, plant)
+fn run_schedule(members: u64, steps: &[Step], fault: InjectedFault) -> TestCluster {
+    run_schedule_on(TestCluster::new(members, fault), steps, fault)
 }
 
-fn play_on(mut stage: Stage, steps: &[Step], plant: Plant) -> Stage {
+fn run_schedule_on(mut cluster: TestCluster, steps: &[Step], fault: InjectedFault) -> TestCluster {
     let mut commands = 0u64;
-    for (what, whom, much) in steps {
-        let ids = stage.ids();
-        let id = ids[*whom as usize % ids.len()];
-        let other = ids[*much as usize % ids.len()];
-        match what % 32 {
+    for (operation, member, parameter) in steps {
+        let ids = cluster.ids();
+        let id = ids[*member as usize % ids.len()];
+        let other = ids[*parameter as usize % ids.len()];
+        match operation % 32 {
             0..=10 => {
-                let links = stage.under_way();
+                let links = cluster.deliverable_links();
                 if !links.is_empty() {
-                    stage.deliver(links[*whom as usize % links.len()]);
+                    cluster.deliver(links[*member as usize % links.len()]);
                 }
             }
-            11..=16 => stage.sync(id),
+            11..=16 => cluster.sync(id),
             17..=19 => {
-                stage.now = stage.now + pewtergap_time::Span::millis(u64::from(*much) + 20);
-                stage.tick(id);
+                cluster.now = cluster.now + pewtergap_time::Span::millis(u64::from(*parameter) + 20);
+                cluster.tick(id);
             }
             20..=22 => {
                 commands += 1;
-                stage.with(id, |agree, _| agree.propose(commands.to_be_bytes().to_vec()));
+                cluster.with_raft(id, |raft, _| raft.propose(commands.to_be_bytes().to_vec()));
             }
-            23 => stage.set_cut(id, other, id != other),
-            24 => stage.heal(),
+            23 => cluster.set_link_cut(id, other, id != other),
+            24 => cluster.heal(),
             25 => {
-                stage.kill(id, *much as usize % 3);
-                if plant == Plant::OldNumber && much % 2 == 0 {
-                    let first = stage.disk(id).into_iter().take(1).collect();
-                    stage.wipe(id, first);
+                cluster.crash(id, *parameter as usize % 3);
+                if fault == InjectedFault::ReusedId && parameter % 2 == 0 {
+                    let first = cluster.disk(id).into_iter().take(1).collect();
+                    cluster.wipe(id, first);
                 }
             }
-            26 => stage.start(id),
-            27 => stage.drop_link((id, other)),
+            26 => cluster.start(id),
+            27 => cluster.drop_link((id, other)),
             28 => {
-                stage.with(id, |agree, _| {
-                    let at = agree.applied_index();
-                    agree.compact(at, at.to_be_bytes().to_vec(), u64::from(*much) % 8);
+                cluster.with_raft(id, |raft, _| {
+                    let at = raft.applied_index();
+                    raft.compact(at, at.to_be_bytes().to_vec(), u64::from(*parameter) % 8);
                 });
             }
-            29 => stage.read(id),
-            30 => drop(stage.with(id, |agree, now| agree.transfer_leadership(now))),
+            29 => cluster.read(id),
+            30 => drop(cluster.with_raft(id, |raft, now| raft.transfer_leadership(now))),
             _ => {
-                // A voter less, or the same one again as a learner and then as a voter.
-                stage.with(id, |agree, now| {
-                    let mut members = agree.members().clone();
+                // Removes a voter, or adds it back, first as a learner and then as a voter.
+                cluster.with_raft(id, |raft, now| {
+                    let mut members = raft.members().clone();
                     if let Some(member) = members.list.iter_mut().find(|member| member.id == other) {
                         member.is_voter = !member.is_voter;
                     }
-                    agree.change_members(now, members)
+                    raft.change_members(now, members)
                 });
             }
         }
-        if stage.wrong.is_some() {
-            return stage;
+        if cluster.violation.is_some() {
+            return cluster;
         }
     }
-    stage.heal();
-    for id in stage.ids() {
-        stage.start(id);
+    cluster.heal();
+    for id in cluster.ids() {
+        cluster.start(id);
     }
-    stage.settle(3_000);
-    if stage.wrong.is_none() {
-        stage.check_end();
+    cluster.run(3_000);
+    if cluster.violation.is_none() {
+        cluster.check_final_state();
     }
-    stage
+    cluster
 }
 
 fn steps(most: usize) -> impl Strategy<Value = Vec<Step>> {
     prop::collection::vec(any::<Step>(), 100..most)
 }
 
-fn kept_failures() -> ProptestConfig {
+fn proptest_config() -> ProptestConfig {
     ProptestConfig { cases: 1_500, failure_persistence: None, ..ProptestConfig::default() }
 }
 
 proptest! {
-    #![proptest_config(kept_failures())]
+    #![proptest_config(proptest_config())]
 
     #[test]
-    fn nothing_committed_is_lost_or_changed_whatever_is_delivered_lost_cut_or_killed(
+    fn committed_entries_survive_message_loss_partitions_and_crashes(
         members in prop::sample::select(vec![1u64, 3, 5]),
         steps in steps(700),
     ) {
-        let stage = play(members, &steps, Plant::Nothing);
-        prop_assert_eq!(stage.wrong, None);
+        let cluster = run_schedule(members, &steps, InjectedFault::None);
+        prop_assert_eq!(cluster.violation, None);
     }
 }
 
 proptest! {
-    #![proptest_config(ProptestConfig { cases: 600, ..kept_failures() })]
+    #![proptest_config(ProptestConfig { cases: 600, ..proptest_config() })]
 
     #[test]
-    fn observers_follow_and_never_vote_stand_or_lead_whatever_is_delivered_lost_cut_or_killed(
+    fn observers_replicate_and_never_vote_or_lead_under_any_faults(
         voters in prop::sample::select(vec![1u64, 3]),
-        observers in 1u64..4,
+        observer_count in 1u64..4,
         steps in steps(700),
     ) {
-        let stage = play_on(Stage::with_observers(voters, observers, Plant::Nothing), &steps, Plant::Nothing);
-        prop_assert_eq!(&stage.wrong, &None);
-        // All faults have passed: whoever observes has what is committed.
-        let applied = |id| stage.agree(id).map(|agree| agree.applied_index());
-        let leader = stage.leader().and_then(applied);
-        for id in voters + 1..=voters + observers {
+        let cluster = run_schedule_on(TestCluster::with_observers(voters, observer_count, InjectedFault::None), &steps, InjectedFault::None);
+        prop_assert_eq!(&cluster.violation, &None);
+        // All faults are over: observers must have everything that is committed.
+        let applied = |id| cluster.raft(id).map(|raft| raft.applied_index());
+        let leader = cluster.leader().and_then(applied);
+        for id in voters + 1..=voters + observer_count {
             prop_assert_eq!(applied(id), leader, "observer {}", id);
         }
     }
 }
 
 #[test]
-fn observers_alone_keep_nothing_confirm_no_read_and_hold_no_leader_up() {
-    let mut stage = Stage::with_observers(3, 4, Plant::Nothing);
-    stage.settle(2_000);
-    let leader = stage.leader().expect("a leader");
-    let propose = |stage: &mut Stage| stage.with(leader, |agree, _| agree.propose(b"x".to_vec()));
-    propose(&mut stage).expect("running").expect("taken in");
-    stage.settle(500);
-    let kept = stage.agree(leader).expect("running").commit_index();
+fn observers_do_not_count_towards_commits_reads_or_leader_contact() {
+    let mut cluster = TestCluster::with_observers(3, 4, InjectedFault::None);
+    cluster.run(2_000);
+    let leader = cluster.leader().expect("a leader");
+    let propose =
+        |cluster: &mut TestCluster| cluster.with_raft(leader, |raft, _| raft.propose(b"x".to_vec()));
+    propose(&mut cluster).expect("running").expect("accepted");
+    cluster.run(500);
+    let kept = cluster.raft(leader).expect("running").commit_index();
     assert!(
-        (4..=7).all(|id| stage.agree(id).expect("running").applied_index() == kept),
-        "all observers have it"
+        (4..=7).all(|id| cluster.raft(id).expect("running").applied_index() == kept),
+        "all observers have applied it"
     );
-    // Four of seven hear the leader, none of them a voter.
+    // The leader reaches four of seven members, but none of them is a voter.
     for voter in (1..=3).filter(|id| *id != leader) {
-        stage.set_cut(leader, voter, true);
-        stage.set_cut(voter, leader, true);
+        cluster.set_link_cut(leader, voter, true);
+        cluster.set_link_cut(voter, leader, true);
     }
-    let (_, index) = propose(&mut stage).expect("running").expect("taken in");
-    let reads = stage.read;
-    stage.read(leader);
-    stage.settle(200);
-    assert_eq!(stage.agree(4).expect("running").last().1, index, "observers have it on disk");
-    assert_eq!(stage.agree(leader).expect("running").commit_index(), kept, "and nobody counts them");
-    assert_eq!(stage.read, reads, "nor for a read");
-    stage.settle(2_000);
-    assert_ne!(stage.leader(), Some(leader), "it gave up, the other two go on");
-    stage.heal();
-    stage.settle(2_000);
-    assert_eq!(stage.wrong, None);
+    let (_, index) = propose(&mut cluster).expect("running").expect("accepted");
+    let reads = cluster.read;
+    cluster.read(leader);
+    cluster.run(200);
+    assert_eq!(cluster.raft(4).expect("running").last().1, index, "observers have it on disk");
+    assert_eq!(
+        cluster.raft(leader).expect("running").commit_index(),
+        kept,
+        "observers do not count towards a commit"
+    );
+    assert_eq!(cluster.read, reads, "observers do not confirm a read");
+    cluster.run(2_000);
+    assert_ne!(cluster.leader(), Some(leader), "the leader steps down and the other two elect another");
+    cluster.heal();
+    cluster.run(2_000);
+    assert_eq!(cluster.violation, None);
 }
 
 #[test]
-fn an_observer_gets_a_snapshot_and_no_change_gives_it_a_vote() {
-    let mut stage = Stage::with_observers(3, 1, Plant::Nothing);
-    stage.settle(2_000);
-    stage.kill(4, 0);
-    let leader = stage.leader().expect("a leader");
+fn an_observer_catches_up_by_snapshot_and_cannot_become_a_voter() {
+    let mut cluster = TestCluster::with_observers(3, 1, InjectedFault::None);
+    cluster.run(2_000);
+    cluster.crash(4, 0);
+    let leader = cluster.leader().expect("a leader");
     for at in 0..50u64 {
-        stage.with(leader, |agree, _| agree.propose(at.to_be_bytes().to_vec()));
-        stage.settle(20);
+        cluster.with_raft(leader, |raft, _| raft.propose(at.to_be_bytes().to_vec()));
+        cluster.run(20);
     }
-    stage.with(leader, |agree, _| {
-        let at = agree.applied_index();
-        agree.compact(at, at.to_be_bytes().to_vec(), 0);
+    cluster.with_raft(leader, |raft, _| {
+        let at = raft.applied_index();
+        raft.compact(at, at.to_be_bytes().to_vec(), 0);
     });
-    stage.start(4);
-    stage.settle(2_000);
-    let (has, wanted) = (stage.agree(4).expect("running"), stage.agree(leader).expect("running"));
+    cluster.start(4);
+    cluster.run(2_000);
+    let (has, wanted) = (cluster.raft(4).expect("running"), cluster.raft(leader).expect("running"));
     assert_eq!((has.applied_index(), has.role()), (wanted.applied_index(), Role::Follower));
-    assert!(has.entry(10).is_none(), "it came by a snapshot");
-    let leader = stage.leader().expect("a leader");
-    let mut raised = stage.agree(leader).expect("running").members().clone();
+    assert!(has.entry(10).is_none(), "it caught up by a snapshot");
+    let leader = cluster.leader().expect("a leader");
+    let mut raised = cluster.raft(leader).expect("running").members().clone();
     for observes in [true, false] {
-        let seat = raised.list.iter_mut().find(|member| member.id == 4).expect("it belongs");
+        let seat = raised.list.iter_mut().find(|member| member.id == 4).expect("a member");
         (seat.is_voter, seat.is_observer) = (true, observes);
         let members = raised.clone();
-        let refused = stage.with(leader, |agree, now| agree.change_members(now, members)).expect("running");
-        assert_eq!(refused, Err(RaftError::InvalidChange), "observes stays {observes}");
+        let refused =
+            cluster.with_raft(leader, |raft, now| raft.change_members(now, members)).expect("running");
+        assert_eq!(refused, Err(RaftError::InvalidChange), "is_observer: {observes}");
     }
-    assert_eq!(stage.wrong, None);
+    assert_eq!(cluster.violation, None);
 }
 
-/// Whether some of these schedules finds what is planted; which ones is the same every time.
-fn found(plant: Plant) -> Option<String> {
+/// The first of a fixed set of schedules that detects the injected fault.
+fn find_violation(fault: InjectedFault) -> Option<String> {
     (0..4_000).find_map(|seed| {
         let mut rng = fastrand::Rng::with_seed(seed);
         let steps: Vec<Step> = (0..700).map(|_| (rng.u8(..), rng.u8(..), rng.u8(..))).collect();
-        play(3, &steps, plant).wrong.map(|wrong| format!("schedule {seed}: {wrong}"))
+        run_schedule(3, &steps, fault).violation.map(|violation| format!("schedule {seed}: {violation}"))
     })
 }
 
 #[test]
-fn a_leader_voted_out_before_anybody_knew_still_brings_the_others_on() {
-    // Schedule 1282: it alone had the longest log, was no voter by it, and nobody without that log could win.
+fn a_removed_leader_with_the_longest_log_can_still_be_elected() {
+    // In schedule 1282 the removed leader alone has the longest log and is no voter by it; the others cannot
+    // win without that log.
     let mut rng = fastrand::Rng::with_seed(1282);
     let steps: Vec<Step> = (0..700).map(|_| (rng.u8(..), rng.u8(..), rng.u8(..))).collect();
-    assert_eq!(play(3, &steps, Plant::Nothing).wrong, None);
+    assert_eq!(run_schedule(3, &steps, InjectedFault::None).violation, None);
 }
 
 #[test]
-fn a_disk_that_lies_and_a_wiped_member_that_votes_again_are_found() {
-    for plant in [Plant::LyingDisk, Plant::OldNumber] {
-        let found = found(plant);
-        println!("{plant:?}: {found:?}");
-        assert!(found.is_some(), "{plant:?} was not found");
+fn false_syncs_and_reused_ids_are_detected() {
+    for fault in [InjectedFault::FalseSync, InjectedFault::ReusedId] {
+        let violation = find_violation(fault);
+        println!("{fault:?}: {violation:?}");
+        assert!(violation.is_some(), "{fault:?} was not detected");
     }
-    assert_eq!(found(Plant::Nothing), None);
+    assert_eq!(find_violation(InjectedFault::None), None);
 }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,43 +1,43 @@
-//! The form of a member's file: a head, then rows, each with a length, a checksum and the length up to which the
-//! file was known to be on disk when the row was written. Bytes in, bytes out; reading and writing is the driver's.
+//! The format of a member's log file: a magic number, then records, each with a length, a checksum and the length up
+//! to which the file was known to be synced when the record was written. Works on bytes; the caller does the I/O.
 //!
-//! What of a file can be believed: whole rows. A file that ends within a row, or in zeros that a row never was
-//! written over, was cut off while it was written: nothing of that was answered as synced, it is cut back and said.
-//! A row that is all there and does not fit its checksum, or one before a place that was synced, is damage: to cut
-//! there would forget what was promised. The file is refused and the row named.
+//! Only intact records are trusted. A file that ends inside a record, or in zeros where a record was never written, was
+//! cut off during a write: nothing of that was reported as synced, so the tail is truncated and reported. A complete
+//! record with a wrong checksum, or a damaged one before a position that was synced, is corruption: truncating there
+//! would lose data that was acknowledged. Such a file is refused, and the error names the record.
 #![forbid(unsafe_code)]
 
 use std::fmt;
 
 const MAGIC: &[u8; 8] = b"pgrec\0\0\x01";
 /// Length, checksum, synced length.
-const HEAD: usize = 16;
-/// A row beyond this is none of ours.
+const HEADER_LEN: usize = 16;
+/// A longer length field does not come from this program.
 pub const MAX_RECORD_LEN: usize = 512 * 1024 * 1024;
-/// A disk writes sectors; what was never written reads as zeros.
-const SECTOR: usize = 512;
+/// Disks write whole sectors; sectors never written read as zeros.
+const SECTOR_BYTES: usize = 512;
 
-/// How a file ends, or what is wrong with it.
+/// What is wrong with a file or its end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WalFault {
-    /// Cut off within a row, at this byte; the rows before it are whole.
+    /// The file ends inside a record that starts at `offset`; all earlier records are intact.
     TornTail { offset: u64, lost_bytes: u64 },
-    /// A row that was kept is damaged.
+    /// A record that may have been acknowledged is damaged.
     Corrupt { record: usize, offset: u64 },
-    /// No file of ours, or of a newer form.
+    /// Not a log file, or one in a newer format.
     Unrecognized { reason: String },
 }
 
 impl fmt::Display for WalFault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            WalFault::TornTail { offset: at, lost_bytes: lost } => {
-                write!(f, "cut off at byte {at}, {lost} bytes that were not synced")
+            WalFault::TornTail { offset, lost_bytes } => {
+                write!(f, "cut off at byte {offset}, {lost_bytes} bytes that were not synced")
             }
-            WalFault::Corrupt { record: row, offset: at } => {
-                write!(f, "row {row} at byte {at} does not fit its checksum")
+            WalFault::Corrupt { record, offset } => {
+                write!(f, "row {record} at byte {offset} does not fit its checksum")
             }
-            WalFault::Unrecognized { reason: what } => write!(f, "{what}"),
+            WalFault::Unrecognized { reason } => write!(f, "{reason}"),
         }
     }
 }
@@ -45,12 +45,12 @@
 #[derive(Debug, PartialEq, Eq)]
 pub struct WalContents<'a> {
     pub records: Vec<&'a [u8]>,
-    /// Up to here the file is whole.
+    /// The file is intact up to this length.
     pub valid_len: u64,
     pub fault: Option<WalFault>,
 }
 
-/// Where the next row goes, and what is known to be on disk.
+/// Where the next record goes, and how much of the file is known to be on disk.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WalWriter {
     pub end: u64,
@@ -58,85 +58,87 @@
 }
 
 impl WalWriter {
-    /// The bytes of a fresh file with these rows.
-    pub fn encode_new_file(&mut self, rows: &[Vec<u8>]) -> Vec<u8> {
+    /// The contents of a new file with these records.
+    pub fn encode_new_file(&mut self, records: &[Vec<u8>]) -> Vec<u8> {
         let mut bytes = MAGIC.to_vec();
         (self.end, self.synced_len) = (MAGIC.len() as u64, 0);
-        bytes.extend(self.encode_append(rows).1);
+        bytes.extend(self.encode_append(records).1);
         bytes
     }
 
-    /// Where these rows go, and their bytes.
-    pub fn encode_append(&mut self, rows: &[Vec<u8>]) -> (u64, Vec<u8>) {
-        let from = self.end;
-        let mut bytes = Vec::with_capacity(rows.iter().map(|row| HEAD + row.len()).sum());
-        for row in rows {
-            bytes.extend((row.len() as u32).to_le_bytes());
-            bytes.extend(sum(self.synced_len, row).to_le_bytes());
+    /// The offset to write these records at, and their bytes.
+    pub fn encode_append(&mut self, records: &[Vec<u8>]) -> (u64, Vec<u8>) {
+        let offset = self.end;
+        let mut bytes = Vec::with_capacity(records.iter().map(|record| HEADER_LEN + record.len()).sum());
+        for record in records {
+            bytes.extend((record.len() as u32).to_le_bytes());
+            bytes.extend(checksum(self.synced_len, record).to_le_bytes());
             bytes.extend(self.synced_len.to_le_bytes());
-            bytes.extend(row);
+            bytes.extend(record);
         }
         self.end += bytes.len() as u64;
-        (from, bytes)
+        (offset, bytes)
     }
 }
 
-fn sum(synced: u64, row: &[u8]) -> u32 {
+fn checksum(synced_len: u64, record: &[u8]) -> u32 {
     let mut sum = crc32fast::Hasher::new();
-    sum.update(&synced.to_le_bytes());
-    sum.update(&(row.len() as u32).to_le_bytes());
-    sum.update(row);
+    sum.update(&synced_len.to_le_bytes());
+    sum.update(&(record.len() as u32).to_le_bytes());
+    sum.update(record);
     sum.finalize()
 }
 
-/// The row at a place: its bytes and its synced length, if it is whole.
-fn row(bytes: &[u8], at: usize) -> Option<(&[u8], u64)> {
-    let head = bytes.get(at..at + HEAD)?;
-    let length = u32::from_le_bytes(head[..4].try_into().ok()?) as usize;
-    let told = u32::from_le_bytes(head[4..8].try_into().ok()?);
-    let synced = u64::from_le_bytes(head[8..].try_into().ok()?);
-    // Cheap first: noise seldom names a place before its own.
-    if synced > at as u64 || length > MAX_RECORD_LEN {
+/// The record at an offset and its synced length, if it is intact.
+fn record_at(bytes: &[u8], offset: usize) -> Option<(&[u8], u64)> {
+    let header = bytes.get(offset..offset + HEADER_LEN)?;
+    let len = u32::from_le_bytes(header[..4].try_into().ok()?) as usize;
+    let expected = u32::from_le_bytes(header[4..8].try_into().ok()?);
+    let synced_len = u64::from_le_bytes(header[8..].try_into().ok()?);
+    // The cheap test comes first: random bytes rarely give a synced length below their own offset.
+    if synced_len > offset as u64 || len > MAX_RECORD_LEN {
         return None;
     }
-    let body = bytes.get(at + HEAD..at + HEAD + length)?;
-    (sum(synced, body) == told).then_some((body, synced))
+    let body = bytes.get(offset + HEADER_LEN..offset + HEADER_LEN + len)?;
+    (checksum(synced_len, body) == expected).then_some((body, synced_len))
 }
 
 pub fn read_wal(bytes: &[u8]) -> WalContents<'_> {
-    let nothing = |fault| WalContents { records: Vec::new(), valid_len: 0, fault };
+    let empty = |fault| WalContents { records: Vec::new(), valid_len: 0, fault };
     if bytes.len() < MAGIC.len() {
-        let lost = bytes.len() as u64;
-        return nothing(Some(WalFault::TornTail { offset: 0, lost_bytes: lost }));
+        let lost_bytes = bytes.len() as u64;
+        return empty(Some(WalFault::TornTail { offset: 0, lost_bytes }));
     }
     if &bytes[..MAGIC.len()] != MAGIC {
         let newer = bytes[..5] == MAGIC[..5];
-        let what = if newer { "written by another version of the program" } else { "no file of a member" };
-        return nothing(Some(WalFault::Unrecognized { reason: what.into() }));
+        let reason = if newer { "written by another version of the program" } else { "no file of a member" };
+        return empty(Some(WalFault::Unrecognized { reason: reason.into() }));
     }
-    let (mut rows, mut at) = (Vec::new(), MAGIC.len());
-    while let Some((body, _)) = row(bytes, at) {
-        rows.push(body);
-        at += HEAD + body.len();
+    let (mut records, mut offset) = (Vec::new(), MAGIC.len());
+    while let Some((body, _)) = record_at(bytes, offset) {
+        records.push(body);
+        offset += HEADER_LEN + body.len();
     }
-    let fault = (at < bytes.len()).then(|| judge(bytes, at, rows.len()));
-    WalContents { records: rows, valid_len: at as u64, fault }
+    let fault = (offset < bytes.len()).then(|| classify_fault(bytes, offset, records.len()));
+    WalContents { records, valid_len: offset as u64, fault }
 }
 
-/// What the first row that is not whole means.
-fn judge(bytes: &[u8], at: usize, count: usize) -> WalFault {
-    let damaged = WalFault::Corrupt { record: count, offset: at as u64 };
-    // A later row that knew this place to be on disk.
-    let later = (at + 1..bytes.len()).find_map(|from| row(bytes, from).filter(|row| row.1 > at as u64));
+/// Decides what the first record that is not intact means.
+fn classify_fault(bytes: &[u8], offset: usize, count: usize) -> WalFault {
+    let corrupt = WalFault::Corrupt { record: count, offset: offset as u64 };
+    // A later record that was written when this offset was known to be on disk.
+    let later = (offset + 1..bytes.len())
+        .find_map(|from| record_at(bytes, from).filter(|record| record.1 > offset as u64));
     if later.is_some() {
-        return damaged;
+        return corrupt;
     }
-    let told = bytes.get(at..at + 4).and_then(|head| head.try_into().ok()).map(u32::from_le_bytes);
-    let whole = told.is_some_and(|length| at + HEAD + length as usize <= bytes.len());
-    let unwritten = bytes[at..].chunks(SECTOR).any(|sector| sector.iter().all(|byte| *byte == 0))
-        || bytes[at..].iter().rev().take(HEAD).all(|byte| *byte == 0);
-    if whole && !unwritten {
-        return damaged;
+    let stored_len =
+        bytes.get(offset..offset + 4).and_then(|head| head.try_into().ok()).map(u32::from_le_bytes);
+    let complete = stored_len.is_some_and(|length| offset + HEADER_LEN + length as usize <= bytes.len());
+    let unwritten = bytes[offset..].chunks(SECTOR_BYTES).any(|sector| sector.iter().all(|byte| *byte == 0))
+        || bytes[offset..].iter().rev().take(HEADER_LEN).all(|byte| *byte == 0);
+    if complete && !unwritten {
+        return corrupt;
     }
-    WalFault::TornTail { offset: at as u64, lost_bytes: (bytes.len() - at) as u64 }
+    WalFault::TornTail { offset: offset as u64, lost_bytes: (bytes.len() - offset) as u64 }
 }
