--- a/crates/record/src/commands.rs
+++ b/crates/record/src/commands.rs
@@ -1,4 +1,4 @@
-//! Commands as they stand in the log, and what is wrong with one before it gets there.
+//! The commands of the log, and their validation before they are proposed.
 
 use pewtergap_shares::Shift;
 use prost::{Message, Oneof};
@@ -6,8 +6,8 @@
 pub const MAX_NAME_LEN: usize = 256;
 pub const MAX_REASON_LEN: usize = 1024;
 
-/// One entry of the log. `id` is drawn by whoever gives it and stays when it is given again; `given` is when, in
-/// milliseconds of the calendar.
+/// One command of the log. `id` is drawn by its issuer and reused on a retry; `issued_at_ms` is Unix time in
+/// milliseconds.
 #[derive(Clone, PartialEq, Message)]
 pub struct Command {
     #[prost(fixed64, tag = "1")]
@@ -22,39 +22,39 @@
 pub enum CommandKind {
     #[prost(message, tag = "3")]
     Order(Order),
-    /// A planner starts and takes the next number; nobody else ever has it.
+    /// Gives a starting planner the next start number; no other planner ever gets the same one.
     #[prost(message, tag = "4")]
     AllocateStartNumber(AllocateStartNumber),
-    /// A drain was told to a planner for the first time.
+    /// A planner was notified of a drain for the first time.
     #[prost(message, tag = "5")]
     Drain(Drain),
-    /// Ends what has run out by this moment, and forgets ids given long before.
+    /// Ends what has expired by a given time and forgets ids issued long before.
     #[prost(message, tag = "6")]
     Cleanup(Cleanup),
-    /// From here on commands mean what this format says; all who belong speak it.
+    /// Later commands are interpreted in this format; every member supports it.
     #[prost(uint32, tag = "7")]
     RaiseFormat(u32),
-    /// A duty gets a holder. From format 2 on, as all that follow.
+    /// Gives a duty a holder. This and all following commands exist from format 2 on.
     #[prost(message, tag = "8")]
     AssignDuty(AssignDuty),
-    /// Its holder has stopped and hands it on.
+    /// The holder has stopped and gives the duty up.
     #[prost(message, tag = "9")]
     ReleaseDuty(ReleaseDuty),
-    /// An operator wants a duty at a planner, or no longer anywhere.
+    /// An operator pins a duty to a planner, or unpins it.
     #[prost(message, tag = "10")]
     PinDuty(PinDuty),
-    /// A period of the books is closed, what it says is fixed from here on; or it has arrived.
+    /// Closes an accounting period, which fixes its content; or records that it was delivered.
     #[prost(message, tag = "11")]
     ClosePeriod(PeriodReport),
     #[prost(message, tag = "12")]
     PeriodDelivered(PeriodReport),
-    /// An order in steps is let go on, or is taken back.
+    /// Advances a stepwise order, or reverts it.
     #[prost(message, tag = "13")]
     RolloutStep(RolloutStep),
-    /// How long leases are, in milliseconds.
+    /// Sets the duration of leases in milliseconds.
     #[prost(uint64, tag = "14")]
     SetLease(u64),
-    /// A part of a budget goes from one planner to another, or is free. From format 3 on.
+    /// Moves a part of a budget between a planner and the free units. From format 3 on.
     #[prost(message, tag = "15")]
     BudgetShift(BudgetShift),
 }
@@ -93,7 +93,7 @@
     pub founded: bool,
 }
 
-/// Of a planner by its disk's number, if its part still stands at this place of the log.
+/// A change to a planner's holding (by disk id), valid if the holding is still at this version.
 #[derive(Clone, PartialEq, Message)]
 pub struct Moved {
     #[prost(fixed64, tag = "1")]
@@ -120,17 +120,17 @@
 
     pub fn shift(&self) -> Option<Shift> {
         Some(match self.shift.as_ref()? {
-            Shifts::Claim(c) => {
-                let (by, start, base) = (c.by, c.start, c.base);
-                Shift::Claim { by, start, base, founders: c.founders, founded: c.founded }
+            Shifts::Claim(claim) => {
+                let (by, start, base) = (claim.by, claim.start, claim.base);
+                Shift::Claim { by, start, base, founders: claim.founders, founded: claim.founded }
             }
-            Shifts::Deal(m) => Shift::Deal { to: m.of, units: m.units, number: m.number },
-            Shifts::Back(m) => Shift::Back { from: m.of, units: m.units, number: m.number },
-            Shifts::End(m) => Shift::End { of: m.of, number: m.number },
+            Shifts::Deal(moved) => Shift::Deal { to: moved.of, units: moved.units, number: moved.number },
+            Shifts::Back(moved) => Shift::Back { from: moved.of, units: moved.units, number: moved.number },
+            Shifts::End(moved) => Shift::End { of: moved.of, number: moved.number },
         })
     }
 
-    /// The planner that has less by it.
+    /// The planner whose holding shrinks.
     pub fn taken_from(&self) -> Option<u64> {
         match self.shift.as_ref()? {
             Shifts::Back(moved) | Shifts::End(moved) => Some(moved.of),
@@ -141,15 +141,15 @@
 
 #[derive(Clone, PartialEq, Message)]
 pub struct RolloutStep {
-    /// The order's number.
+    /// The log index of the order.
     #[prost(uint64, tag = "1")]
     pub order_index: u64,
-    /// Thousandths of it.
+    /// In thousandths of the whole order.
     #[prost(uint32, tag = "2")]
     pub progress: u32,
     #[prost(uint64, tag = "3")]
     pub fencing_token: u64,
-    /// Why it is taken back; empty: it is not.
+    /// Why the order is reverted; empty if it is not.
     #[prost(string, tag = "4")]
     pub revert_reason: String,
 }
@@ -158,12 +158,12 @@
 pub struct AssignDuty {
     #[prost(string, tag = "1")]
     pub duty: String,
-    /// The disk's number and the name of the planner.
+    /// The planner's disk id and name.
     #[prost(fixed64, tag = "2")]
     pub holder: u64,
     #[prost(string, tag = "3")]
     pub holder_name: String,
-    /// The number that it had when this was decided; another one: decided too late.
+    /// The duty's fencing token at the time of the decision; the command is rejected if it has changed.
     #[prost(uint64, tag = "4")]
     pub expected_fencing_token: u64,
 }
@@ -180,7 +180,7 @@
 pub struct PinDuty {
     #[prost(string, tag = "1")]
     pub duty: String,
-    /// Empty: wherever it falls.
+    /// Empty: any planner.
     #[prost(string, tag = "2")]
     pub planner: String,
     #[prost(string, tag = "3")]
@@ -189,24 +189,24 @@
     pub reason: String,
 }
 
-/// A period of the books by its id, under the number of whoever keeps them.
+/// An accounting period by its id, under the fencing token of the planner that does the accounting.
 #[derive(Clone, PartialEq, Message)]
 pub struct PeriodReport {
     #[prost(uint64, tag = "1")]
     pub period: u64,
     #[prost(uint64, tag = "2")]
     pub fencing_token: u64,
-    /// From format 3 on: what each planner has counted of each route and zone, as its keeper has heard.
+    /// From format 3 on: the calls each planner counted per route and zone, as last reported to the sender.
     #[prost(message, repeated, tag = "3")]
     pub usage: Vec<CallUsage>,
 }
 
-/// Calls that proxies of a zone took in on a route, since that start of that planner.
+/// Calls that the proxies of a zone accepted on a route since this start of this planner.
 #[derive(Clone, PartialEq, Message)]
 pub struct CallUsage {
     #[prost(string, tag = "1")]
     pub planner: String,
-    /// Its disk and which start of it: a sum begins anew with each.
+    /// The planner's disk and start number; the sum restarts with either.
     #[prost(fixed64, tag = "2")]
     pub disk_id: u64,
     #[prost(uint64, tag = "3")]
@@ -217,42 +217,44 @@
     pub zone: String,
     #[prost(uint64, tag = "6")]
     pub calls: u64,
-    /// How old the count is.
+    /// The age of the count.
     #[prost(uint64, tag = "7")]
     pub age_ms: u64,
 }
 
-/// Rows of use that one period may have.
+/// Usage rows allowed in one period.
 pub const MAX_USAGE_ROWS: usize = 1_024;
 
-/// An operator's order. The newest on a subject is in force.
+/// An operator's order. The most recent one on a subject is in force.
 #[derive(Clone, PartialEq, Message)]
 pub struct Order {
     #[prost(string, tag = "1")]
     pub issued_by: String,
     #[prost(string, tag = "2")]
     pub reason: String,
-    /// In milliseconds of the calendar; 0: until it is taken back.
+    /// Unix time in milliseconds; 0: until it is revoked.
     #[prost(uint64, tag = "3")]
     pub expires_at_ms: u64,
     #[prost(oneof = "OrderAction", tags = "4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 16, 17")]
     pub action: Option<OrderAction>,
-    /// In so many steps, with so many milliseconds between them at least; 0: it binds at once.
+    /// The number of steps and the minimum pause between them in milliseconds; 0 steps: the order takes
+    /// effect at once.
     #[prost(uint32, tag = "14")]
     pub steps: u32,
     #[prost(uint64, tag = "15")]
     pub step_pause_ms: u64,
-    /// Steps are a share of the planners, each with its proxies, that carry it out whole. From format 3 on.
+    /// Each step is a share of the planners, which apply the order in full with all their proxies. From
+    /// format 3 on.
     #[prost(bool, tag = "18")]
     pub by_proxies: bool,
 }
 
 #[derive(Clone, PartialEq, Oneof)]
 pub enum OrderAction {
-    /// A server takes no more calls, whatever the list says.
+    /// The server gets no more calls, whatever the server list says.
     #[prost(string, tag = "4")]
     Drain(String),
-    /// It goes by the list again.
+    /// The server list applies again.
     #[prost(string, tag = "5")]
     Undrain(String),
     #[prost(message, tag = "6")]
@@ -263,17 +265,17 @@
     SetCap(Cap),
     #[prost(string, tag = "9")]
     ClearCap(String),
-    /// No table changes but removals.
+    /// Tables change only by removals.
     #[prost(message, tag = "10")]
     HoldReleases(Cleanup),
     #[prost(message, tag = "11")]
     ResumeReleases(Cleanup),
-    /// No duty moves but what is lost.
+    /// Duties move only when their holder is lost.
     #[prost(message, tag = "12")]
     HoldDuties(Cleanup),
     #[prost(message, tag = "13")]
     ResumeDuties(Cleanup),
-    /// All servers of a zone, whatever the list says.
+    /// All servers of a zone, whatever the server list says.
     #[prost(string, tag = "16")]
     DrainZone(String),
     #[prost(string, tag = "17")]
@@ -292,7 +294,7 @@
 pub struct Cap {
     #[prost(string, tag = "1")]
     pub route: String,
-    /// Part of the route's calls that are let in.
+    /// The fraction of the route's calls that is admitted.
     #[prost(double, tag = "2")]
     pub level: f64,
 }
@@ -301,7 +303,7 @@
 pub struct AllocateStartNumber {
     #[prost(string, tag = "1")]
     pub planner: String,
-    /// Above what it has counted without the record.
+    /// Higher than any number the planner has used without the record.
     #[prost(uint64, tag = "2")]
     pub at_least: u64,
 }
@@ -310,10 +312,10 @@
 pub struct Drain {
     #[prost(string, tag = "1")]
     pub server: String,
-    /// Which start of the server, as listed; a later one is another server.
+    /// The start of the server as listed; a later start counts as another server.
     #[prost(uint64, tag = "2")]
     pub started: u64,
-    /// When it was told, in milliseconds of the calendar, and for how long the grace is.
+    /// When the planner was notified, as Unix time in milliseconds, and the length of the grace period.
     #[prost(uint64, tag = "3")]
     pub notified_at_ms: u64,
     #[prost(uint64, tag = "4")]
@@ -324,12 +326,12 @@
 pub struct Cleanup {
     #[prost(uint64, tag = "1")]
     pub now_ms: u64,
-    /// Under which number of the duty, where there is one.
+    /// The fencing token of the duty, if the duty exists.
     #[prost(uint64, tag = "2")]
     pub fencing_token: u64,
 }
 
-/// What an order is about: two on one subject don't stand beside each other.
+/// What an order applies to. At most one order per subject is in force.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Subject {
     Server(String),
@@ -341,7 +343,7 @@
 }
 
 impl OrderAction {
-    /// The subject, and whether the order leaves something in force there.
+    /// The subject, and whether the order leaves something in force on it.
     pub fn subject(&self) -> (Subject, bool) {
         match self {
             OrderAction::Drain(server) => (Subject::Server(server.clone()), true),
@@ -378,8 +380,8 @@
 }
 
 impl CommandKind {
-    /// Given by planners themselves, not by operators.
-    pub(crate) fn is_own(&self) -> bool {
+    /// Issued by planners themselves rather than by operators.
+    pub(crate) fn is_planner_command(&self) -> bool {
         !matches!(
             self,
             CommandKind::Order(_)
@@ -391,7 +393,7 @@
 }
 
 impl Command {
-    /// What it may change for those who go by the record; none: anything.
+    /// What the command may change for followers of the record; `None`: anything.
     pub fn subject(&self) -> Option<Subject> {
         match self.kind.as_ref()? {
             CommandKind::Order(order) => Some(order.action.as_ref()?.subject().0),
@@ -400,60 +402,66 @@
         }
     }
 
-    /// What is wrong with it, naming the field; protobuf alone lets through what nobody may order.
+    /// Reports the first invalid field. Protobuf decoding alone accepts commands that make no sense.
     pub fn check(&self) -> Result<(), String> {
-        let name = |field: &str, text: &str, most: usize| match text {
+        let check_text = |field: &str, text: &str, max_len: usize| match text {
             "" => Err(format!("{field} is missing")),
-            text if text.len() > most => Err(format!("{field} has {} bytes, {most} at most", text.len())),
+            text if text.len() > max_len => {
+                Err(format!("{field} has {} bytes, {max_len} at most", text.len()))
+            }
             text if text.chars().any(char::is_control) => Err(format!("{field} has control characters")),
             _ => Ok(()),
         };
         if self.id == 0 {
             return Err("id is missing".into());
         }
-        match self.kind.as_ref().ok_or("no command")? {
+        match self.kind.as_ref().ok_or("the command is missing")? {
             CommandKind::Order(order) => {
-                name("who", &order.issued_by, MAX_NAME_LEN)?;
-                name("why", &order.reason, MAX_REASON_LEN)?;
-                let wish = order.action.as_ref().ok_or("no order is given")?;
+                check_text("who", &order.issued_by, MAX_NAME_LEN)?;
+                check_text("why", &order.reason, MAX_REASON_LEN)?;
+                let action = order.action.as_ref().ok_or("the order has no action")?;
                 if order.steps > 1_000 {
-                    return Err(format!("steps: {} of 1000 at most", order.steps));
+                    return Err(format!("steps: {}, 1000 at most", order.steps));
                 }
-                match wish {
+                match action {
                     OrderAction::SetWeight(w) if !(w.weight > 0.0 && w.weight <= 1e6) => {
                         return Err(format!("weight {} is not above 0 and at most 1000000", w.weight));
                     }
                     OrderAction::SetCap(cap) if !(0.0..=1.0).contains(&cap.level) => {
-                        return Err(format!("level {} is not a part between 0 and 1", cap.level));
+                        return Err(format!("level {} is not between 0 and 1", cap.level));
                     }
                     _ => {}
                 }
-                match wish.subject().0 {
-                    Subject::Server(text) | Subject::Weight(text) => name("server", &text, MAX_NAME_LEN),
-                    Subject::Zone(text) => name("zone", &text, MAX_NAME_LEN),
-                    Subject::Route(text) => name("route", &text, MAX_NAME_LEN),
+                match action.subject().0 {
+                    Subject::Server(text) | Subject::Weight(text) => {
+                        check_text("server", &text, MAX_NAME_LEN)
+                    }
+                    Subject::Zone(text) => check_text("zone", &text, MAX_NAME_LEN),
+                    Subject::Route(text) => check_text("route", &text, MAX_NAME_LEN),
                     Subject::Releases | Subject::Duties => Ok(()),
                 }
             }
-            CommandKind::AllocateStartNumber(take) => name("planner", &take.planner, MAX_NAME_LEN),
-            CommandKind::Drain(drain) => name("server", &drain.server, MAX_NAME_LEN),
-            CommandKind::AssignDuty(give) => name("duty", &give.duty, MAX_NAME_LEN),
-            CommandKind::ReleaseDuty(release) => name("duty", &release.duty, MAX_NAME_LEN),
-            CommandKind::PinDuty(hand) => {
-                name("duty", &hand.duty, MAX_NAME_LEN)?;
-                name("who", &hand.issued_by, MAX_NAME_LEN)?;
-                name("why", &hand.reason, MAX_REASON_LEN)
+            CommandKind::AllocateStartNumber(allocate) => {
+                check_text("planner", &allocate.planner, MAX_NAME_LEN)
+            }
+            CommandKind::Drain(drain) => check_text("server", &drain.server, MAX_NAME_LEN),
+            CommandKind::AssignDuty(assign) => check_text("duty", &assign.duty, MAX_NAME_LEN),
+            CommandKind::ReleaseDuty(release) => check_text("duty", &release.duty, MAX_NAME_LEN),
+            CommandKind::PinDuty(pin) => {
+                check_text("duty", &pin.duty, MAX_NAME_LEN)?;
+                check_text("who", &pin.issued_by, MAX_NAME_LEN)?;
+                check_text("why", &pin.reason, MAX_REASON_LEN)
             }
             CommandKind::RolloutStep(step) if step.revert_reason.len() > MAX_REASON_LEN => {
                 Err("why is too long".into())
             }
             CommandKind::RolloutStep(_) | CommandKind::SetLease(_) => Ok(()),
-            CommandKind::BudgetShift(share) => {
-                name("budget", &share.budget, MAX_NAME_LEN)?;
-                share.shift().map(drop).ok_or("nothing is shared out".into())
+            CommandKind::BudgetShift(shift) => {
+                check_text("budget", &shift.budget, MAX_NAME_LEN)?;
+                shift.shift().map(drop).ok_or("the budget shift is missing".into())
             }
-            CommandKind::ClosePeriod(close) if close.usage.len() > MAX_USAGE_ROWS => {
-                Err(format!("{MAX_USAGE_ROWS} rows of use at most"))
+            CommandKind::ClosePeriod(report) if report.usage.len() > MAX_USAGE_ROWS => {
+                Err(format!("more than {MAX_USAGE_ROWS} usage rows"))
             }
             CommandKind::Cleanup(_)
             | CommandKind::RaiseFormat(_)
--- a/crates/record/src/lib.rs
+++ b/crates/record/src/lib.rs
@@ -1,32 +1,32 @@
-//! The record: what planners hold for others. Commands come in the order of the agreed log; the same commands lead to
-//! the same state and the same answers everywhere.
+//! The replicated state of a cluster. Commands arrive in the order of the agreed log; the same commands produce the same
+//! state and the same outcomes on every member.
 //!
-//! Not a store and not agreement: it neither keeps anything on disk nor knows other members. Moments in it are those
-//! that commands carry; no clock decides here.
+//! This crate neither stores anything on disk nor communicates. All times are those carried by the commands; no clock is
+//! read here.
 //!
-//! | state | command | next | answer |
+//! | state | command | next state | outcome |
 //! | --- | --- | --- | --- |
-//! | id known | any | as it is | the answer it had |
-//! | id older than the horizon | any | as it is | `Unknown`: whether it was made can no longer be told |
-//! | room for it | order that leaves something | in force on its subject, in place of what was | `Kept` |
-//! | | order that takes back | nothing in force on its subject | `Kept` |
-//! | too many in force | order on a new subject | as it is | `Refused` |
-//! | | number | one more is taken | `Kept`, the number |
-//! | no drain of that start | drain | it runs from when it was told | `Kept` |
-//! | a drain of that start | drain | as it is: a grace never begins anew | `Kept`, the number of the first |
-//! | a duty under that number | give | held by that planner, under the place in the log as its number | `Kept`, the number |
-//! | a duty under another | give, release | as it is: decided too late | `Refused` |
-//! | held under that number | release | nobody's, the number stays | `Kept` |
-//! | | hand | where it goes when it is free next | `Kept` |
-//! | the period after the last closed, under the books' number | close | closed, not arrived | `Kept` |
-//! | closed, under the books' number | arrived | arrived; again: as it is | `Kept` |
-//! | under an older number | clean, close, arrived | as it is | `Refused` |
-//! | in force, not taken back, under the releaser's number | step | reached so far, never less; or taken back for good | `Kept` |
-//! | | lease | leases are so long from here on | `Kept` |
-//! | | share | a part of a budget has another holder, by the table of `shares` | `Kept` |
-//! | a part under another number | share | as it is: decided too late | `Refused` |
-//! | | raise | the format of the commands that follow, never a lower one | `Kept` |
-//! | | clean | what ran out is gone, the horizon rises, never falls | `Kept` |
+//! | id known | any | unchanged | the earlier outcome |
+//! | id older than the horizon | any | unchanged | `Unknown`: whether it was applied can no longer be told |
+//! | below the limit | order that leaves something | in force on its subject, replacing the previous one | `Applied` |
+//! | | order that revokes | nothing in force on its subject | `Applied` |
+//! | at the limit of orders | order on a new subject | unchanged | `Rejected` |
+//! | | start number | the next number is allocated | `Applied` with that number |
+//! | no drain of that start | drain | runs from its notification on | `Applied` |
+//! | a drain of that start | drain | unchanged: a grace period never restarts | `Applied` with the index of the first |
+//! | a duty with that fencing token | assign | held by that planner; the log index is the new token | `Applied` with the token |
+//! | a duty with another token | assign, release | unchanged: decided too late | `Rejected` |
+//! | held under that token | release | no holder, the token stays | `Applied` |
+//! | | pin | the planner that gets the duty when it is next free | `Applied` |
+//! | the period after the last closed, current token | close | closed, not delivered | `Applied` |
+//! | closed, current token | delivered | delivered; repeated: unchanged | `Applied` |
+//! | an older token | cleanup, close, delivered | unchanged | `Rejected` |
+//! | in force, not reverted, current token | rollout step | the progress, which never falls; or reverted for good | `Applied` |
+//! | | lease | leases have this duration from now on | `Applied` |
+//! | | budget shift | a part of a budget changes its holder, see the table in `shares` | `Applied` |
+//! | a holding at another version | budget shift | unchanged: decided too late | `Rejected` |
+//! | | raise format | the format of later commands, never a lower one | `Applied` |
+//! | | cleanup | expired entries are removed; the horizon rises, never falls | `Applied` |
 #![forbid(unsafe_code)]
 
 mod commands;
@@ -41,34 +41,36 @@
 use prost::Message;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Orders in force, drains that run, and ids that are remembered.
+/// Limits on orders in force, active drains and remembered ids.
 pub const MAX_ORDERS: usize = 10_000;
 pub const MAX_DRAINS: usize = 100_000;
 pub const MAX_IDS: usize = 100_000;
-/// Of planners' own commands the last so many are remembered: given again after that, a drain changes nothing and a
-/// number is one more. In format 1 they took the places of operators' orders, and more than 111 a second filled them.
+/// Outcomes of planners' own commands that are remembered. A drain that is repeated later changes nothing,
+/// and a repeated allocation skips a number. In format 1 these commands shared the limit of operators'
+/// orders, and more than 111 per second used it up.
 pub const MAX_PLANNER_COMMANDS: usize = 4_096;
-/// Duties that are known; more get no holder.
+/// Further duties get no holder.
 pub const MAX_DUTIES: usize = 1_024;
-/// Duties that the record itself is touched by.
+/// Names of the duties that this crate refers to.
 pub const CLEANING_DUTY: &str = "cleaning";
 pub const ACCOUNTING_DUTY: &str = "books";
 pub const RELEASE_DUTY: &str = "release";
-/// Formats of commands that this build can carry out. Format 4 has no command of its own: it says that everybody who
-/// belongs knows observers.
+/// The lowest and highest command format that this build supports. Format 4 adds no command: it states that
+/// every member supports observers.
 pub const SUPPORTED_FORMATS: (u32, u32) = (1, 4);
-/// From this format on there may be observers; a build that knows none would give them votes.
+/// From this format on the cluster may have observers; a build without support for them would give them
+/// votes.
 pub const OBSERVERS_FORMAT: u32 = 4;
-/// Budgets that are parted.
+/// Budgets that can be shared out.
 pub const MAX_BUDGETS: usize = 16;
-/// An id is remembered for so long after it was given, in milliseconds: longer than anybody goes on asking.
+/// How long an id is remembered after it was issued: longer than any client keeps retrying.
 pub const ID_RETENTION_MS: u64 = 15 * 60 * 1000;
-/// A drain is remembered for so long after its grace: proxies and planners may have been away.
-const DRAINED: u64 = 60 * 60 * 1000;
+/// How long a drain is remembered after its grace period, since proxies and planners may have been away.
+const DRAIN_RETENTION_MS: u64 = 60 * 60 * 1000;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The number is the place in the log, or for a number taken that number.
+    /// The log index, or the allocated number.
     Applied(u64),
     Rejected(String),
     Unknown,
@@ -82,84 +84,86 @@
     pub order: Option<Order>,
     #[prost(uint64, tag = "3")]
     pub issued_at_ms: u64,
-    /// Of an order in steps: thousandths that are reached, and why it was taken back.
+    /// For a stepwise order: its progress in thousandths, and why it was reverted.
     #[prost(uint32, tag = "4")]
     pub progress: u32,
     #[prost(string, tag = "5")]
     pub revert_reason: String,
 }
 
-/// As it goes into a snapshot. Maps are kept in order, so that the same state is the same bytes.
+/// The form in a snapshot. Maps are ordered, so that equal states have equal bytes.
 #[derive(Clone, PartialEq, Message)]
-struct Image {
+struct SnapshotImage {
     #[prost(message, repeated, tag = "1")]
     orders: Vec<ActiveOrder>,
     #[prost(btree_map = "fixed64, message", tag = "2")]
-    ids: BTreeMap<u64, Past>,
+    outcomes: BTreeMap<u64, PastOutcome>,
     #[prost(uint64, tag = "3")]
-    number: u64,
+    last_start_number: u64,
     #[prost(btree_map = "string, message", tag = "4")]
     drains: BTreeMap<String, Drain>,
     #[prost(uint64, tag = "5")]
     horizon: u64,
-    /// 0: 1.
+    /// 0 stands for format 1.
     #[prost(uint32, tag = "6")]
     format: u32,
     #[prost(message, repeated, tag = "7")]
-    own: Vec<Own>,
+    planner_commands: Vec<PlannerCommand>,
     #[prost(btree_map = "string, message", tag = "8")]
     duties: BTreeMap<String, Duty>,
     #[prost(message, optional, tag = "9")]
-    books: Option<AccountingState>,
-    /// What the closed period says, fixed when it was closed.
+    accounting: Option<AccountingState>,
+    /// The content of the closed period, fixed when it was closed.
     #[prost(string, tag = "10")]
-    extract: String,
+    accounting_extract: String,
     #[prost(uint64, tag = "11")]
-    lease: u64,
+    lease_ms: u64,
     #[prost(btree_map = "string, message", tag = "12")]
-    budgets: BTreeMap<String, Parted>,
+    budgets: BTreeMap<String, BudgetImage>,
 }
 
-/// A budget as it goes into a snapshot.
+/// A budget as stored in a snapshot.
 #[derive(Clone, PartialEq, Message)]
-struct Parted {
+struct BudgetImage {
     #[prost(uint64, tag = "1")]
     free: u64,
     #[prost(uint64, tag = "2")]
     base: u64,
     #[prost(uint64, tag = "3")]
-    kept_for: u64,
+    reserved_bases: u64,
     #[prost(btree_map = "fixed64, message", tag = "4")]
-    holdings: BTreeMap<u64, Held>,
+    holdings: BTreeMap<u64, HoldingImage>,
 }
 
 #[derive(Clone, PartialEq, Message)]
-struct Held {
+struct HoldingImage {
     #[prost(uint64, tag = "1")]
     base: u64,
     #[prost(uint64, tag = "2")]
-    more: u64,
+    extra: u64,
     #[prost(uint64, tag = "3")]
-    number: u64,
+    version: u64,
     #[prost(uint64, tag = "4")]
     start: u64,
 }
 
-impl Parted {
-    fn of(budget: &Budget) -> Parted {
-        let held = |h: &Holding| Held { base: h.base, more: h.extra, number: h.version, start: h.start };
-        let holdings = budget.holdings.iter().map(|(id, holding)| (*id, held(holding))).collect();
-        Parted { free: budget.free, base: budget.base, kept_for: budget.reserved_bases, holdings }
+impl BudgetImage {
+    fn from_budget(budget: &Budget) -> BudgetImage {
+        let to_image =
+            |h: &Holding| HoldingImage { base: h.base, extra: h.extra, version: h.version, start: h.start };
+        let holdings = budget.holdings.iter().map(|(id, holding)| (*id, to_image(holding))).collect();
+        BudgetImage { free: budget.free, base: budget.base, reserved_bases: budget.reserved_bases, holdings }
     }
 
-    fn budget(&self) -> Budget {
-        let holding = |h: &Held| Holding { base: h.base, extra: h.more, version: h.number, start: h.start };
-        let holdings = self.holdings.iter().map(|(id, held)| (*id, holding(held))).collect();
-        Budget { free: self.free, base: self.base, reserved_bases: self.kept_for, holdings }
+    fn to_budget(&self) -> Budget {
+        let to_holding =
+            |h: &HoldingImage| Holding { base: h.base, extra: h.extra, version: h.version, start: h.start };
+        let holdings = self.holdings.iter().map(|(id, held)| (*id, to_holding(held))).collect();
+        Budget { free: self.free, base: self.base, reserved_bases: self.reserved_bases, holdings }
     }
 }
 
-/// A duty; holder 0: nobody's. The number only rises.
+/// A duty; holder 0: none. The fencing token only rises.
 #[derive(Clone, PartialEq, Message)]
 pub struct Duty {
     #[prost(fixed64, tag = "1")]
@@ -168,15 +172,15 @@
     pub holder_name: String,
     #[prost(uint64, tag = "3")]
     pub fencing_token: u64,
-    /// Where an operator wants it.
+    /// The planner that an operator pinned it to.
     #[prost(string, tag = "4")]
     pub pinned_to: String,
-    /// When it was given or handed on, by the calendar of whoever said so.
+    /// When it was assigned or released, in Unix time of the issuer.
     #[prost(uint64, tag = "5")]
     pub since_ms: u64,
 }
 
-/// The books: the last period that was closed, at which place of the log, and the last that arrived.
+/// Accounting: the last closed period, the log index where it was closed, and the last delivered period.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct AccountingState {
     #[prost(uint64, tag = "1")]
@@ -188,136 +192,139 @@
 }
 
 #[derive(Clone, PartialEq, Message)]
-struct Own {
+struct PlannerCommand {
     #[prost(fixed64, tag = "1")]
     id: u64,
     #[prost(message, required, tag = "2")]
-    past: Past,
+    outcome: PastOutcome,
 }
 
-/// An id's answer; empty `why`: kept.
+/// The outcome of an id; an empty `rejection` means applied.
 #[derive(Clone, PartialEq, Message)]
-struct Past {
+struct PastOutcome {
     #[prost(uint64, tag = "1")]
     number: u64,
     #[prost(string, tag = "2")]
-    why: String,
+    rejection: String,
     #[prost(uint64, tag = "3")]
-    given: u64,
+    issued_at_ms: u64,
 }
 
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Record {
     orders: BTreeMap<Subject, ActiveOrder>,
-    ids: BTreeMap<u64, Past>,
+    outcomes: BTreeMap<u64, PastOutcome>,
     last_start_number: u64,
     drains: BTreeMap<String, Drain>,
-    /// Ids given before are forgotten.
+    /// Ids issued before this time are forgotten.
     horizon: u64,
     format: u32,
-    /// Planners' own commands, in their order.
-    own: VecDeque<u64>,
-    own_ids: BTreeMap<u64, Past>,
+    /// Ids of planners' own commands, oldest first.
+    planner_command_order: VecDeque<u64>,
+    planner_outcomes: BTreeMap<u64, PastOutcome>,
     duties: BTreeMap<String, Duty>,
     accounting: AccountingState,
-    extract: String,
+    accounting_extract: String,
     lease_ms: u64,
     budgets: BTreeMap<String, Budget>,
 }
 
 impl Record {
-    /// Carries out the command at a place of the log.
+    /// Applies the command at a log index.
     pub fn apply(&mut self, index: u64, command: &Command) -> Outcome {
-        if let Some(answer) = self.past_outcome(command.id) {
-            return answer;
+        if let Some(outcome) = self.past_outcome(command.id) {
+            return outcome;
         }
         if command.issued_at_ms < self.horizon {
             return Outcome::Unknown;
         }
-        let own = self.format >= 2 && command.kind.as_ref().is_some_and(CommandKind::is_own);
-        // Refused before it is remembered: it may be given again once there is room.
-        if self.ids.len() >= MAX_IDS && !own && !matches!(command.kind, Some(CommandKind::Cleanup(_))) {
-            return Outcome::Rejected(format!("{MAX_IDS} commands are remembered, no more are taken"));
+        let is_planner_command =
+            self.format >= 2 && command.kind.as_ref().is_some_and(CommandKind::is_planner_command);
+        // Rejected without remembering the id, so that the command may be retried once there is room.
+        if self.outcomes.len() >= MAX_IDS
+            && !is_planner_command
+            && !matches!(command.kind, Some(CommandKind::Cleanup(_)))
+        {
+            return Outcome::Rejected(format!("{MAX_IDS} command ids are remembered, the maximum"));
         }
-        let answer = match &command.kind {
-            Some(CommandKind::Order(order)) => self.order(index, command.issued_at_ms, order),
-            Some(CommandKind::AllocateStartNumber(take)) => {
-                self.last_start_number = (self.last_start_number + 1).max(take.at_least);
+        let outcome = match &command.kind {
+            Some(CommandKind::Order(order)) => self.apply_order(index, command.issued_at_ms, order),
+            Some(CommandKind::AllocateStartNumber(allocate)) => {
+                self.last_start_number = (self.last_start_number + 1).max(allocate.at_least);
                 Outcome::Applied(self.last_start_number)
             }
-            Some(CommandKind::Drain(drain)) => self.drain(index, drain),
+            Some(CommandKind::Drain(drain)) => self.apply_drain(index, drain),
             Some(CommandKind::RaiseFormat(format)) => {
                 self.format = self.format().max(*format);
                 return Outcome::Applied(index);
             }
-            Some(CommandKind::AssignDuty(give)) => self.give(index, command.issued_at_ms, give),
-            Some(CommandKind::ReleaseDuty(release)) => self.release(index, command.issued_at_ms, release),
-            Some(CommandKind::PinDuty(hand)) => self.hand(index, hand),
-            Some(CommandKind::ClosePeriod(close)) => self.close(index, close),
-            Some(CommandKind::PeriodDelivered(close)) => self.arrived(index, close),
-            Some(CommandKind::SetLease(length)) => {
-                self.lease_ms = *length;
+            Some(CommandKind::AssignDuty(assign)) => self.assign_duty(index, command.issued_at_ms, assign),
+            Some(CommandKind::ReleaseDuty(release)) => {
+                self.release_duty(index, command.issued_at_ms, release)
+            }
+            Some(CommandKind::PinDuty(pin)) => self.pin_duty(index, pin),
+            Some(CommandKind::ClosePeriod(close)) => self.close_period(index, close),
+            Some(CommandKind::PeriodDelivered(close)) => self.mark_delivered(index, close),
+            Some(CommandKind::SetLease(lease_ms)) => {
+                self.lease_ms = *lease_ms;
                 Outcome::Applied(index)
             }
-            Some(CommandKind::RolloutStep(step)) => self.step(index, step),
-            Some(CommandKind::BudgetShift(share)) => self.share(index, share),
-            Some(CommandKind::Cleanup(clean)) => {
-                if let Err(why) = self.fenced(CLEANING_DUTY, clean.fencing_token) {
-                    return Outcome::Rejected(why);
+            Some(CommandKind::RolloutStep(step)) => self.apply_rollout_step(index, step),
+            Some(CommandKind::BudgetShift(shift)) => self.shift_budget(index, shift),
+            Some(CommandKind::Cleanup(cleanup)) => {
+                if let Err(rejection) = self.check_fencing_token(CLEANING_DUTY, cleanup.fencing_token) {
+                    return Outcome::Rejected(rejection);
                 }
-                self.clean(clean.now_ms);
+                self.clean_up(cleanup.now_ms);
                 return Outcome::Applied(index);
             }
-            None => Outcome::Rejected("no command".into()),
+            None => Outcome::Rejected("the command is missing".into()),
         };
-        let (number, why) = match &answer {
+        let (number, rejection) = match &outcome {
             Outcome::Applied(number) => (*number, String::new()),
-            Outcome::Rejected(why) => (0, why.clone()),
-            Outcome::Unknown => return answer,
+            Outcome::Rejected(rejection) => (0, rejection.clone()),
+            Outcome::Unknown => return outcome,
         };
-        let past = Past { number, why, given: command.issued_at_ms };
-        if own {
-            self.own.push_back(command.id);
-            self.own_ids.insert(command.id, past);
-            let over = self.own.len().saturating_sub(MAX_PLANNER_COMMANDS);
-            for id in self.own.drain(..over) {
-                self.own_ids.remove(&id);
+        let past_outcome = PastOutcome { number, rejection, issued_at_ms: command.issued_at_ms };
+        if is_planner_command {
+            self.planner_command_order.push_back(command.id);
+            self.planner_outcomes.insert(command.id, past_outcome);
+            let excess = self.planner_command_order.len().saturating_sub(MAX_PLANNER_COMMANDS);
+            for id in self.planner_command_order.drain(..excess) {
+                self.planner_outcomes.remove(&id);
             }
         } else {
-            self.ids.insert(command.id, past);
+            self.outcomes.insert(command.id, past_outcome);
         }
-        answer
+        outcome
     }
 
-    fn order(&mut self, index: u64, given: u64, order: &Order) -> Outcome {
-        let Some(wish) = &order.action else { return Outcome::Rejected("no order is given".into()) };
-        let (subject, stays) = wish.subject();
+    fn apply_order(&mut self, index: u64, issued_at_ms: u64, order: &Order) -> Outcome {
+        let Some(action) = &order.action else { return Outcome::Rejected("the order has no action".into()) };
+        let (subject, stays_in_force) = action.subject();
         if order.by_proxies && self.format() < 3 {
-            return Outcome::Rejected("not everybody knows steps by proxies yet".into());
+            return Outcome::Rejected("not every member supports by_proxies yet".into());
         }
-        if !stays {
+        if !stays_in_force {
             self.orders.remove(&subject);
         } else if self.orders.len() >= MAX_ORDERS && !self.orders.contains_key(&subject) {
-            return Outcome::Rejected(format!("{MAX_ORDERS} orders are in force, take one back first"));
+            return Outcome::Rejected(format!(
+                "{MAX_ORDERS} orders are in force, the maximum; revoke one first"
+            ));
         } else {
             self.orders.insert(
                 subject,
-                ActiveOrder {
-                    index,
-                    order: Some(order.clone()),
-                    issued_at_ms: given,
-                    ..ActiveOrder::default()
-                },
+                ActiveOrder { index, order: Some(order.clone()), issued_at_ms, ..ActiveOrder::default() },
             );
         }
         Outcome::Applied(index)
     }
 
-    fn drain(&mut self, index: u64, drain: &Drain) -> Outcome {
+    fn apply_drain(&mut self, index: u64, drain: &Drain) -> Outcome {
         match self.drains.get(&drain.server) {
-            Some(known) if known.started >= drain.started => return Outcome::Applied(index),
+            Some(existing) if existing.started >= drain.started => return Outcome::Applied(index),
             None if self.drains.len() >= MAX_DRAINS => {
-                return Outcome::Rejected(format!("{MAX_DRAINS} drains run"));
+                return Outcome::Rejected(format!("{MAX_DRAINS} drains are active, the maximum"));
             }
             _ => {}
         }
@@ -325,62 +332,67 @@
         Outcome::Applied(index)
     }
 
-    /// What is done under a number that is not the duty's any more is refused. Without the duty there is none.
-    fn fenced(&self, duty: &str, number: u64) -> Result<(), String> {
+    /// Rejects a command whose fencing token is not the duty's current one. A duty that does not exist has
+    /// token 0.
+    fn check_fencing_token(&self, duty: &str, token: u64) -> Result<(), String> {
         match self.duties.get(duty).map_or(0, |duty| duty.fencing_token) {
-            known if known == number => Ok(()),
-            known => Err(format!("{duty} is done under number {known} by now, not {number}")),
+            current if current == token => Ok(()),
+            current => Err(format!("{duty} is done under number {current} by now, not {token}")),
         }
     }
 
-    fn give(&mut self, index: u64, given: u64, give: &AssignDuty) -> Outcome {
-        if let Err(why) = self.fenced(&give.duty, give.expected_fencing_token) {
+    fn assign_duty(&mut self, index: u64, issued_at_ms: u64, assign: &AssignDuty) -> Outcome {
+        if let Err(why) = self.check_fencing_token(&assign.duty, assign.expected_fencing_token) {
             return Outcome::Rejected(why);
         }
-        if !self.duties.contains_key(&give.duty) && self.duties.len() >= MAX_DUTIES {
-            return Outcome::Rejected(format!("{MAX_DUTIES} duties are known"));
+        if !self.duties.contains_key(&assign.duty) && self.duties.len() >= MAX_DUTIES {
+            return Outcome::Rejected(format!("{MAX_DUTIES} duties exist, the maximum"));
         }
-        let duty = self.duties.entry(give.duty.clone()).or_default();
+        let duty = self.duties.entry(assign.duty.clone()).or_default();
         (duty.holder, duty.holder_name, duty.fencing_token, duty.since_ms) =
-            (give.holder, give.holder_name.clone(), index, given);
+            (assign.holder, assign.holder_name.clone(), index, issued_at_ms);
         Outcome::Applied(index)
     }
 
-    fn release(&mut self, index: u64, given: u64, release: &ReleaseDuty) -> Outcome {
-        if let Err(why) = self.fenced(&release.duty, release.fencing_token) {
+    fn release_duty(&mut self, index: u64, issued_at_ms: u64, release: &ReleaseDuty) -> Outcome {
+        if let Err(why) = self.check_fencing_token(&release.duty, release.fencing_token) {
             return Outcome::Rejected(why);
         }
         if let Some(duty) = self.duties.get_mut(&release.duty) {
-            (duty.holder, duty.since_ms) = (0, given);
+            (duty.holder, duty.since_ms) = (0, issued_at_ms);
         }
         Outcome::Applied(index)
     }
 
-    fn hand(&mut self, index: u64, hand: &PinDuty) -> Outcome {
-        match self.duties.get_mut(&hand.duty) {
-            Some(duty) => duty.pinned_to = hand.planner.clone(),
-            None => return Outcome::Rejected(format!("there is no duty '{}'", hand.duty)),
+    fn pin_duty(&mut self, index: u64, pin: &PinDuty) -> Outcome {
+        match self.duties.get_mut(&pin.duty) {
+            Some(duty) => duty.pinned_to = pin.planner.clone(),
+            None => return Outcome::Rejected(format!("there is no duty '{}'", pin.duty)),
         }
         Outcome::Applied(index)
     }
 
-    fn share(&mut self, index: u64, share: &BudgetShift) -> Outcome {
-        let Some(shift) = share.shift() else { return Outcome::Rejected("nothing is shared out".into()) };
-        if !self.budgets.contains_key(&share.budget) && self.budgets.len() >= MAX_BUDGETS {
-            return Outcome::Rejected(format!("{MAX_BUDGETS} budgets are parted"));
+    fn shift_budget(&mut self, index: u64, command: &BudgetShift) -> Outcome {
+        let Some(shift) = command.shift() else {
+            return Outcome::Rejected("the budget shift is missing".into());
+        };
+        if !self.budgets.contains_key(&command.budget) && self.budgets.len() >= MAX_BUDGETS {
+            return Outcome::Rejected(format!("{MAX_BUDGETS} budgets exist, the maximum"));
         }
-        let budget = self.budgets.entry(share.budget.clone()).or_default();
+        let budget = self.budgets.entry(command.budget.clone()).or_default();
         budget.apply(index, &shift).map_or_else(Outcome::Rejected, |()| Outcome::Applied(index))
     }
 
-    /// Only up, or back to nothing for good.
-    fn step(&mut self, index: u64, step: &RolloutStep) -> Outcome {
-        if let Err(why) = self.fenced(RELEASE_DUTY, step.fencing_token) {
+    /// Progress only rises, or the order is reverted for good.
+    fn apply_rollout_step(&mut self, index: u64, step: &RolloutStep) -> Outcome {
+        if let Err(why) = self.check_fencing_token(RELEASE_DUTY, step.fencing_token) {
             return Outcome::Rejected(why);
         }
-        match self.orders.values_mut().find(|standing| standing.index == step.order_index) {
+        match self.orders.values_mut().find(|order| order.index == step.order_index) {
             None => Outcome::Rejected(format!("order {} is not in force", step.order_index)),
-            Some(order) if !order.revert_reason.is_empty() => Outcome::Rejected("it was taken back".into()),
+            Some(order) if !order.revert_reason.is_empty() => {
+                Outcome::Rejected("the order was reverted".into())
+            }
             Some(order) if !step.revert_reason.is_empty() => {
                 (order.progress, order.revert_reason) = (0, step.revert_reason.clone());
                 Outcome::Applied(index)
@@ -392,45 +404,46 @@
         }
     }
 
-    /// Closed only when the last one arrived: what it says is kept until then, so whoever sends it sends the same.
-    fn close(&mut self, index: u64, close: &PeriodReport) -> Outcome {
-        if let Err(why) = self.fenced(ACCOUNTING_DUTY, close.fencing_token) {
+    /// A period can be closed only after the previous one was delivered: its content is kept until then, so
+    /// that every sender sends the same bytes.
+    fn close_period(&mut self, index: u64, report: &PeriodReport) -> Outcome {
+        if let Err(why) = self.check_fencing_token(ACCOUNTING_DUTY, report.fencing_token) {
             return Outcome::Rejected(why);
         }
         match self.accounting {
-            books if close.period <= books.closed_period => Outcome::Applied(index),
-            books if books.delivered_period < books.closed_period => {
-                Outcome::Rejected(format!("period {} has not arrived", books.closed_period))
+            accounting if report.period <= accounting.closed_period => Outcome::Applied(index),
+            accounting if accounting.delivered_period < accounting.closed_period => {
+                Outcome::Rejected(format!("period {} has not been delivered", accounting.closed_period))
             }
-            books => {
+            accounting => {
                 self.accounting =
-                    AccountingState { closed_period: close.period, closed_at_index: index, ..books };
-                self.extract = self.extract_now(close, index);
+                    AccountingState { closed_period: report.period, closed_at_index: index, ..accounting };
+                self.accounting_extract = self.build_extract(report, index);
                 Outcome::Applied(index)
             }
         }
     }
 
-    fn arrived(&mut self, index: u64, close: &PeriodReport) -> Outcome {
-        if let Err(why) = self.fenced(ACCOUNTING_DUTY, close.fencing_token) {
+    fn mark_delivered(&mut self, index: u64, report: &PeriodReport) -> Outcome {
+        if let Err(why) = self.check_fencing_token(ACCOUNTING_DUTY, report.fencing_token) {
             return Outcome::Rejected(why);
         }
-        if close.period > self.accounting.closed_period {
-            return Outcome::Rejected(format!("period {} is not closed", close.period));
+        if report.period > self.accounting.closed_period {
+            return Outcome::Rejected(format!("period {} is not closed", report.period));
         }
-        self.accounting.delivered_period = self.accounting.delivered_period.max(close.period);
+        self.accounting.delivered_period = self.accounting.delivered_period.max(report.period);
         Outcome::Applied(index)
     }
 
-    /// What the record holds, as the receiver gets it: the same bytes from whoever sends it.
-    fn extract_now(&self, close: &PeriodReport, index: u64) -> String {
+    /// The content of the record as the receiver gets it: the same bytes from every sender.
+    fn build_extract(&self, report: &PeriodReport, index: u64) -> String {
         let orders: Vec<serde_json::Value> = self
             .orders
             .values()
-            .filter_map(|standing| {
-                let order = standing.order.as_ref()?;
-                Some(serde_json::json!({ "number": standing.index, "order": order.action.as_ref()?.describe(),
-                    "who": order.issued_by, "why": order.reason, "until": order.expires_at_ms, "given": standing.issued_at_ms, "reached": standing.progress, "back": standing.revert_reason }))
+            .filter_map(|active| {
+                let order = active.order.as_ref()?;
+                Some(serde_json::json!({ "number": active.index, "order": order.action.as_ref()?.describe(),
+                    "who": order.issued_by, "why": order.reason, "until": order.expires_at_ms, "given": active.issued_at_ms, "reached": active.progress, "back": active.revert_reason }))
             })
             .collect();
         let drains: Vec<serde_json::Value> = self
@@ -438,56 +451,63 @@
             .values()
             .map(|d| serde_json::json!({ "server": d.server, "started": d.started, "told": d.notified_at_ms, "grace": d.grace_ms }))
             .collect();
-        let mut extract = serde_json::json!({ "period": close.period, "index": index, "number": self.last_start_number,
+        let mut extract = serde_json::json!({ "period": report.period, "index": index, "number": self.last_start_number,
             "orders": orders, "drains": drains });
         if self.format() >= 3 {
-            let used = close.usage.iter().map(|u| {
-                serde_json::json!({ "planner": u.planner, "disk": format!("{:016x}", u.disk_id), "start": u.start,
-                    "route": u.route, "zone": u.zone, "calls": u.calls, "age_ms": u.age_ms })
+            let usage = report.usage.iter().map(|usage_row| {
+                serde_json::json!({ "planner": usage_row.planner, "disk": format!("{:016x}", usage_row.disk_id), "start": usage_row.start,
+                    "route": usage_row.route, "zone": usage_row.zone, "calls": usage_row.calls, "age_ms": usage_row.age_ms })
             });
-            extract["used"] = used.collect();
+            extract["used"] = usage.collect();
         }
         extract.to_string()
     }
 
-    fn clean(&mut self, now: u64) {
-        self.orders.retain(|_, standing| {
-            standing.order.as_ref().is_some_and(|order| order.expires_at_ms == 0 || order.expires_at_ms > now)
+    fn clean_up(&mut self, now_ms: u64) {
+        self.orders.retain(|_, active| {
+            active
+                .order
+                .as_ref()
+                .is_some_and(|order| order.expires_at_ms == 0 || order.expires_at_ms > now_ms)
         });
-        self.drains.retain(|_, drain| drain.notified_at_ms + drain.grace_ms + DRAINED > now);
-        self.horizon = self.horizon.max(now.saturating_sub(ID_RETENTION_MS));
+        self.drains.retain(|_, drain| drain.notified_at_ms + drain.grace_ms + DRAIN_RETENTION_MS > now_ms);
+        self.horizon = self.horizon.max(now_ms.saturating_sub(ID_RETENTION_MS));
         let horizon = self.horizon;
-        self.ids.retain(|_, past| past.given >= horizon);
+        self.outcomes.retain(|_, outcome| outcome.issued_at_ms >= horizon);
     }
 
-    /// What a command may change, before it is carried out; too much is not wrong.
+    /// The subjects that a command may change, determined before it is applied; may include more than
+    /// necessary.
     pub fn affected_subjects(&self, command: &Command) -> Vec<Subject> {
         match &command.kind {
-            Some(CommandKind::Cleanup(clean)) => {
-                let over = |s: &ActiveOrder| {
-                    s.order.as_ref().is_none_or(|o| o.expires_at_ms > 0 && o.expires_at_ms <= clean.now_ms)
+            Some(CommandKind::Cleanup(cleanup)) => {
+                let is_expired = |s: &ActiveOrder| {
+                    s.order.as_ref().is_none_or(|o| o.expires_at_ms > 0 && o.expires_at_ms <= cleanup.now_ms)
                 };
-                let orders = self.orders.iter().filter(|(_, standing)| over(standing));
-                let drains =
-                    self.drains.values().filter(|d| d.notified_at_ms + d.grace_ms + DRAINED <= clean.now_ms);
+                let orders = self.orders.iter().filter(|(_, active)| is_expired(active));
+                let drains = self
+                    .drains
+                    .values()
+                    .filter(|d| d.notified_at_ms + d.grace_ms + DRAIN_RETENTION_MS <= cleanup.now_ms);
                 let drains = drains.map(|drain| Subject::Server(drain.server.clone()));
                 orders.map(|(subject, _)| subject.clone()).chain(drains).collect()
             }
             Some(CommandKind::RolloutStep(step)) => {
-                let stepped = self.orders.iter().find(|(_, standing)| standing.index == step.order_index);
-                stepped.map(|(subject, _)| subject.clone()).into_iter().collect()
+                let advanced = self.orders.iter().find(|(_, active)| active.index == step.order_index);
+                advanced.map(|(subject, _)| subject.clone()).into_iter().collect()
             }
             _ => command.subject().into_iter().collect(),
         }
     }
 
-    /// Whether a clean at this moment would end anything.
-    pub fn needs_cleanup(&self, now: u64) -> bool {
-        let ended =
-            |s: &ActiveOrder| s.order.as_ref().is_some_and(|o| o.expires_at_ms > 0 && o.expires_at_ms <= now);
-        self.orders.values().any(ended)
-            || self.horizon + 2 * ID_RETENTION_MS < now && !self.ids.is_empty()
-            || self.ids.len() > MAX_IDS / 2 && self.horizon + ID_RETENTION_MS + 1_000 < now
+    /// Whether a cleanup at this time would remove anything.
+    pub fn needs_cleanup(&self, now_ms: u64) -> bool {
+        let is_expired = |s: &ActiveOrder| {
+            s.order.as_ref().is_some_and(|o| o.expires_at_ms > 0 && o.expires_at_ms <= now_ms)
+        };
+        self.orders.values().any(is_expired)
+            || self.horizon + 2 * ID_RETENTION_MS < now_ms && !self.outcomes.is_empty()
+            || self.outcomes.len() > MAX_IDS / 2 && self.horizon + ID_RETENTION_MS + 1_000 < now_ms
     }
 
     /// The orders in force, by subject.
@@ -495,11 +515,11 @@
         self.orders.iter()
     }
 
-    /// For whoever carries out no commands and is told by others what stands on a subject, or of which start of a server a
-    /// drain runs. None: nothing.
-    pub fn set_order(&mut self, subject: Subject, standing: Option<ActiveOrder>) {
-        match standing {
-            Some(standing) => drop(self.orders.insert(subject, standing)),
+    /// For followers that do not apply commands but are told the order on a subject, or the start of a server
+    /// that a drain applies to. `None` removes it.
+    pub fn set_order(&mut self, subject: Subject, order: Option<ActiveOrder>) {
+        match order {
+            Some(order) => drop(self.orders.insert(subject, order)),
             None => drop(self.orders.remove(&subject)),
         }
     }
@@ -519,28 +539,28 @@
         self.budgets.get(name)
     }
 
-    /// Duties that an operator wants at a planner that does not belong any more.
-    pub fn duties_pinned_to_absent(&self, belongs: impl Fn(&str) -> bool) -> Vec<String> {
-        let lost = |duty: &&Duty| !duty.pinned_to.is_empty() && !belongs(&duty.pinned_to);
-        let lost = self.duties.iter().filter(|(_, duty)| lost(duty));
-        lost.map(|(name, _)| name.clone()).collect()
+    /// Duties pinned to a planner that is no longer a member.
+    pub fn duties_pinned_to_absent(&self, is_member: impl Fn(&str) -> bool) -> Vec<String> {
+        let is_absent = |duty: &&Duty| !duty.pinned_to.is_empty() && !is_member(&duty.pinned_to);
+        let is_absent = self.duties.iter().filter(|(_, duty)| is_absent(duty));
+        is_absent.map(|(name, _)| name.clone()).collect()
     }
 
-    /// How long leases are, in milliseconds; 0: nobody has said so.
+    /// The lease duration in milliseconds; 0: never set.
     pub fn lease_ms(&self) -> u64 {
         self.lease_ms
     }
 
-    /// The books, and what the last closed period says.
+    /// The accounting state and the content of the last closed period.
     pub fn accounting(&self) -> (AccountingState, &str) {
-        (self.accounting, &self.extract)
+        (self.accounting, &self.accounting_extract)
     }
 
     pub fn active_order(&self, subject: &Subject) -> Option<&ActiveOrder> {
         self.orders.get(subject)
     }
 
-    /// Whether a drain of this start of the server, or of a later one, is kept.
+    /// Whether a drain of this start of the server, or of a later one, is recorded.
     pub fn is_drained(&self, server: &str, started: u64) -> bool {
         self.drains.get(server).is_some_and(|drain| drain.started >= started)
     }
@@ -553,79 +573,101 @@
         self.drains.values()
     }
 
-    /// The format in which commands are carried out.
+    /// The format in which commands are interpreted.
     pub fn format(&self) -> u32 {
         self.format.max(SUPPORTED_FORMATS.0)
     }
 
-    /// The highest number that was taken.
+    /// The highest number that was allocated.
     pub fn last_start_number(&self) -> u64 {
         self.last_start_number
     }
 
-    /// The answer that an id had, if it is remembered.
+    /// The outcome of a command id, if it is remembered.
     pub fn past_outcome(&self, id: u64) -> Option<Outcome> {
-        self.ids.get(&id).or_else(|| self.own_ids.get(&id)).map(Past::answer)
+        self.outcomes.get(&id).or_else(|| self.planner_outcomes.get(&id)).map(PastOutcome::to_outcome)
     }
 
     pub fn encode_snapshot(&self) -> Vec<u8> {
-        let own = self.own.iter().filter_map(|id| Some(Own { id: *id, past: self.own_ids.get(id)?.clone() }));
-        let image = Image {
+        let planner_commands = self.planner_command_order.iter().filter_map(|id| {
+            Some(PlannerCommand { id: *id, outcome: self.planner_outcomes.get(id)?.clone() })
+        });
+        let image = SnapshotImage {
             orders: self.orders.values().cloned().collect(),
-            ids: self.ids.clone(),
-            number: self.last_start_number,
+            outcomes: self.outcomes.clone(),
+            last_start_number: self.last_start_number,
             drains: self.drains.clone(),
             horizon: self.horizon,
             format: self.format,
-            own: own.collect(),
+            planner_commands: planner_commands.collect(),
             duties: self.duties.clone(),
-            books: Some(self.accounting),
-            extract: self.extract.clone(),
-            lease: self.lease_ms,
-            budgets: self.budgets.iter().map(|(name, budget)| (name.clone(), Parted::of(budget))).collect(),
+            accounting: Some(self.accounting),
+            accounting_extract: self.accounting_extract.clone(),
+            lease_ms: self.lease_ms,
+            budgets: self
+                .budgets
+                .iter()
+                .map(|(name, budget)| (name.clone(), BudgetImage::from_budget(budget)))
+                .collect(),
         };
         image.encode_to_vec()
     }
 
     pub fn decode_snapshot(bytes: &[u8]) -> Result<Record, String> {
-        let image = Image::decode(bytes).map_err(|e| format!("no image of a record: {e}"))?;
+        let image = SnapshotImage::decode(bytes).map_err(|e| format!("invalid record snapshot: {e}"))?;
         let mut orders = BTreeMap::new();
-        for standing in image.orders {
-            let wish = standing.order.as_ref().and_then(|order| order.action.as_ref());
-            let (subject, _) = wish.ok_or("an order in the image wishes for nothing")?.subject();
-            orders.insert(subject, standing);
+        for active in image.orders {
+            let action = active.order.as_ref().and_then(|order| order.action.as_ref());
+            let (subject, _) = action.ok_or("an order in the snapshot has no action")?.subject();
+            orders.insert(subject, active);
         }
-        let books = image.books.unwrap_or_default();
-        let Image { ids, number, drains, horizon, format, own, duties, extract, lease, budgets, .. } = image;
+        let accounting = image.accounting.unwrap_or_default();
+        let SnapshotImage {
+            outcomes,
+            last_start_number,
+            drains,
+            horizon,
+            format,
+            planner_commands,
+            duties,
+            accounting_extract,
+            lease_ms,
+            budgets,
+            ..
+        } = image;
         if format > SUPPORTED_FORMATS.1 {
             return Err(format!(
-                "the record stands at format {format}, this build knows {}",
+                "the record is at format {format}, this build supports up to {}",
                 SUPPORTED_FORMATS.1
             ));
         }
-        let ids_of_own = own.iter().map(|own| own.id).collect();
-        let own_ids = own.into_iter().map(|own| (own.id, own.past)).collect();
+        let planner_command_order =
+            planner_commands.iter().map(|planner_commands| planner_commands.id).collect();
+        let planner_outcomes = planner_commands
+            .into_iter()
+            .map(|planner_commands| (planner_commands.id, planner_commands.outcome))
+            .collect();
         Ok(Record {
             orders,
-            ids,
-            last_start_number: number,
+            outcomes,
+            last_start_number,
             drains,
             horizon,
             format,
-            own: ids_of_own,
-            own_ids,
+            planner_command_order,
+            planner_outcomes,
             duties,
-            accounting: books,
-            extract,
-            lease_ms: lease,
-            budgets: budgets.iter().map(|(name, parted)| (name.clone(), parted.budget())).collect(),
+            accounting,
+            accounting_extract,
+            lease_ms,
+            budgets: budgets.iter().map(|(name, image)| (name.clone(), image.to_budget())).collect(),
         })
     }
 }
 
-impl Past {
-    fn answer(&self) -> Outcome {
-        match self.why.as_str() {
+impl PastOutcome {
+    fn to_outcome(&self) -> Outcome {
+        match self.rejection.as_str() {
             "" => Outcome::Applied(self.number),
             why => Outcome::Rejected(why.into()),
         }
--- a/crates/record/tests/table.rs
+++ b/crates/record/tests/transitions.rs
@@ -1,28 +1,28 @@
-//! The table of the record, row by row.
+//! The transitions of the record, one by one.
 
 use pewtergap_record::*;
 use std::fmt::Write;
 
-fn order(id: u64, given: u64, until: u64, wish: OrderAction) -> Command {
+fn order(id: u64, issued_at_ms: u64, expires_at_ms: u64, action: OrderAction) -> Command {
     let order = Order {
         issued_by: "an operator".into(),
         reason: "a test".into(),
-        expires_at_ms: until,
-        action: Some(wish),
+        expires_at_ms,
+        action: Some(action),
         ..Order::default()
     };
-    Command { id, issued_at_ms: given, kind: Some(CommandKind::Order(order)) }
+    Command { id, issued_at_ms, kind: Some(CommandKind::Order(order)) }
 }
 
-fn drain(id: u64, started: u64, told: u64) -> Command {
-    let drain = Drain { server: "s1".into(), started, notified_at_ms: told, grace_ms: 5_000 };
-    Command { id, issued_at_ms: told, kind: Some(CommandKind::Drain(drain)) }
+fn drain(id: u64, started: u64, notified_at_ms: u64) -> Command {
+    let drain = Drain { server: "s1".into(), started, notified_at_ms, grace_ms: 5_000 };
+    Command { id, issued_at_ms: notified_at_ms, kind: Some(CommandKind::Drain(drain)) }
 }
 
-fn number(id: u64, given: u64) -> Command {
+fn number(id: u64, issued_at_ms: u64) -> Command {
     Command {
         id,
-        issued_at_ms: given,
+        issued_at_ms,
         kind: Some(CommandKind::AllocateStartNumber(AllocateStartNumber {
             planner: "a".into(),
             at_least: if id == 11 { 40 } else { 0 },
@@ -30,16 +30,16 @@
     }
 }
 
-fn clean(now: u64) -> Command {
+fn clean(now_ms: u64) -> Command {
     Command {
         id: 99,
-        issued_at_ms: now,
-        kind: Some(CommandKind::Cleanup(Cleanup { now_ms: now, fencing_token: 0 })),
+        issued_at_ms: now_ms,
+        kind: Some(CommandKind::Cleanup(Cleanup { now_ms, fencing_token: 0 })),
     }
 }
 
 #[test]
-fn each_row_of_the_table() {
+fn every_transition_and_its_outcome() {
     let mut record = Record::default();
     let mut trace = String::new();
     let hour = 3_600_000;
@@ -62,7 +62,7 @@
         number(11, hour),
     ];
     for (index, command) in (1..).zip(&steps) {
-        let answer = record.apply(index, command);
+        let outcome = record.apply(index, command);
         let orders: Vec<String> = record
             .orders()
             .map(|(_, s)| {
@@ -73,7 +73,7 @@
             .drains()
             .map(|d| format!("{}@{} from {}", d.server, d.started, d.notified_at_ms))
             .collect();
-        let _ = writeln!(trace, "{index:>2} {answer:?} | {} | {}", orders.join(", "), drains.join(", "));
+        let _ = writeln!(trace, "{index:>2} {outcome:?} | {} | {}", orders.join(", "), drains.join(", "));
         assert_eq!(
             Record::decode_snapshot(&record.encode_snapshot()).as_ref(),
             Ok(&record),
@@ -84,9 +84,9 @@
 }
 
 #[test]
-fn what_nobody_may_order_is_named() {
+fn invalid_commands_are_rejected_with_a_reason() {
     let long = "x".repeat(300);
-    let wishes = [
+    let actions = [
         OrderAction::Drain(String::new()),
         OrderAction::Drain("a\nb".into()),
         OrderAction::Drain(long),
@@ -95,24 +95,24 @@
         OrderAction::SetCap(Cap { route: "r".into(), level: 1.5 }),
         OrderAction::ClearCap(String::new()),
     ];
-    let mut told: Vec<String> =
-        wishes.into_iter().map(|wish| format!("{:?}", order(1, 1, 0, wish).check())).collect();
-    told.push(format!("{:?}", order(0, 1, 0, OrderAction::Drain("s".into())).check()));
-    told.push(format!("{:?}", Command { id: 1, issued_at_ms: 1, kind: None }.check()));
-    told.push(format!("{:?}", order(1, 1, 0, OrderAction::Drain("s".into())).check()));
-    insta::assert_snapshot!(told.join("\n"));
+    let mut results: Vec<String> =
+        actions.into_iter().map(|action| format!("{:?}", order(1, 1, 0, action).check())).collect();
+    results.push(format!("{:?}", order(0, 1, 0, OrderAction::Drain("s".into())).check()));
+    results.push(format!("{:?}", Command { id: 1, issued_at_ms: 1, kind: None }.check()));
+    results.push(format!("{:?}", order(1, 1, 0, OrderAction::Drain("s".into())).check()));
+    insta::assert_snapshot!(results.join("\n"));
 }
 
 #[test]
-fn what_is_in_force_and_remembered_is_bounded() {
+fn orders_in_force_and_remembered_ids_are_limited() {
     let mut record = Record::default();
     for at in 0..MAX_ORDERS as u64 {
-        let wish = OrderAction::Drain(format!("s{at}"));
-        assert_eq!(record.apply(at + 1, &order(at + 1, 5, 0, wish)), Outcome::Applied(at + 1));
+        let action = OrderAction::Drain(format!("s{at}"));
+        assert_eq!(record.apply(at + 1, &order(at + 1, 5, 0, action)), Outcome::Applied(at + 1));
     }
-    let more = record.apply(1 << 20, &order(1 << 20, 5, 0, OrderAction::Drain("one more".into())));
-    assert!(matches!(more, Outcome::Rejected(_)), "{more:?}");
-    // On a subject that has one there is room, and taking back makes some.
+    let rejected = record.apply(1 << 20, &order(1 << 20, 5, 0, OrderAction::Drain("one more".into())));
+    assert!(matches!(rejected, Outcome::Rejected(_)), "{rejected:?}");
+    // A subject that already has an order does not count against the limit, and revoking an order makes room.
     assert_eq!(record.apply(2, &order(1 << 21, 5, 0, OrderAction::Drain("s7".into()))), Outcome::Applied(2));
     assert_eq!(
         record.apply(3, &order(1 << 22, 5, 0, OrderAction::Undrain("s7".into()))),
@@ -122,49 +122,50 @@
         record.apply(4, &order(1 << 23, 5, 0, OrderAction::Drain("one more".into()))),
         Outcome::Applied(4)
     );
-    // What was refused stays refused under its id: its answer may be known somewhere already.
-    assert_eq!(record.apply(5, &order(1 << 20, 5, 0, OrderAction::Drain("one more".into()))), more);
+    // A rejected command stays rejected under its id, since its issuer may already have been told.
+    assert_eq!(record.apply(5, &order(1 << 20, 5, 0, OrderAction::Drain("one more".into()))), rejected);
 }
 
 #[test]
-fn planners_own_commands_never_fill_the_places_of_operators_orders() {
+fn planner_commands_do_not_count_against_the_limit_of_orders() {
     let mut record = Record::default();
-    // In format 1 they did, at 111 a second over a quarter of an hour.
+    // In format 1 planners' commands shared the limit with orders; 111 per second used it up within a quarter
+    // of an hour.
     assert_eq!((record.format(), record.apply(1, &number(1, 5))), (1, Outcome::Applied(1)));
     let raise = Command { id: 2, issued_at_ms: 5, kind: Some(CommandKind::RaiseFormat(2)) };
     assert_eq!((record.apply(2, &raise), record.format()), (Outcome::Applied(2), 2));
-    let many = MAX_IDS as u64 + 10;
-    for id in 100..100 + many {
+    let count = MAX_IDS as u64 + 10;
+    for id in 100..100 + count {
         assert_eq!(record.apply(id, &drain(id, id, 5)), Outcome::Applied(id));
     }
     assert_eq!(record.apply(3, &order(50, 5, 0, OrderAction::Drain("s2".into()))), Outcome::Applied(3));
-    // Remembered as far as anybody still asks; forgotten, a drain given again changes nothing.
-    assert_eq!(record.apply(4, &drain(100 + many - 1, 7, 5)), Outcome::Applied(100 + many - 1));
+    // An id is remembered for as long as it may be retried; repeating a forgotten drain changes nothing.
+    assert_eq!(record.apply(4, &drain(100 + count - 1, 7, 5)), Outcome::Applied(100 + count - 1));
     assert_eq!(record.past_outcome(100), None);
     record.apply(5, &drain(100, 100, 5));
-    assert!(record.is_drained("s1", 100 + many - 1), "the newest stays");
+    assert!(record.is_drained("s1", 100 + count - 1), "the newest one is kept");
     assert!(record.encode_snapshot().len() < 300_000, "{}", record.encode_snapshot().len());
     assert_eq!(Record::decode_snapshot(&record.encode_snapshot()), Ok(record.clone()));
-    // Never back, and what a newer build wrote is refused.
+    // The format is never lowered, and a snapshot of a newer format is refused.
     record.apply(6, &Command { id: 3, issued_at_ms: 5, kind: Some(CommandKind::RaiseFormat(1)) });
     assert_eq!(record.format(), 2);
     record.apply(
         7,
         &Command { id: 4, issued_at_ms: 5, kind: Some(CommandKind::RaiseFormat(SUPPORTED_FORMATS.1 + 1)) },
     );
-    let refused = Record::decode_snapshot(&record.encode_snapshot());
+    let rejected = Record::decode_snapshot(&record.encode_snapshot());
     assert!(
-        refused
+        rejected
             .as_ref()
-            .is_err_and(|why| why.contains(&format!("stands at format {}", SUPPORTED_FORMATS.1 + 1))),
-        "{refused:?}"
+            .is_err_and(|reason| reason.contains(&format!("is at format {}", SUPPORTED_FORMATS.1 + 1))),
+        "{rejected:?}"
     );
 }
 
 #[test]
-fn duties_and_books_row_by_row() {
+fn duty_and_accounting_transitions() {
     let mut record = Record::default();
-    let give = |duty: &str, to, number| {
+    let assign = |duty: &str, to, number| {
         CommandKind::AssignDuty(AssignDuty {
             duty: duty.into(),
             holder: to,
@@ -175,7 +176,7 @@
     let release = |duty: &str, number| {
         CommandKind::ReleaseDuty(ReleaseDuty { duty: duty.into(), fencing_token: number })
     };
-    let hand = |duty: &str| {
+    let pin = |duty: &str| {
         CommandKind::PinDuty(PinDuty {
             duty: duty.into(),
             planner: "p2".into(),
@@ -186,34 +187,34 @@
     let close = |period, number| {
         CommandKind::ClosePeriod(PeriodReport { period, fencing_token: number, usage: Vec::new() })
     };
-    let arrived = |period, number| {
+    let delivered = |period, number| {
         CommandKind::PeriodDelivered(PeriodReport { period, fencing_token: number, usage: Vec::new() })
     };
-    let clean = |number| CommandKind::Cleanup(Cleanup { now_ms: 1, fencing_token: number });
+    let cleanup = |number| CommandKind::Cleanup(Cleanup { now_ms: 1, fencing_token: number });
     let steps = [
         CommandKind::RaiseFormat(2),
-        give(ACCOUNTING_DUTY, 1, 0),
-        give(ACCOUNTING_DUTY, 3, 0),
+        assign(ACCOUNTING_DUTY, 1, 0),
+        assign(ACCOUNTING_DUTY, 3, 0),
         close(10, 2),
         close(11, 2),
-        arrived(12, 2),
+        delivered(12, 2),
         release(ACCOUNTING_DUTY, 1),
         release(ACCOUNTING_DUTY, 2),
-        arrived(10, 2),
-        give(ACCOUNTING_DUTY, 2, 2),
-        arrived(10, 2),
+        delivered(10, 2),
+        assign(ACCOUNTING_DUTY, 2, 2),
+        delivered(10, 2),
         close(11, 10),
-        arrived(11, 10),
-        hand("nothing"),
-        hand(ACCOUNTING_DUTY),
-        clean(0),
-        give(CLEANING_DUTY, 1, 0),
-        clean(0),
-        clean(17),
+        delivered(11, 10),
+        pin("nothing"),
+        pin(ACCOUNTING_DUTY),
+        cleanup(0),
+        assign(CLEANING_DUTY, 1, 0),
+        cleanup(0),
+        cleanup(17),
     ];
     let mut trace = String::new();
-    for (index, what) in (1..).zip(steps) {
-        let answer = record.apply(index, &Command { id: index, issued_at_ms: 5, kind: Some(what) });
+    for (index, kind) in (1..).zip(steps) {
+        let answer = record.apply(index, &Command { id: index, issued_at_ms: 5, kind: Some(kind) });
         let duties: Vec<String> = record
             .duties()
             .iter()
@@ -231,25 +232,23 @@
 }
 
 #[test]
-fn what_an_operator_wanted_at_a_planner_that_left_is_found() {
+fn duties_pinned_to_a_removed_planner_are_found() {
     let mut record = Record::default();
     for (id, duty, to) in [(1, "books", "a"), (2, "release", "b"), (3, "cleaning", "")] {
-        let give =
+        let assign =
             AssignDuty { duty: duty.into(), holder: 7, holder_name: "a".into(), expected_fencing_token: 0 };
-        record.apply(id, &Command { id, issued_at_ms: 5, kind: Some(CommandKind::AssignDuty(give)) });
-        let hand =
+        record.apply(id, &Command { id, issued_at_ms: 5, kind: Some(CommandKind::AssignDuty(assign)) });
+        let pin =
             PinDuty { duty: duty.into(), planner: to.into(), issued_by: "x".into(), reason: "y".into() };
-        record.apply(
-            id + 10,
-            &Command { id: id + 10, issued_at_ms: 5, kind: Some(CommandKind::PinDuty(hand)) },
-        );
+        record
+            .apply(id + 10, &Command { id: id + 10, issued_at_ms: 5, kind: Some(CommandKind::PinDuty(pin)) });
     }
     assert_eq!(record.duties_pinned_to_absent(|name| name == "a"), ["release"]);
     assert_eq!(record.duties_pinned_to_absent(|_| false), ["books", "release"]);
 }
 
 #[test]
-fn parts_of_a_budget_go_from_hand_to_hand_and_come_to_the_whole() {
+fn budget_shifts_always_add_up_to_the_total() {
     use pewtergap_shares::{Shift, TOTAL_UNITS};
     let mut record = Record::default();
     let mut trace = String::new();
@@ -259,12 +258,12 @@
         claim(2, 1),
         Shift::Deal { to: 1, units: 800_000, number: 1 },
         Shift::Deal { to: 1, units: 600_000, number: 1 },
-        // Of the third founder's base nothing is dealt out.
+        // The base reserved for the third founder is not dealt out.
         Shift::Deal { to: 2, units: 100_001, number: 2 },
         Shift::Back { from: 1, units: 50_000, number: 1 },
         Shift::Back { from: 1, units: 50_000, number: 4 },
         claim(1, 2),
-        // An earlier start's word, and what was decided before it came back.
+        // Commands of an earlier start, and decisions made before the units came back, are rejected.
         claim(1, 1),
         Shift::Back { from: 1, units: 50_000, number: 7 },
         claim(3, 1),
@@ -279,18 +278,18 @@
             kind: Some(CommandKind::BudgetShift(BudgetShift::of("cold", shift))),
         };
         assert_eq!(BudgetShift::of("cold", shift).shift(), Some(*shift));
-        let answer = record.apply(index, &command);
-        let budget = record.budget("cold").expect("it is parted");
+        let outcome = record.apply(index, &command);
+        let budget = record.budget("cold").expect("the budget");
         assert_eq!(budget.total(), TOTAL_UNITS);
         let held: Vec<String> = budget
             .holdings
             .iter()
             .map(|(id, h)| format!("{id}: {}+{} #{}", h.base, h.extra, h.version))
             .collect();
-        writeln!(trace, "{index} {answer:?}; free {}, {}", budget.free, held.join(", ")).expect("written");
+        writeln!(trace, "{index} {outcome:?}; free {}, {}", budget.free, held.join(", ")).expect("written");
     }
     assert_eq!(
-        Record::decode_snapshot(&record.encode_snapshot()).expect("an image").budget("cold"),
+        Record::decode_snapshot(&record.encode_snapshot()).expect("a snapshot").budget("cold"),
         record.budget("cold")
     );
     insta::assert_snapshot!(trace);
--- a/crates/shares/src/budget.rs
+++ b/crates/shares/src/budget.rs
@@ -1,33 +1,34 @@
-//! Who holds how much of a budget: a table that each member of the record carries out in the same order.
+//! How a budget is divided: a transition table that every member of the record applies in the same order.
 //!
-//! | state | shift | next | refused |
+//! | state | shift | next state | rejected |
 //! | --- | --- | --- | --- |
-//! | unknown | claim | holds a base, as far as one is free | when too many hold one |
-//! | known | claim by a later start | as it was, under that start | by an earlier start |
-//! | enough free beyond what is kept for others' bases | deal | the planner has so much more | under another number |
-//! | so much more held | back | that much is free | under another number |
-//! | known | end | all it held is free | under another number |
+//! | unknown planner | claim | holds a base, as far as one is free | when too many planners hold one |
+//! | known planner | claim by a later start | unchanged, now under that start | by an earlier start |
+//! | enough free beyond the reserved bases | deal | the planner holds that much more | at another version |
+//! | at least that much extra held | back | that much is free | at another version |
+//! | known planner | end | everything it held is free | at another version |
 
 use std::collections::BTreeMap;
 
-/// A budget in parts that are counted, so that sums are exact.
+/// Units in a budget; integers keep sums exact.
 pub const TOTAL_UNITS: u64 = 1_000_000;
-/// Holders, those included that left and whose end is not yet written.
-const MOST: usize = 64;
+/// Holders, including planners that left and whose end is not written yet.
+const MAX_HOLDINGS: usize = 64;
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Holding {
     pub base: u64,
     pub extra: u64,
-    /// The place in the log of its last change: what was decided before that is decided too late.
+    /// The log index of the last change; a decision based on an older version comes too late.
     pub version: u64,
-    /// Which start of its planner it is used under: what an earlier one had on its way is refused.
+    /// The start of the planner that uses the holding; commands of an earlier start are rejected.
     pub start: u64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Shift {
-    /// `founders`: planners that may use a base before they claim it; this one is one of them, or not.
+    /// `founders`: how many planners may use a base before they claim it; `founded`: whether this planner is
+    /// one of them.
     Claim {
         by: u64,
         start: u64,
@@ -54,9 +55,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Budget {
     pub free: u64,
-    /// As the first claim said; settings that differ would part more than there is.
+    /// Set by the first claim: differing settings would hand out more than there is.
     pub base: u64,
-    /// Bases that are kept for founders that have not claimed theirs.
+    /// Bases reserved for founders that have not claimed theirs.
     pub reserved_bases: u64,
     pub holdings: BTreeMap<u64, Holding>,
 }
@@ -68,25 +69,25 @@
 }
 
 impl Budget {
-    /// Carries out a shift at a place of the log.
+    /// Applies a shift at a log index.
     pub fn apply(&mut self, index: u64, shift: &Shift) -> Result<(), String> {
         match *shift {
             Shift::Claim { by, start, base, founders, founded } => {
-                if self.holdings.len() >= MOST && !self.holdings.contains_key(&by) {
-                    return Err(format!("{MOST} planners hold a part"));
+                if self.holdings.len() >= MAX_HOLDINGS && !self.holdings.contains_key(&by) {
+                    return Err(format!("{MAX_HOLDINGS} planners hold a part, the maximum"));
                 }
                 if self.base == 0 {
                     (self.base, self.reserved_bases) =
                         (base, founders.min(TOTAL_UNITS.checked_div(base).unwrap_or(0)));
                 }
-                if self.holdings.get(&by).is_some_and(|known| known.start > start) {
-                    return Err("a later start has claimed it".into());
+                if self.holdings.get(&by).is_some_and(|existing| existing.start > start) {
+                    return Err("claimed by a later start".into());
                 }
-                if let Some(known) = self.holdings.get_mut(&by) {
-                    (known.start, known.version) = (start, index);
+                if let Some(existing) = self.holdings.get_mut(&by) {
+                    (existing.start, existing.version) = (start, index);
                     return Ok(());
                 }
-                // Kept for it, or of what is kept for nobody.
+                // Takes the base reserved for it, or an unreserved one.
                 if founded && self.reserved_bases > 0 {
                     self.reserved_bases -= 1;
                 }
@@ -96,54 +97,54 @@
                 Ok(())
             }
             Shift::Deal { to, units, number } => {
-                let room = self.available();
-                let holding = self.numbered(to, number)?;
-                if units > room {
-                    return Err(format!("{units} of {room} that are free"));
+                let available = self.available();
+                let holding = self.holding_at_version(to, number)?;
+                if units > available {
+                    return Err(format!("{units} units requested, {available} available"));
                 }
                 (holding.extra, holding.version) = (holding.extra + units, index);
                 self.free -= units;
                 Ok(())
             }
             Shift::Back { from, units, number } => {
-                let holding = self.numbered(from, number)?;
+                let holding = self.holding_at_version(from, number)?;
                 if units > holding.extra {
-                    return Err(format!("{units} of {} that follow demand", holding.extra));
+                    return Err(format!("{units} units returned, {} held beyond the base", holding.extra));
                 }
                 (holding.extra, holding.version) = (holding.extra - units, index);
                 self.free += units;
                 Ok(())
             }
             Shift::End { of, number } => {
-                let held = *self.numbered(of, number)?;
+                let removed = *self.holding_at_version(of, number)?;
                 self.holdings.remove(&of);
-                self.free += held.base + held.extra;
+                self.free += removed.base + removed.extra;
                 Ok(())
             }
         }
     }
 
-    fn numbered(&mut self, of: u64, number: u64) -> Result<&mut Holding, String> {
-        match self.holdings.get_mut(&of) {
-            None => Err("it holds no part".into()),
-            Some(holding) if holding.version != number => {
-                Err(format!("it stands at number {} by now, not {number}", holding.version))
+    fn holding_at_version(&mut self, planner: u64, version: u64) -> Result<&mut Holding, String> {
+        match self.holdings.get_mut(&planner) {
+            None => Err("the planner holds no part".into()),
+            Some(holding) if holding.version != version => {
+                Err(format!("the holding is at version {}, not {version}", holding.version))
             }
             Some(holding) => Ok(holding),
         }
     }
 
-    /// What is free beyond the bases that are kept for planners that have not claimed theirs.
+    /// Free units beyond the bases reserved for planners that have not claimed theirs.
     pub fn available(&self) -> u64 {
         self.free.saturating_sub(self.reserved_bases * self.base)
     }
 
-    /// The part that follows demand, wherever it is.
+    /// The units that follow demand, whoever holds them.
     pub fn demand_pool(&self) -> u64 {
         self.available() + self.holdings.values().map(|holding| holding.extra).sum::<u64>()
     }
 
-    /// Always the whole.
+    /// Always `TOTAL_UNITS`.
     pub fn total(&self) -> u64 {
         self.free + self.holdings.values().map(|holding| holding.base + holding.extra).sum::<u64>()
     }
