--- a/crates/evidence/tests/bounds.rs
+++ b/crates/evidence/tests/bounds.rs
@@ -1,4 +1,4 @@
-//! What hearsay may do, row by row, and that its bounds hold whatever is told.
+//! The effects of reported observations, and that their limits hold for any reports.
 
 use pewtergap_evidence::{Evidence, PeerReport, ServerObservation, MAX_SERVER_REDUCTION, MAX_ZONE_REDUCTION};
 use pewtergap_time::{Moment, Span};
@@ -10,7 +10,7 @@
     Moment((ms + 100_000) * 1_000_000)
 }
 
-fn told(number: u64, tried: u64, bad: u64, seen: &[(&str, f64, f64)]) -> PeerReport {
+fn report(number: u64, tried: u64, bad: u64, observations: &[(&str, f64, f64)]) -> PeerReport {
     let row = |(server, tries, dropped): &(&str, f64, f64)| ServerObservation {
         server: server.to_string(),
         tries: *tries,
@@ -20,7 +20,7 @@
     PeerReport {
         start: 1,
         sequence: number,
-        observations: seen.iter().map(row).collect(),
+        observations: observations.iter().map(row).collect(),
         servers_tried: tried,
         servers_bad: bad,
     }
@@ -35,43 +35,44 @@
 }
 
 #[test]
-fn what_others_saw_has_a_server_asked_and_lightened_for_a_while() {
+fn reported_drops_reduce_the_weight_and_request_a_probe_for_a_while() {
     let mut evidence = Evidence::new(1);
     let mut trace = String::new();
-    let mut look = |evidence: &mut Evidence, ms: u64, what: &str| {
-        let says = evidence.evaluate(at(ms), zone, &zones());
-        let light: Vec<String> =
-            says.weight_reductions.iter().map(|l| format!("{} by {:.2}", l.0, l.1)).collect();
-        writeln!(trace, "{ms} {what}: lighter {light:?}, ask {:?}", says.probe).expect("written");
+    let mut evaluate = |evidence: &mut Evidence, ms: u64, what: &str| {
+        let recommendations = evidence.evaluate(at(ms), zone, &zones());
+        let reductions: Vec<String> =
+            recommendations.weight_reductions.iter().map(|l| format!("{} by {:.2}", l.0, l.1)).collect();
+        writeln!(trace, "{ms} {what}: lighter {reductions:?}, ask {:?}", recommendations.probe)
+            .expect("written");
     };
-    evidence.receive_report(at(0), 2, &told(1, 20, 1, &[("a1", 5.0, 5.0)]));
-    look(&mut evidence, 0, "few tries");
-    evidence.receive_report(at(100), 2, &told(2, 20, 1, &[("a1", 40.0, 38.0)]));
-    look(&mut evidence, 100, "many dropped");
-    look(&mut evidence, 200, "the same");
-    evidence.receive_report(at(300), 2, &told(1, 20, 1, &[("a2", 90.0, 90.0)]));
-    look(&mut evidence, 300, "an old word");
+    evidence.receive_report(at(0), 2, &report(1, 20, 1, &[("a1", 5.0, 5.0)]));
+    evaluate(&mut evidence, 0, "few tries");
+    evidence.receive_report(at(100), 2, &report(2, 20, 1, &[("a1", 40.0, 38.0)]));
+    evaluate(&mut evidence, 100, "many dropped");
+    evaluate(&mut evidence, 200, "unchanged");
+    evidence.receive_report(at(300), 2, &report(1, 20, 1, &[("a2", 90.0, 90.0)]));
+    evaluate(&mut evidence, 300, "an outdated report");
     evidence.record_tries(at(400), "a1", 40.0, 1.0);
-    look(&mut evidence, 400, "our own proxies find it good");
-    evidence.receive_report(at(500), 3, &told(1, 20, 16, &[("b1", 60.0, 60.0), ("b2", 60.0, 60.0)]));
+    evaluate(&mut evidence, 400, "healthy for our own proxies");
+    evidence.receive_report(at(500), 3, &report(1, 20, 16, &[("b1", 60.0, 60.0), ("b2", 60.0, 60.0)]));
     evidence.record_tries(at(500), "b9", 40.0, 0.0);
-    look(&mut evidence, 500, "one that finds nearly all bad");
-    evidence.receive_report(at(600), 2, &told(3, 20, 2, &[("b1", 60.0, 60.0), ("unknown", 90.0, 90.0)]));
-    look(&mut evidence, 600, "and another finds one of them bad");
-    look(&mut evidence, 20_600, "nothing more is said");
+    evaluate(&mut evidence, 500, "a planner that reports nearly all servers failing");
+    evidence.receive_report(at(600), 2, &report(3, 20, 2, &[("b1", 60.0, 60.0), ("unknown", 90.0, 90.0)]));
+    evaluate(&mut evidence, 600, "another planner reports one of them");
+    evaluate(&mut evidence, 20_600, "no further reports");
     insta::assert_snapshot!(trace);
 }
 
 #[test]
-fn a_flood_is_bounded_and_the_worst_count_first() {
+fn a_flood_of_observations_is_limited_to_the_worst() {
     let mut evidence = Evidence::new(1);
     let names: Vec<String> = (0..5_000).map(|n| format!("a{n}")).collect();
-    let seen: Vec<(&str, f64, f64)> = names.iter().map(|name| (name.as_str(), 100.0, 90.0)).collect();
-    assert!(evidence.receive_report(at(0), 2, &told(1, 10_000, 3_000, &seen)));
-    let says = evidence.evaluate(at(0), zone, &[("a".to_string(), 5_000.0)].into());
-    assert!(says.probe.len() <= pewtergap_evidence::MAX_PROBES);
-    assert!(says.weight_reductions.len() <= pewtergap_evidence::MAX_OBSERVATIONS);
-    // What proxies here meet is told on, no more of it than fits.
+    let observations: Vec<(&str, f64, f64)> = names.iter().map(|name| (name.as_str(), 100.0, 90.0)).collect();
+    assert!(evidence.receive_report(at(0), 2, &report(1, 10_000, 3_000, &observations)));
+    let recommendations = evidence.evaluate(at(0), zone, &[("a".to_string(), 5_000.0)].into());
+    assert!(recommendations.probe.len() <= pewtergap_evidence::MAX_PROBES);
+    assert!(recommendations.weight_reductions.len() <= pewtergap_evidence::MAX_OBSERVATIONS);
+    // The observations of our own proxies are reported up to the limit.
     names.iter().for_each(|name| evidence.record_tries(at(0), name, 100.0, 90.0));
     assert_eq!(evidence.make_report(at(0)).observations.len(), pewtergap_evidence::MAX_OBSERVATIONS);
 }
@@ -80,19 +81,19 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn whatever_is_told_takes_no_more_than_its_part(
-        words in prop::collection::vec(
+    fn reductions_stay_within_their_limits(
+        reports in prop::collection::vec(
             (2u64..6, 1u64..50, 0u64..40, 0u64..40,
              prop::collection::vec((0usize..20, -5.0f64..1e9, -5.0f64..1e9), 0..30)),
             0..40,
         )
     ) {
         let mut evidence = Evidence::new(1);
-        for (step, (from, number, tried, bad, seen)) in words.into_iter().enumerate() {
-            let names: Vec<String> = seen.iter().map(|s| format!("{}{}", ["a", "b"][s.0 % 2], s.0)).collect();
-            let seen: Vec<(&str, f64, f64)> =
-                seen.iter().zip(&names).map(|(s, name)| (name.as_str(), s.1, s.2)).collect();
-            evidence.receive_report(at(step as u64 * 50), from, &told(number, tried, bad, &seen));
+        for (step, (from, number, tried, bad, observations)) in reports.into_iter().enumerate() {
+            let names: Vec<String> = observations.iter().map(|s| format!("{}{}", ["a", "b"][s.0 % 2], s.0)).collect();
+            let observations: Vec<(&str, f64, f64)> =
+                observations.iter().zip(&names).map(|(s, name)| (name.as_str(), s.1, s.2)).collect();
+            evidence.receive_report(at(step as u64 * 50), from, &report(number, tried, bad, &observations));
             evidence.evaluate(at(step as u64 * 50), zone, &zones());
             for zone in ["a", "b"] {
                 let taken: f64 = evidence.weight_reductions().iter().filter(|l| l.0.starts_with(zone)).map(|l| l.1).sum();
