--- a/crates/record/src/commands.rs
+++ b/crates/record/src/commands.rs
@@ -415,11 +415,11 @@
         if self.id == 0 {
             return Err("id is missing".into());
         }
-        match self.kind.as_ref().ok_or("the command is missing")? {
+        match self.kind.as_ref().ok_or("no command")? {
             CommandKind::Order(order) => {
                 check_text("who", &order.issued_by, MAX_NAME_LEN)?;
                 check_text("why", &order.reason, MAX_REASON_LEN)?;
-                let action = order.action.as_ref().ok_or("the order has no action")?;
+                let action = order.action.as_ref().ok_or("no order is given")?;
                 if order.steps > 1_000 {
                     return Err(format!("steps: {}, 1000 at most", order.steps));
                 }
@@ -458,7 +458,7 @@
             CommandKind::RolloutStep(_) | CommandKind::SetLease(_) => Ok(()),
             CommandKind::BudgetShift(shift) => {
                 check_text("budget", &shift.budget, MAX_NAME_LEN)?;
-                shift.shift().map(drop).ok_or("the budget shift is missing".into())
+                shift.shift().map(drop).ok_or("nothing is shared out".into())
             }
             CommandKind::ClosePeriod(report) if report.usage.len() > MAX_USAGE_ROWS => {
                 Err(format!("more than {MAX_USAGE_ROWS} usage rows"))
--- a/crates/record/src/lib.rs
+++ b/crates/record/src/lib.rs
@@ -230,7 +230,8 @@
 }
 
 impl Record {
-    /// Applies the command at a log index.
+    /// Applies the command at a log index. The reason of a rejection is stored in snapshots and passed to other
+    /// builds, so its text does not change.
     pub fn apply(&mut self, index: u64, command: &Command) -> Outcome {
         if let Some(outcome) = self.past_outcome(command.id) {
             return outcome;
@@ -245,7 +246,7 @@
             && !is_planner_command
             && !matches!(command.kind, Some(CommandKind::Cleanup(_)))
         {
-            return Outcome::Rejected(format!("{MAX_IDS} command ids are remembered, the maximum"));
+            return Outcome::Rejected(format!("{MAX_IDS} commands are remembered, no more are taken"));
         }
         let outcome = match &command.kind {
             Some(CommandKind::Order(order)) => self.apply_order(index, command.issued_at_ms, order),
@@ -278,7 +279,7 @@
                 self.clean_up(cleanup.now_ms);
                 return Outcome::Applied(index);
             }
-            None => Outcome::Rejected("the command is missing".into()),
+            None => Outcome::Rejected("no command".into()),
         };
         let (number, rejection) = match &outcome {
             Outcome::Applied(number) => (*number, String::new()),
@@ -300,17 +301,15 @@
     }
 
     fn apply_order(&mut self, index: u64, issued_at_ms: u64, order: &Order) -> Outcome {
-        let Some(action) = &order.action else { return Outcome::Rejected("the order has no action".into()) };
+        let Some(action) = &order.action else { return Outcome::Rejected("no order is given".into()) };
         let (subject, stays_in_force) = action.subject();
         if order.by_proxies && self.format() < 3 {
-            return Outcome::Rejected("not every member supports by_proxies yet".into());
+            return Outcome::Rejected("not everybody knows steps by proxies yet".into());
         }
         if !stays_in_force {
             self.orders.remove(&subject);
         } else if self.orders.len() >= MAX_ORDERS && !self.orders.contains_key(&subject) {
-            return Outcome::Rejected(format!(
-                "{MAX_ORDERS} orders are in force, the maximum; revoke one first"
-            ));
+            return Outcome::Rejected(format!("{MAX_ORDERS} orders are in force, take one back first"));
         } else {
             self.orders.insert(
                 subject,
@@ -324,7 +323,7 @@
         match self.drains.get(&drain.server) {
             Some(existing) if existing.started >= drain.started => return Outcome::Applied(index),
             None if self.drains.len() >= MAX_DRAINS => {
-                return Outcome::Rejected(format!("{MAX_DRAINS} drains are active, the maximum"));
+                return Outcome::Rejected(format!("{MAX_DRAINS} drains run"));
             }
             _ => {}
         }
@@ -346,7 +345,7 @@
             return Outcome::Rejected(why);
         }
         if !self.duties.contains_key(&assign.duty) && self.duties.len() >= MAX_DUTIES {
-            return Outcome::Rejected(format!("{MAX_DUTIES} duties exist, the maximum"));
+            return Outcome::Rejected(format!("{MAX_DUTIES} duties are known"));
         }
         let duty = self.duties.entry(assign.duty.clone()).or_default();
         (duty.holder, duty.holder_name, duty.fencing_token, duty.since_ms) =
@@ -374,10 +373,10 @@
 
     fn shift_budget(&mut self, index: u64, command: &BudgetShift) -> Outcome {
         let Some(shift) = command.shift() else {
-            return Outcome::Rejected("the budget shift is missing".into());
+            return Outcome::Rejected("nothing is shared out".into());
         };
         if !self.budgets.contains_key(&command.budget) && self.budgets.len() >= MAX_BUDGETS {
-            return Outcome::Rejected(format!("{MAX_BUDGETS} budgets exist, the maximum"));
+            return Outcome::Rejected(format!("{MAX_BUDGETS} budgets are parted"));
         }
         let budget = self.budgets.entry(command.budget.clone()).or_default();
         budget.apply(index, &shift).map_or_else(Outcome::Rejected, |()| Outcome::Applied(index))
@@ -390,9 +389,7 @@
         }
         match self.orders.values_mut().find(|order| order.index == step.order_index) {
             None => Outcome::Rejected(format!("order {} is not in force", step.order_index)),
-            Some(order) if !order.revert_reason.is_empty() => {
-                Outcome::Rejected("the order was reverted".into())
-            }
+            Some(order) if !order.revert_reason.is_empty() => Outcome::Rejected("it was taken back".into()),
             Some(order) if !step.revert_reason.is_empty() => {
                 (order.progress, order.revert_reason) = (0, step.revert_reason.clone());
                 Outcome::Applied(index)
@@ -413,7 +410,7 @@
         match self.accounting {
             accounting if report.period <= accounting.closed_period => Outcome::Applied(index),
             accounting if accounting.delivered_period < accounting.closed_period => {
-                Outcome::Rejected(format!("period {} has not been delivered", accounting.closed_period))
+                Outcome::Rejected(format!("period {} has not arrived", accounting.closed_period))
             }
             accounting => {
                 self.accounting =
--- a/crates/shares/src/budget.rs
+++ b/crates/shares/src/budget.rs
@@ -74,14 +74,14 @@
         match *shift {
             Shift::Claim { by, start, base, founders, founded } => {
                 if self.holdings.len() >= MAX_HOLDINGS && !self.holdings.contains_key(&by) {
-                    return Err(format!("{MAX_HOLDINGS} planners hold a part, the maximum"));
+                    return Err(format!("{MAX_HOLDINGS} planners hold a part"));
                 }
                 if self.base == 0 {
                     (self.base, self.reserved_bases) =
                         (base, founders.min(TOTAL_UNITS.checked_div(base).unwrap_or(0)));
                 }
                 if self.holdings.get(&by).is_some_and(|existing| existing.start > start) {
-                    return Err("claimed by a later start".into());
+                    return Err("a later start has claimed it".into());
                 }
                 if let Some(existing) = self.holdings.get_mut(&by) {
                     (existing.start, existing.version) = (start, index);
@@ -100,7 +100,7 @@
                 let available = self.available();
                 let holding = self.holding_at_version(to, number)?;
                 if units > available {
-                    return Err(format!("{units} units requested, {available} available"));
+                    return Err(format!("{units} of {available} that are free"));
                 }
                 (holding.extra, holding.version) = (holding.extra + units, index);
                 self.free -= units;
@@ -109,7 +109,7 @@
             Shift::Back { from, units, number } => {
                 let holding = self.holding_at_version(from, number)?;
                 if units > holding.extra {
-                    return Err(format!("{units} units returned, {} held beyond the base", holding.extra));
+                    return Err(format!("{units} of {} that follow demand", holding.extra));
                 }
                 (holding.extra, holding.version) = (holding.extra - units, index);
                 self.free += units;
@@ -126,9 +126,9 @@
 
     fn holding_at_version(&mut self, planner: u64, version: u64) -> Result<&mut Holding, String> {
         match self.holdings.get_mut(&planner) {
-            None => Err("the planner holds no part".into()),
+            None => Err("it holds no part".into()),
             Some(holding) if holding.version != version => {
-                Err(format!("the holding is at version {}, not {version}", holding.version))
+                Err(format!("it stands at number {} by now, not {version}", holding.version))
             }
             Some(holding) => Ok(holding),
         }
