--- a/crates/tier/src/control_machine.rs
+++ b/crates/tier/src/control_machine.rs
@@ -329,8 +329,8 @@
         }
     }
 
-    fn listening(&self, door: u32, at: SocketAddr, out: &mut Outbox) {
-        let what = if door == WATCH_LISTENER { "watches" } else { "admin" };
+    fn listening(&self, listener: u32, at: SocketAddr, out: &mut Outbox) {
+        let what = if listener == WATCH_LISTENER { "watches" } else { "admin" };
         out.log(Level::Info, "listening", vec![("door", what.into()), ("at", at.to_string())]);
     }
 
@@ -352,7 +352,7 @@
             Input::Listening { listener: MEMBER_LISTENER, .. }
             | Input::NotListening { listener: MEMBER_LISTENER, .. }
             | Input::Accepted { listener: MEMBER_LISTENER, .. } => self.member.handle(now, input, out),
-            Input::Listening { listener: door, at } => self.listening(door, at, out),
+            Input::Listening { listener, at } => self.listening(listener, at, out),
             Input::NotListening { why, .. } => {
                 out.log(Level::Error, "not_listening", vec![("why", why)]);
                 out.push(Effect::Exit { code: 3 });
--- a/crates/watch/src/watch_client.rs
+++ b/crates/watch/src/watch_client.rs
@@ -18,7 +18,7 @@
     /// Links closed by this end whose `Closed` has not arrived yet.
     closing: BTreeSet<Link>,
     frames: FrameReader<WatchMessage>,
-    next_wake: Option<Moment>,
+    next_timer: Option<Moment>,
 }
 
 impl WatchClient {
@@ -31,7 +31,7 @@
             link: None,
             closing: BTreeSet::new(),
             frames: FrameReader::default(),
-            next_wake: None,
+            next_timer: None,
         }
     }
 
@@ -39,7 +39,7 @@
         self.link == Some(link) || self.closing.contains(&link)
     }
 
-    /// Handles `Start`, `Opened`, `Bytes` and `Closed` of its link and `Due` of its timer; everything else
+    /// Handles `Start`, `Opened`, `Bytes` and `Closed` of its link and `TimerFired` of its timer; everything else
     /// is ignored.
     pub fn handle(&mut self, now: Moment, input: Input<'_>, out: &mut Outbox) -> Vec<WatchEvent> {
         let mut actions = Vec::new();
@@ -63,8 +63,8 @@
                 self.closing.remove(&link);
             }
             Input::TimerFired { timer } if timer == self.timer => {
-                if let Some(wake) = self.next_wake.take_if(|wake| *wake <= now) {
-                    self.client.tick(now, wake, &mut actions);
+                if let Some(due) = self.next_timer.take_if(|due| *due <= now) {
+                    self.client.tick(now, due, &mut actions);
                 }
             }
             _ => {}
@@ -115,8 +115,8 @@
                 Action::Notify(event) => events.push(event),
             }
         }
-        if let Some(due) = self.client.due(now).filter(|due| self.next_wake.is_none_or(|wake| *due < wake)) {
-            self.next_wake = Some(due);
+        if let Some(due) = self.client.due(now).filter(|due| self.next_timer.is_none_or(|next| *due < next)) {
+            self.next_timer = Some(due);
             out.set_timer(self.timer, due);
         }
         events
--- a/crates/watch/src/watch_server.rs
+++ b/crates/watch/src/watch_server.rs
@@ -14,7 +14,7 @@
     pub roster: Roster,
     timer: u64,
     frames: BTreeMap<Link, FrameReader<WatchMessage>>,
-    next_wake: Option<Moment>,
+    next_timer: Option<Moment>,
     bytes_sent: u64,
     bytes_received: u64,
 }
@@ -26,7 +26,7 @@
             server: Server::new(config, machine, seed),
             timer: config.timer,
             frames: BTreeMap::new(),
-            next_wake: None,
+            next_timer: None,
             bytes_sent: 0,
             bytes_received: 0,
         }
@@ -94,7 +94,7 @@
         self.execute(actions, out);
     }
 
-    /// Handles `Bytes` and `Closed` of its links and `Due` of its timer; everything else is ignored.
+    /// Handles `Bytes` and `Closed` of its links and `TimerFired` of its timer; everything else is ignored.
     pub fn handle(&mut self, now: Moment, input: Input<'_>, out: &mut Outbox) {
         let mut actions = Vec::new();
         match input {
@@ -120,9 +120,9 @@
                 self.server.closed(now, link, &mut actions);
             }
             Input::TimerFired { timer }
-                if timer == self.timer && self.next_wake.is_some_and(|wake| wake <= now) =>
+                if timer == self.timer && self.next_timer.is_some_and(|due| due <= now) =>
             {
-                self.next_wake = None;
+                self.next_timer = None;
                 self.server.tick(now, &mut actions);
             }
             _ => {}
@@ -160,8 +160,8 @@
         for planner in std::mem::take(&mut self.roster.forgotten) {
             out.log(Level::Warn, "planner_forgotten", vec![("planner", planner)]);
         }
-        if let Some(due) = self.server.due().filter(|due| self.next_wake.is_none_or(|wake| *due < wake)) {
-            self.next_wake = Some(due);
+        if let Some(due) = self.server.due().filter(|due| self.next_timer.is_none_or(|next| *due < next)) {
+            self.next_timer = Some(due);
             out.set_timer(self.timer, due);
         }
     }
--- a/crates/watch/tests/common/mod.rs
+++ b/crates/watch/tests/common/mod.rs
@@ -162,7 +162,7 @@
     /// While this is false, it reads nothing that it is sent.
     pub reads: bool,
     link: Option<Link>,
-    next_wake: Option<Moment>,
+    next_tick: Option<Moment>,
     /// Start of its current watch.
     pub watching_since: Option<Moment>,
     pub dials: Vec<(Moment, SocketAddr)>,
@@ -211,7 +211,7 @@
         let index = saved.as_ref().map_or(0, |saved| saved.index);
         let mut client = Client::new(client_config, saved);
         client.started(self.now);
-        let next_wake = client.due(self.now);
+        let next_tick = client.due(self.now);
         self.planners.push(Planner {
             client,
             state,
@@ -219,7 +219,7 @@
             events: Vec::new(),
             reads: true,
             link: None,
-            next_wake,
+            next_tick,
             watching_since: None,
             dials: Vec::new(),
         });
@@ -282,7 +282,7 @@
             }
         }
         let due = self.planners[planner].client.due(self.now);
-        self.planners[planner].next_wake = due;
+        self.planners[planner].next_tick = due;
     }
 
     fn handle_event(&mut self, at: usize, event: WatchEvent) {
@@ -384,7 +384,7 @@
         loop {
             let arrival = self.in_transit.front().map(|item| item.0);
             let servers = self.servers.values().filter_map(Server::due).min();
-            let planners = self.planners.iter().filter_map(|planner| planner.next_wake).min();
+            let planners = self.planners.iter().filter_map(|planner| planner.next_tick).min();
             let Some(next) =
                 [arrival, servers, planners].into_iter().flatten().min().filter(|at| *at <= moment)
             else {
@@ -403,7 +403,7 @@
                 self.run_server_actions(actions);
             } else {
                 for at in 0..self.planners.len() {
-                    if let Some(wake) = self.planners[at].next_wake.filter(|wake| *wake <= self.now) {
+                    if let Some(wake) = self.planners[at].next_tick.filter(|wake| *wake <= self.now) {
                         let mut actions = Vec::new();
                         self.planners[at].client.tick(self.now, wake, &mut actions);
                         self.run_client_actions(at, actions);
