--- a/crates/tier/tests/keys.rs
+++ b/crates/tier/tests/keys.rs
@@ -36,20 +36,25 @@
 }
 
 /// Collects all that `keys::entries_for` returns after a command.
-fn follow(record: &mut Record, told: &mut BTreeMap<String, Vec<u8>>, index: u64, command: &Command) {
+fn apply_and_collect(
+    record: &mut Record,
+    entries: &mut BTreeMap<String, Vec<u8>>,
+    index: u64,
+    command: &Command,
+) {
     let touched: BTreeSet<Subject> = record.affected_subjects(command).into_iter().collect();
     record.apply(index, command);
     for (key, value) in keys::entries_for(record, &touched) {
         match value {
-            Some(value) => drop(told.insert(key, value)),
-            None => drop(told.remove(&key)),
+            Some(value) => drop(entries.insert(key, value)),
+            None => drop(entries.remove(&key)),
         }
     }
 }
 
 #[test]
 fn the_entries_touched_by_each_command_reproduce_the_record() {
-    let (mut record, mut told) = (Record::default(), BTreeMap::new());
+    let (mut record, mut entries) = (Record::default(), BTreeMap::new());
     let mut all = commands();
     all.push(order(8, 0, OrderAction::Undrain("s1".into())));
     all.push(order(9, 0, OrderAction::Drain("s2".into())));
@@ -70,32 +75,32 @@
         kind: Some(CommandKind::Cleanup(Cleanup { now_ms: 1 << 40, fencing_token: 0 })),
     });
     for (index, command) in (1..).zip(&all) {
-        follow(&mut record, &mut told, index, command);
-        assert_eq!(told, keys::all_entries(&record), "after {command:?}");
-        let mut follows = Record::default();
-        for (key, value) in &told {
-            keys::apply_entry(&mut follows, key, Some(value)).expect("a known entry");
+        apply_and_collect(&mut record, &mut entries, index, command);
+        assert_eq!(entries, keys::all_entries(&record), "after {command:?}");
+        let mut copy = Record::default();
+        for (key, value) in &entries {
+            keys::apply_entry(&mut copy, key, Some(value)).expect("a known entry");
         }
-        assert!(follows.orders().eq(record.orders()) && follows.drains().eq(record.drains()));
+        assert!(copy.orders().eq(record.orders()) && copy.drains().eq(record.drains()));
     }
-    assert_eq!(told.keys().collect::<Vec<_>>(), ["server/s2"], "all others have expired");
+    assert_eq!(entries.keys().collect::<Vec<_>>(), ["server/s2"], "all others have expired");
 }
 
 #[test]
 fn an_entry_that_does_not_match_its_key_changes_nothing() {
-    let (mut record, mut told) = (Record::default(), BTreeMap::new());
+    let (mut record, mut entries) = (Record::default(), BTreeMap::new());
     for (index, command) in (1..).zip(&commands()) {
-        follow(&mut record, &mut told, index, command);
+        apply_and_collect(&mut record, &mut entries, index, command);
     }
     let before = record.clone();
-    let of = |key: &str| told[key].clone();
+    let entry = |key: &str| entries[key].clone();
     let wrong = [
-        ("server/s9", Some(of("server/s1"))),
-        ("weight/s1", Some(of("server/s1"))),
-        ("drain/s2", Some(of("drain/s1"))),
+        ("server/s9", Some(entry("server/s1"))),
+        ("weight/s1", Some(entry("server/s1"))),
+        ("drain/s2", Some(entry("drain/s1"))),
         ("zone/z", Some(b"\xff\xff".to_vec())),
         ("route/r", Some(Vec::new())),
-        ("tenant/t", Some(of("route/r"))),
+        ("tenant/t", Some(entry("route/r"))),
         ("holds", None),
         ("drain", None),
     ];
--- a/crates/watch/src/roster.rs
+++ b/crates/watch/src/roster.rs
@@ -372,7 +372,7 @@
         }
     }
 
-    /// It is no longer here, and all machines with a link were told; the others will get a full report.
+    /// It is no longer here, and all machines with a link were notified; the others will get a full report.
     fn all_machines_notified(&self, previous: &PlannerRow) -> bool {
         let here = matches!(previous.location, Location::Here | Location::Unheard(None));
         !here
@@ -504,7 +504,7 @@
         here.filter_map(|row| self.contact_age(now, row).ok()).max().unwrap_or(Span(0))
     }
 
-    /// Marks planners that watch here but are silent as unheard, so that the others are told even if the
+    /// Marks planners that watch here but are silent as unheard, so that the others are notified even if the
     /// link stays open.
     fn mark_silent(&mut self, now: Moment) {
         let silent = |row: &PlannerRow| row.location == Location::Here && self.contact_age(now, row).is_err();
--- a/crates/watch/tests/cache.rs
+++ b/crates/watch/tests/cache.rs
@@ -83,15 +83,15 @@
     fn a_watcher_holds_the_prefix_at_its_index(
         log in prop::collection::vec((0..16_u8, prop::option::weighted(0.5, 0..2_u8)), 60..120),
         steps in prop::collection::vec(step(), 20..60),
-        some in any::<bool>(),
-        most in 3..20_usize,
+        limited_scope in any::<bool>(),
+        max_tombstones in 3..20_usize,
     ) {
         let names = |names: &[&str]| Some(names.iter().map(|name| name.to_string()).collect());
-        let scope = match some {
+        let scope = match limited_scope {
             true => Scope { servers: names(&["n0", "n2", "n4"]), routes: names(&["n1"]) },
             false => Scope::ALL,
         };
-        let mut caches = [Cache::with_max_tombstones(most), Cache::with_max_tombstones(9)];
+        let mut caches = [Cache::with_max_tombstones(max_tombstones), Cache::with_max_tombstones(9)];
         // With many keys set before the watch begins, a snapshot takes several chunks.
         let log: Vec<Change> = (0..16).map(|key| (key, Some(9))).chain(log).collect();
         caches.iter_mut().for_each(|cache| apply(cache, &log, 16));
@@ -121,10 +121,10 @@
                     let partial = pending.snapshot.take().filter(|partial| {
                         partial.base >= cache.compacted_index() && partial.base.max(partial.seen) <= cache.head()
                     });
-                    let resumes_snapshot = index > 0 && index >= cache.compacted_index();
-                    reset = !resumes_snapshot && partial.is_none();
+                    let can_continue = index > 0 && index >= cache.compacted_index();
+                    reset = !can_continue && partial.is_none();
                     position = match &partial {
-                        _ if resumes_snapshot => Position::at_index(index),
+                        _ if can_continue => Position::at_index(index),
                         Some(partial) if partial.all_keys => Position::at_index(partial.base),
                         Some(partial) => {
                             Position::SnapshotKey { base: partial.base, after: Some(partial.after.as_str().into()) }
@@ -132,7 +132,7 @@
                         None => Position::at_index(0),
                     };
                     match partial {
-                        Some(partial) if !resumes_snapshot => pending.snapshot = Some(partial),
+                        Some(partial) if !can_continue => pending.snapshot = Some(partial),
                         _ => pending = PendingChanges::default(),
                     }
                 }
@@ -194,9 +194,9 @@
     assert_eq!(cache.compacted_index(), 0);
     cache.apply(9, [("zone/4".to_string(), None)]);
     assert_eq!((cache.compacted_index(), cache.live_size().0), (6, 1));
-    let told: Vec<(u64, bool)> =
+    let received: Vec<(u64, bool)> =
         cache.changes_after(6, u32::MAX).map(|found| (found.1.index, found.1.value.is_some())).collect();
-    assert_eq!(told, [(7, true), (8, false), (9, false)]);
+    assert_eq!(received, [(7, true), (8, false), (9, false)]);
     // Lower indexes are ignored.
     cache.apply(9, [("zone/9".to_string(), Some(vec![1]))]);
     cache.restore(8, BTreeMap::new());
--- a/crates/watch/tests/client.rs
+++ b/crates/watch/tests/client.rs
@@ -26,8 +26,8 @@
 }
 
 impl TestClient {
-    fn new(client_config: ClientConfig, kept: Option<SavedState>) -> TestClient {
-        let mut client = Client::new(client_config, kept);
+    fn new(client_config: ClientConfig, saved: Option<SavedState>) -> TestClient {
+        let mut client = Client::new(client_config, saved);
         client.started(ms(0));
         TestClient { client, now: ms(0) }
     }
@@ -193,7 +193,7 @@
     let actions = planner.receive(chunk(1, false, None, 55, &[("zone/z", Some("off"))]));
     assert!(matches!(&actions[..], [Action::Send(Kind::Ack(_))]));
     assert_eq!((planner.client.index(), state(&planner.client)), (50, saved(50).entries));
-    // If the link is lost now, the next machine is told that the state belongs to another scope.
+    // If the link is lost now, the next machine learns that the state belongs to another scope.
     planner.run(|client, now, actions| client.closed(now, "gone", actions));
     let hello = planner.send_hello();
     assert_eq!((hello.index, hello.reset, hello.scope.routes.len()), (50, true, 1));
@@ -303,7 +303,7 @@
             MachineSelector::new(&planner, machines, seed)
         })
         .collect();
-    for (failure, most) in [200_u64, 400, 800, 1_600, 3_200, 6_400, 8_000, 8_000].into_iter().enumerate() {
+    for (failure, max) in [200_u64, 400, 800, 1_600, 3_200, 6_400, 8_000, 8_000].into_iter().enumerate() {
         let mut pauses: Vec<u64> = Vec::new();
         for selector in &mut selectors {
             selector.record_failure(ms(0), failure % 4, Some(Span(0)));
@@ -312,11 +312,11 @@
                 other => pauses.push(u64::from(other.is_none()) * 1_000_000),
             }
         }
-        assert!(pauses.iter().all(|pause| *pause <= most), "{most}");
+        assert!(pauses.iter().all(|pause| *pause <= max), "{max}");
         // Each tenth of the range gets a tenth of them, within four standard deviations.
         let mut tenths = [0_u32; 10];
-        pauses.iter().for_each(|pause| tenths[(pause * 10 / (most + 1)) as usize] += 1);
-        assert!(tenths.iter().all(|count| (62..=138).contains(count)), "{most}: {tenths:?}");
+        pauses.iter().for_each(|pause| tenths[(pause * 10 / (max + 1)) as usize] += 1);
+        assert!(tenths.iter().all(|count| (62..=138).contains(count)), "{max}: {tenths:?}");
     }
     // The same seed gives the same pauses.
     let again = |seed| {
--- a/crates/watch/tests/common/mod.rs
+++ b/crates/watch/tests/common/mod.rs
@@ -410,8 +410,8 @@
                     }
                 }
             }
-            let most = self.servers.values().map(|server| server.stats().snapshots_active).max();
-            self.max_snapshots = self.max_snapshots.max(most.unwrap_or(0));
+            let max = self.servers.values().map(|server| server.stats().snapshots_active).max();
+            self.max_snapshots = self.max_snapshots.max(max.unwrap_or(0));
         }
         self.now = moment;
     }
--- a/crates/watch/tests/roster.rs
+++ b/crates/watch/tests/roster.rs
@@ -146,7 +146,7 @@
     network.heard.push(("a", 1, 2, 9, 2));
     network.advance(2_000);
     assert_eq!((network.count(1, 9), network.count(2, 9)), ((3, 2, 1), (3, 2, 1)));
-    // The machine restarts without any state and is told about the planners that nobody hears.
+    // The machine restarts without any state and receives the planners that nobody hears.
     network.rosters[0] = Roster::new("m0".into(), 9);
     network.lost(0, 1);
     network.lost(0, 2);
@@ -181,7 +181,7 @@
     network.heard[0] = ("a", 1, 2, 9, 1);
     network.advance(1_500);
     assert_eq!((network.count(0, 9), network.count(2, 9)), ((2, 2, 0), (2, 1, 1)));
-    // The planner goes silent here, and another machine's report on it arrives before the others are told.
+    // The planner goes silent here, and another machine's report on it arrives before the others are notified.
     network.heard.pop();
     network.rosters[0].watch_ended("b", (1, 1), false);
     let row =
@@ -270,8 +270,8 @@
 fn planners_and_rows_are_bounded() {
     let mut one = Roster::new("m0".into(), 1);
     let mut other = Roster::new("m1".into(), 2);
-    let most = MAX_PLANNERS as u64;
-    for at in 0..most + 10 {
+    let max = MAX_PLANNERS as u64;
+    for at in 0..max + 10 {
         one.planner_heard(&format!("p{at}"), (1, 1), 9, ms(0));
     }
     let found = one.in_force(ms(0), 9);
