--- a/crates/watch/src/client.rs
+++ b/crates/watch/src/client.rs
@@ -262,7 +262,7 @@
         }
         let own_index = self.saved.index;
         if self.saved.record_id != 0 && welcome.record_id != self.saved.record_id {
-            return self.protocol_error(now, "the machine serves another record", actions);
+            return self.protocol_error(now, "another record stands there", actions);
         }
         if welcome.head < own_index {
             actions.push(Action::Abort);
