--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,7 +1,7 @@
-//! HTTP/1.1 messages, both sides: bounded heads and bodies, chunked coding, keep-alive. No sockets.
+//! HTTP/1.1 messages for clients and servers: bounded heads and bodies, chunked encoding, keep-alive. No sockets.
 //!
-//! A [`Reader`] takes bytes however they are cut and gives parts: a head, data, the end. Heads are parsed by
-//! httparse. Not in here: HTTP/2, upgrades, trailers' contents (read, bounded and dropped), 100-continue.
+//! A [`Reader`] accepts bytes in arbitrary pieces and yields parts: a head, data, the end. Heads are parsed by
+//! httparse. Not supported: HTTP/2, upgrades, 100-continue. Trailers are read, bounded and discarded.
 #![forbid(unsafe_code)]
 
 mod read;
--- a/crates/http/src/write.rs
+++ b/crates/http/src/write.rs
@@ -1,4 +1,4 @@
-//! Writing. Names and values are taken as they are but for line ends, which could smuggle a header in.
+//! Serializes messages. Line breaks in header names and values are replaced, since they could inject a header.
 
 const REASONS: &[(u16, &str)] = &[
     (200, "OK"),
@@ -22,8 +22,8 @@
 
 fn headers_and_body(mut text: String, headers: &[(&str, &str)], body: Option<&[u8]>) -> Vec<u8> {
     for (name, value) in headers {
-        let clean = |part: &str| part.replace(['\r', '\n', '\0'], " ");
-        text += &format!("{}: {}\r\n", clean(name), clean(value));
+        let sanitize = |part: &str| part.replace(['\r', '\n', '\0'], " ");
+        text += &format!("{}: {}\r\n", sanitize(name), sanitize(value));
     }
     if let Some(body) = body {
         text += &format!("content-length: {}\r\n", body.len());
@@ -34,7 +34,7 @@
     bytes
 }
 
-/// Without a body no length is written: give a coding among the headers, or nothing follows.
+/// Without a body no `content-length` is written: pass a transfer encoding among the headers, or send no body.
 pub fn request(method: &str, target: &str, headers: &[(&str, &str)], body: Option<&[u8]>) -> Vec<u8> {
     let target = target.replace(|c: char| c.is_ascii_control() || c == ' ', "%20");
     headers_and_body(format!("{method} {target} HTTP/1.1\r\n"), headers, body)
@@ -45,7 +45,7 @@
     headers_and_body(format!("HTTP/1.1 {status} {reason}\r\n"), headers, body)
 }
 
-/// One chunk of a chunked body; nothing for no data, which would end it.
+/// One chunk of a chunked body; empty for empty data, since an empty chunk would end the body.
 pub fn chunk(data: &[u8]) -> Vec<u8> {
     if data.is_empty() {
         return Vec::new();
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,55 +1,55 @@
-//! What a node is: a state machine that is handed a moment and an input and fills an outbox.
+//! The interface between a node and its driver: a state machine that takes a time and an input and fills an outbox.
 //!
-//! A node has no socket, clock, thread or global. A driver feeds it and carries out its outbox: the reactor
-//! with real sockets, a virtual clock with simulated ones. What a driver promises:
+//! A node has no socket, clock, thread or global state. A driver feeds it inputs and executes its effects: the
+//! reactor with real sockets, the virtual world with simulated ones. Guarantees of a driver:
 //!
-//! - `Start` comes first and once; moments never go back.
-//! - Nodes of one house share nothing but what they were made with; a knock is never lost, and links that are
-//!   on their way from one driver to another are bounded.
-//! - A link ends with exactly one `Closed`, also where the node itself closed it; nothing follows for it.
-//! - `Due` may come late, never early. A timer cannot be withdrawn: a node must bear one it no longer needs.
-//! - Writes of a file are carried out in order, each ends with one `Synced`. After an error the file's state is not
-//!   known: a sync that failed is never tried again and believed.
-//! - What a node sends on a link is written in order. If more than the driver's limit waits on a link, the
-//!   link is closed with `Ended::Overflow`: a peer that does not read is never buffered for without end.
+//! - `Start` is the first input and comes once; time never goes backwards.
+//! - Nodes of one reactor group share only what they were constructed with. A notification is never lost, and the
+//!   number of links in transfer between two drivers is bounded.
+//! - Each link ends with exactly one `Closed`, also when the node closed it; no input for the link follows.
+//! - `TimerFired` may come late, never early. Timers cannot be cancelled: a node must tolerate one it no longer needs.
+//! - Writes to a file are executed in order, and each ends with one `Synced`. After an error the state of the file is
+//!   unknown: a failed sync is never retried and then trusted.
+//! - Bytes sent on a link are written in order. If the unwritten bytes of a link exceed the driver's limit, the
+//!   link is closed with `Ended::Overflow`: buffering for a peer that does not read is bounded.
 #![forbid(unsafe_code)]
 
 use pewtergap_time::Moment;
 use std::any::Any;
 use std::net::{IpAddr, SocketAddr};
 
-/// Why a file could not be read where there is none; any other reason says nothing of what was kept.
+/// The error of [`Input::File`] if the file does not exist; with any other error its content is unknown.
 pub const NO_FILE: &str = "there is no such file";
 
-/// A connection, of one driver.
+/// A connection, identified within one driver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Link(pub u64);
 
-/// A node among those of one house: nodes of several drivers, each on a thread of its own, that work together.
+/// A node of a reactor group: cooperating nodes of several drivers, each on its own thread.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ReactorId(pub u32);
 
-/// How a link ended.
+/// Why a link was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ended {
-    /// The peer closed it in order.
+    /// The peer closed the connection in an orderly way.
     Done,
-    /// Nobody listens there, or no way leads there: nothing was ever sent.
+    /// Connection refused or no route to the peer: nothing was sent.
     Refused,
-    /// The peer or the network broke it.
+    /// The peer or the network reset the connection.
     Reset,
-    /// More waited to be written than the driver allows, or this side has no room for another connection.
+    /// The unwritten bytes exceeded the driver's limit, or this process lacks resources for another connection.
     Overflow,
-    /// The node closed it.
+    /// The node closed the connection.
     Ours,
-    /// The node gave it to another of its house.
+    /// The node transferred the connection to another node of its reactor group.
     Handed,
 }
 
 #[derive(Debug)]
 pub enum Input<'a> {
     Start,
-    /// A listener is open, at this address (the port is known from here on).
+    /// A listener is open; `at` has the port that was actually bound.
     Listening {
         listener: u32,
         at: SocketAddr,
@@ -59,13 +59,13 @@
         listener: u32,
         why: String,
     },
-    /// A peer came in at a door.
+    /// A listener accepted a connection.
     Accepted {
         link: Link,
         listener: u32,
         from: SocketAddr,
     },
-    /// A connection the node asked for stands.
+    /// A connection requested by the node is established.
     Opened {
         link: Link,
     },
@@ -80,29 +80,29 @@
     TimerFired {
         timer: u64,
     },
-    /// What a file holds that the node asked for, or why it could not be read.
+    /// The content of a requested file, or why it could not be read.
     File {
         name: &'a str,
         bytes: Result<&'a [u8], String>,
     },
-    /// A write is on disk, or why that is not known.
+    /// A write is durable, or why its state is unknown.
     Synced {
         ticket: u64,
         result: Result<(), String>,
     },
-    /// A link that was to be handed stays here: the other node's driver has no room, or has ended.
+    /// A transfer failed and the link stays here: the other driver's queue is full, or it has ended.
     TransferFailed {
         link: Link,
         to: ReactorId,
     },
-    /// Another node of the house has left something in what both share. Knocks that come before the node
-    /// has heard the first are one.
+    /// Another node of the group changed the shared state. Notifications that arrive before the node has handled
+    /// the first one are coalesced.
     Notified,
-    /// A word from whoever runs the node: the lab's director, a test.
+    /// A command from the process that runs the node, such as the lab's director or a test.
     Command(&'a str),
-    /// End in order.
+    /// Shut down in an orderly way.
     Stop,
-    /// Read again what may have changed outside.
+    /// Reread configuration that may have changed.
     Reload,
 }
 
@@ -114,7 +114,7 @@
     Error,
 }
 
-/// A line for the log: an event's name and its fields.
+/// A structured log record: the event's name and its fields.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LogRecord {
     pub level: Level,
@@ -131,7 +131,7 @@
     Unlisten {
         listener: u32,
     },
-    /// `from` binds the near end, so that a peer can tell by address who calls.
+    /// `from` binds the local address, so that the peer can identify the caller by address.
     Connect {
         link: Link,
         to: SocketAddr,
@@ -141,16 +141,16 @@
         link: Link,
         bytes: Vec<u8>,
     },
-    /// Close once all is written.
+    /// Closes the link once all queued bytes are written.
     Finish {
         link: Link,
     },
-    /// Close at once; what waits is lost and the peer sees a reset.
+    /// Closes the link at once; unwritten bytes are lost and the peer sees a reset.
     Cut {
         link: Link,
     },
-    /// Give a link that came in, on which nothing was read or sent, to another node of the house: that one has it
-    /// as `Accepted` at the same door, here it ends as `Handed`.
+    /// Transfers an accepted link, on which nothing was read or sent, to another node of the group: that node receives
+    /// it as `Accepted` from the same listener, here it is closed with `Ended::Handed`.
     Transfer {
         link: Link,
         to: ReactorId,
@@ -159,7 +159,7 @@
     Notify {
         reactor: ReactorId,
     },
-    /// Stop reading, so that the peer is held back, and read again.
+    /// Stops reading, which applies backpressure to the peer, until `Resume`.
     Pause {
         link: Link,
     },
@@ -170,23 +170,23 @@
         timer: u64,
         at: Moment,
     },
-    /// Read a file; the answer comes as `File`.
+    /// Reads a file; the result comes as `File`.
     ReadFile {
         name: String,
     },
-    /// Keep a file: the whole of it or nothing, also through a crash.
+    /// Saves a file atomically, also across a crash.
     SaveFile {
         name: String,
         bytes: Vec<u8>,
     },
-    /// Write at this place of a file, cut what lies behind it, sync, and say so by `Synced`.
+    /// Writes at an offset of a file, truncates the file after the write, syncs it, and reports `Synced`.
     Append {
         name: String,
         at: u64,
         bytes: Vec<u8>,
         ticket: u64,
     },
-    /// Keep a file as by `Keep`, and say so by `Synced`.
+    /// Saves a file as `SaveFile` does, and reports `Synced`.
     ReplaceFile {
         name: String,
         bytes: Vec<u8>,
@@ -198,17 +198,17 @@
     },
 }
 
-/// What a node wants done. Links are numbered here, so that a node can name one before it stands.
+/// Effects requested by a node. Links are numbered here, so that a node can refer to one before it is established.
 #[derive(Debug, Default)]
 pub struct Outbox {
     pub effects: Vec<Effect>,
-    next: u64,
+    last_link: u64,
 }
 
 impl Outbox {
     pub fn link(&mut self) -> Link {
-        self.next += 1;
-        Link(self.next)
+        self.last_link += 1;
+        Link(self.last_link)
     }
 
     pub fn connect(&mut self, to: SocketAddr, from: Option<IpAddr>) -> Link {
@@ -245,6 +245,6 @@
 pub trait Node: Send + Any {
     fn handle(&mut self, now: Moment, input: Input<'_>, out: &mut Outbox);
 
-    /// For drivers that hand a node back when all is over.
+    /// For drivers that return their nodes after shutdown.
     fn into_any(self: Box<Self>) -> Box<dyn Any>;
 }
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,6 +1,6 @@
-//! The main protocol between planner and proxy. docs/protocol.md is its specification.
+//! The protocol between planner and proxy, specified in docs/protocol.md.
 //!
-//! Not in here: sockets, time, and what either side does with a message.
+//! Only messages and framing: no sockets, no time, no handling of messages.
 #![forbid(unsafe_code)]
 
 mod frames;
--- a/crates/protocol/src/load_report.rs
+++ b/crates/protocol/src/load_report.rs
@@ -1,47 +1,47 @@
-//! The open load-report header `endpoint-load-metrics`, in its TEXT and JSON forms, read leniently: what is
-//! not understood is left out, a number that is none as well. A report never fails a call.
+//! The load report header `endpoint-load-metrics` in its TEXT and JSON formats, parsed leniently: unknown entries and
+//! invalid numbers are ignored. A malformed report never fails a call.
 
 pub const HEADER: &str = "endpoint-load-metrics";
-const IN_HAND: &str = "named_metrics.in_hand";
+const IN_FLIGHT: &str = "named_metrics.in_hand";
 
-/// What we read of a report.
+/// The metrics taken from a report.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Part of the capacity in use; `application_utilization` goes before `cpu_utilization`.
+    /// Utilization as a fraction of capacity; `application_utilization` takes precedence over `cpu_utilization`.
     pub util: Option<f64>,
-    /// Calls in hand, under the named metric `in_hand`.
+    /// Calls in flight, reported as the named metric `in_hand`.
     pub in_flight: Option<f64>,
 }
 
 impl LoadReport {
     pub fn parse(text: &str) -> LoadReport {
-        // `application_utilization` goes before `cpu_utilization`, unless it says nothing.
-        let application = LoadReport::parse_named(text, &["application_utilization"], &[IN_HAND]);
+        // `application_utilization` takes precedence over `cpu_utilization`, unless it is missing or 0.
+        let application = LoadReport::parse_named(text, &["application_utilization"], &[IN_FLIGHT]);
         match application.util.filter(|util| *util > 0.0) {
             Some(_) => application,
-            None => LoadReport::parse_named(text, &["cpu_utilization"], &[IN_HAND]),
+            None => LoadReport::parse_named(text, &["cpu_utilization"], &[IN_FLIGHT]),
         }
     }
 
-    /// Reads a report of servers that have other names for the two, the first that is there.
+    /// Parses a report with other metric names; of each list, the first name present is used.
     pub fn parse_named(text: &str, util: &[&str], in_hand: &[&str]) -> LoadReport {
         let text = text.trim();
-        let (form, rest) = text.split_once(char::is_whitespace).unwrap_or(("", text));
-        let sane = |number: &f64| number.is_finite() && *number >= 0.0;
+        let (format, rest) = text.split_once(char::is_whitespace).unwrap_or(("", text));
+        let is_valid = |number: &f64| number.is_finite() && *number >= 0.0;
         let of = |value: &dyn Fn(&str) -> Option<f64>| {
-            let first = |names: &[&str]| names.iter().find_map(|name| value(name).filter(sane));
+            let first = |names: &[&str]| names.iter().find_map(|name| value(name).filter(is_valid));
             LoadReport { util: first(util), in_flight: first(in_hand) }
         };
-        match form {
+        match format {
             "JSON" => of(&json(rest)),
             "TEXT" => of(&pairs(rest)),
-            // The binary form is not spoken here; what names no form is taken as TEXT.
+            // The binary format is not supported; a report without a format name is parsed as TEXT.
             "BIN" => LoadReport::default(),
             _ => of(&pairs(text)),
         }
     }
 
-    /// In the TEXT form.
+    /// Serializes the report in the TEXT format.
     pub fn to_text(&self) -> String {
         let util = self.util.map(|util| format!("application_utilization={util:.3}"));
         let in_hand = self.in_flight.map(|calls| format!("named_metrics.in_hand={calls}"));
--- a/crates/protocol/src/messages.rs
+++ b/crates/protocol/src/messages.rs
@@ -1,9 +1,9 @@
-//! The messages, and what is allowed in each.
+//! The messages and their validation.
 
 use crate::frames::Validate;
 use prost::{Message, Oneof};
 
-/// What this build speaks; a peer of another number is refused with the reason.
+/// Protocol version of this build; a peer with another version is rejected with the reason.
 pub const VERSION: u32 = 1;
 pub const MAX_NAME_LEN: usize = 256;
 pub const MAX_LINES: usize = 65_536;
@@ -11,8 +11,7 @@
 pub const MAX_ROUTES: usize = 64;
 pub const MAX_ROWS: usize = 65_536;
 
-// ---- proxy to planner
-
+/// A message from a proxy to a planner.
 #[derive(Clone, PartialEq, Message)]
 pub struct ProxyMessage {
     #[prost(oneof = "proxy_message::Kind", tags = "1, 2, 3, 4, 5, 6")]
@@ -46,13 +45,13 @@
     pub proxy: String,
     #[prost(string, tag = "3")]
     pub zone: String,
-    /// Calls a second that it usually gets.
+    /// Usual rate of calls to this proxy.
     #[prost(double, tag = "4")]
     pub calls_per_s: f64,
-    /// Tables it holds from a planner, by whom they were sent.
+    /// Tables in force at the proxy, with the planner that sent them.
     #[prost(message, repeated, tag = "5")]
     pub held: Vec<HeldTable>,
-    /// Routes it knows, in its order: masks of routes and `Arrivals` follow the planner's order, told in `Welcome`.
+    /// Routes of the proxy in its own order. Route masks and `Arrivals` use the planner's order, given in `Welcome`.
     #[prost(string, repeated, tag = "6")]
     pub routes: Vec<String>,
 }
@@ -61,7 +60,7 @@
 pub struct HeldTable {
     #[prost(string, tag = "1")]
     pub planner: String,
-    /// Which start of that planner.
+    /// Identifies one start of that planner.
     #[prost(uint64, tag = "2")]
     pub epoch: u64,
     #[prost(uint32, tag = "3")]
@@ -70,7 +69,7 @@
     pub version: u64,
 }
 
-/// The message is in force: every call from now on follows it.
+/// The update is in force: every later call follows it.
 #[derive(Clone, PartialEq, Message)]
 pub struct Ack {
     #[prost(uint64, tag = "1")]
@@ -79,7 +78,7 @@
     pub mark: u32,
 }
 
-/// The message was refused as a whole; what the proxy held is in force as before.
+/// The update was rejected as a whole; the tables stay in force as they were.
 #[derive(Clone, PartialEq, Message)]
 pub struct Nack {
     #[prost(uint64, tag = "1")]
@@ -88,12 +87,12 @@
     pub reason: String,
     #[prost(uint32, tag = "3")]
     pub table: u32,
-    /// The version of that table that the proxy holds, 0 for none.
+    /// Version of that table at the proxy, 0 for none.
     #[prost(uint64, tag = "4")]
     pub holds: u64,
 }
 
-/// What the proxy met at servers since the last sums.
+/// Statistics of the proxy's tries by server since the last report.
 #[derive(Clone, PartialEq, Message)]
 pub struct ServerStats {
     #[prost(uint64, tag = "1")]
@@ -108,13 +107,13 @@
     pub server: String,
     #[prost(uint64, tag = "2")]
     pub tries: u64,
-    /// Tries without a good answer.
+    /// Tries without a successful answer.
     #[prost(uint64, tag = "3")]
     pub dropped: u64,
-    /// Mean time of the good ones.
+    /// Mean latency of the successful tries.
     #[prost(uint64, tag = "4")]
     pub mean_latency_us: u64,
-    /// The last load report among the answers.
+    /// From the last load report in an answer.
     #[prost(double, optional, tag = "5")]
     pub util: Option<f64>,
     #[prost(double, optional, tag = "6")]
@@ -135,17 +134,16 @@
     pub route: u32,
     #[prost(uint64, tag = "2")]
     pub calls: u64,
-    /// Let in, and not answered.
+    /// Calls admitted and not answered.
     #[prost(uint64, tag = "3")]
     pub dropped: u64,
 }
 
-/// Nothing to say, but alive.
+/// Sent to show liveness when there is nothing else to send.
 #[derive(Clone, PartialEq, Message)]
 pub struct Heartbeat {}
 
-// ---- planner to proxy
-
+/// A message from a planner to a proxy.
 #[derive(Clone, PartialEq, Message)]
 pub struct PlannerMessage {
     #[prost(oneof = "planner_message::Kind", tags = "1, 2, 3, 4")]
@@ -166,7 +164,7 @@
     }
 }
 
-/// The answer to `Hello`: the proxy is joined.
+/// Response to `Hello`: the planner has accepted the proxy.
 #[derive(Clone, PartialEq, Message)]
 pub struct Welcome {
     #[prost(uint32, tag = "1")]
@@ -175,26 +173,26 @@
     pub planner: String,
     #[prost(uint64, tag = "3")]
     pub epoch: u64,
-    /// Names of the routes; bit k of a mask is the k-th.
+    /// Names of the routes; bit k of a route mask stands for the k-th.
     #[prost(string, repeated, tag = "4")]
     pub routes: Vec<String>,
-    /// How often sums are wanted, and how often either side says that it lives.
+    /// Interval of the reports, and of the heartbeats of either side.
     #[prost(uint64, tag = "5")]
     pub report_every_us: u64,
 }
 
-/// All that was ordered for this proxy at one time, or since its last message left.
+/// All changes for this proxy since its last update was sent.
 #[derive(Clone, PartialEq, Message)]
 pub struct Update {
     #[prost(uint64, tag = "1")]
     pub nonce: u64,
-    /// The turn of the planner that ordered it: one id from list change to ACK.
+    /// Id of the planning round that made the change, used from the list change to the ACK.
     #[prost(uint64, tag = "2")]
     pub turn: u64,
-    /// When the oldest part was ordered, nanoseconds since 1970 by the planner's clock.
+    /// When the oldest change was made, in nanoseconds since 1970 by the planner's clock.
     #[prost(uint64, tag = "3")]
     pub ordered_at: u64,
-    /// Lines it counts in the channel, without the head.
+    /// Lines counted against the channel, without the overhead of the message.
     #[prost(uint32, tag = "4")]
     pub lines: u32,
     #[prost(uint32, tag = "5")]
@@ -205,12 +203,12 @@
     pub binds: Vec<Binding>,
 }
 
-/// A change from one version of a table to another, or the whole of it.
+/// A change of a table from one version to another, or a full table.
 #[derive(Clone, PartialEq, Message)]
 pub struct TableChange {
     #[prost(uint32, tag = "1")]
     pub table: u32,
-    /// 0 where `whole`.
+    /// 0 if `whole`.
     #[prost(uint64, tag = "2")]
     pub from: u64,
     #[prost(uint64, tag = "3")]
@@ -227,24 +225,24 @@
 
 #[derive(Clone, PartialEq, Message)]
 pub struct Line {
-    /// Address and port.
+    /// Address and port of the server.
     #[prost(string, tag = "1")]
     pub server: String,
-    /// Above 0; its part is its weight over the sum of all in the table.
+    /// Above 0; the line's share is its weight divided by the sum of all weights of the table.
     #[prost(double, tag = "2")]
     pub weight: f64,
 }
 
-/// How much of some routes is let in, and when a proxy tries again.
+/// Admission level of some routes, and when a proxy resends a call.
 #[derive(Clone, PartialEq, Message)]
 pub struct Gate {
     /// 0 for all routes.
     #[prost(uint64, tag = "1")]
     pub routes: u64,
-    /// Part let in, 1 or more for all.
+    /// Fraction of calls admitted; 1 or more for all.
     #[prost(double, tag = "2")]
     pub level: f64,
-    /// 0: never; 1: once, on proof that the first try never ran; 2: once after any failure.
+    /// 0: never; 1: once, if the first try provably never ran; 2: once after any failure.
     #[prost(uint32, tag = "3")]
     pub resend: u32,
 }
@@ -258,7 +256,7 @@
     pub routes: u64,
 }
 
-/// The planner closes the stream, and why.
+/// The planner closes the stream for this reason.
 #[derive(Clone, PartialEq, Message)]
 pub struct Bye {
     #[prost(string, tag = "1")]
@@ -277,25 +275,25 @@
     }
 }
 
-fn ensure(fine: bool, what: impl FnOnce() -> String) -> Result<(), String> {
-    if fine {
+fn ensure(valid: bool, what: impl FnOnce() -> String) -> Result<(), String> {
+    if valid {
         Ok(())
     } else {
         Err(what())
     }
 }
 
-fn few(what: &str, count: usize, most: usize) -> Result<(), String> {
-    ensure(count <= most, || format!("{what}: {count} entries, at most {most} are allowed"))
+fn check_count(what: &str, count: usize, max: usize) -> Result<(), String> {
+    ensure(count <= max, || format!("{what}: {count} entries, at most {max} are allowed"))
 }
 
-fn name(what: &str, text: &str) -> Result<(), String> {
+fn check_name(what: &str, text: &str) -> Result<(), String> {
     ensure(!text.is_empty() && text.len() <= MAX_NAME_LEN, || {
         format!("{what}: {} bytes, 1 to {MAX_NAME_LEN} are allowed", text.len())
     })
 }
 
-fn number(what: &str, value: f64) -> Result<(), String> {
+fn check_number(what: &str, value: f64) -> Result<(), String> {
     ensure(value.is_finite() && value >= 0.0, || {
         format!("{what}: {value}, a number of 0 or more was expected")
     })
@@ -307,29 +305,31 @@
     fn validate(&self) -> Result<(), String> {
         match self.kind.as_ref().ok_or("empty message, or of a kind not known")? {
             proxy_message::Kind::Hello(hello) => {
-                name("hello.proxy", &hello.proxy)?;
-                name("hello.zone", &hello.zone)?;
-                number("hello.calls_per_s", hello.calls_per_s)?;
-                few("hello.held", hello.held.len(), MAX_TABLES)?;
-                few("hello.routes", hello.routes.len(), MAX_ROUTES)?;
-                hello.routes.iter().try_for_each(|route| name("hello.routes", route))?;
-                hello.held.iter().try_for_each(|held| name("hello.held.planner", &held.planner))
+                check_name("hello.proxy", &hello.proxy)?;
+                check_name("hello.zone", &hello.zone)?;
+                check_number("hello.calls_per_s", hello.calls_per_s)?;
+                check_count("hello.held", hello.held.len(), MAX_TABLES)?;
+                check_count("hello.routes", hello.routes.len(), MAX_ROUTES)?;
+                hello.routes.iter().try_for_each(|route| check_name("hello.routes", route))?;
+                hello.held.iter().try_for_each(|held| check_name("hello.held.planner", &held.planner))
             }
             proxy_message::Kind::Ack(ack) => ensure(ack.nonce > 0, || "ack.nonce: 0 was never sent".into()),
             proxy_message::Kind::Nack(nack) => {
                 ensure(nack.reason.len() <= 4 * MAX_NAME_LEN, || "nack.reason: too long".into())
             }
             proxy_message::Kind::ServerStats(sums) => {
-                few("sums.rows", sums.rows.len(), MAX_ROWS)?;
+                check_count("sums.rows", sums.rows.len(), MAX_ROWS)?;
                 for row in &sums.rows {
-                    name("sums.rows.server", &row.server)?;
+                    check_name("sums.rows.server", &row.server)?;
                     ensure(row.dropped <= row.tries, || "sums.rows: more dropped than tried".into())?;
-                    number("sums.rows.util", row.util.unwrap_or(0.0))?;
-                    number("sums.rows.in_hand", row.in_flight.unwrap_or(0.0))?;
+                    check_number("sums.rows.util", row.util.unwrap_or(0.0))?;
+                    check_number("sums.rows.in_hand", row.in_flight.unwrap_or(0.0))?;
                 }
                 Ok(())
             }
-            proxy_message::Kind::Arrivals(arrivals) => few("arrivals.rows", arrivals.rows.len(), MAX_ROUTES),
+            proxy_message::Kind::Arrivals(arrivals) => {
+                check_count("arrivals.rows", arrivals.rows.len(), MAX_ROUTES)
+            }
             proxy_message::Kind::Heartbeat(_) => Ok(()),
         }
     }
@@ -341,15 +341,15 @@
     fn validate(&self) -> Result<(), String> {
         match self.kind.as_ref().ok_or("empty message, or of a kind not known")? {
             planner_message::Kind::Welcome(welcome) => {
-                name("welcome.planner", &welcome.planner)?;
-                few("welcome.routes", welcome.routes.len(), MAX_ROUTES)?;
+                check_name("welcome.planner", &welcome.planner)?;
+                check_count("welcome.routes", welcome.routes.len(), MAX_ROUTES)?;
                 ensure(welcome.report_every_us > 0, || "welcome.report_every_us: 0".into())?;
-                welcome.routes.iter().try_for_each(|route| name("welcome.routes", route))
+                welcome.routes.iter().try_for_each(|route| check_name("welcome.routes", route))
             }
             planner_message::Kind::Update(update) => {
                 ensure(update.nonce > 0, || "update.nonce: 0".into())?;
-                few("update.tables", update.tables.len(), MAX_TABLES)?;
-                few("update.binds", update.binds.len(), MAX_TABLES)?;
+                check_count("update.tables", update.tables.len(), MAX_TABLES)?;
+                check_count("update.binds", update.binds.len(), MAX_TABLES)?;
                 update.tables.iter().try_for_each(TableChange::validate)
             }
             planner_message::Kind::Bye(bye) => {
@@ -363,9 +363,9 @@
 impl TableChange {
     fn validate(&self) -> Result<(), String> {
         let place = |what: &str| format!("table {} {what}", self.table);
-        few(&place("set"), self.set.len(), MAX_LINES)?;
-        few(&place("removed"), self.removed.len(), MAX_LINES)?;
-        few(&place("gates"), self.gates.len(), 2 * MAX_ROUTES)?;
+        check_count(&place("set"), self.set.len(), MAX_LINES)?;
+        check_count(&place("removed"), self.removed.len(), MAX_LINES)?;
+        check_count(&place("gates"), self.gates.len(), 2 * MAX_ROUTES)?;
         ensure(self.to > self.from, || {
             format!("table {}: version {} after {}, a later one was expected", self.table, self.to, self.from)
         })?;
@@ -373,7 +373,7 @@
             format!("table {}: whole, and yet a change from version {}", self.table, self.from)
         })?;
         for line in &self.set {
-            name(&place("set.server"), &line.server)?;
+            check_name(&place("set.server"), &line.server)?;
             ensure(line.weight.is_finite() && line.weight > 0.0, || {
                 format!(
                     "table {}: {} has weight {}, above 0 was expected",
@@ -382,11 +382,11 @@
             })?;
         }
         for gate in &self.gates {
-            number(&place("gates.level"), gate.level)?;
+            check_number(&place("gates.level"), gate.level)?;
             ensure(gate.resend <= 2, || {
                 format!("table {}: resend {}, 0 to 2 were expected", self.table, gate.resend)
             })?;
         }
-        self.removed.iter().try_for_each(|server| name(&place("removed"), server))
+        self.removed.iter().try_for_each(|server| check_name(&place("removed"), server))
     }
 }
--- a/crates/time/src/lib.rs
+++ b/crates/time/src/lib.rs
@@ -1,19 +1,19 @@
-//! Moments and spans, kept apart so that a point in time is never added to another.
+//! Points in time and durations as separate types, so that two points in time cannot be added.
 #![forbid(unsafe_code)]
 
 use std::fmt;
 use std::ops::{Add, Sub};
 
-/// A point on the planner's clock, in nanoseconds; it only ever advances.
+/// A point in time on a monotonic clock, in nanoseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Moment(pub u64);
 
-/// A length of time, in nanoseconds.
+/// A duration, in nanoseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Span(pub u64);
 
 impl Moment {
-    /// The time gone by since an earlier moment; nothing if that one lies ahead.
+    /// Time elapsed since `earlier`; zero if `earlier` is in the future.
     pub fn since(self, earlier: Moment) -> Span {
         Span(self.0.saturating_sub(earlier.0))
     }
@@ -28,7 +28,7 @@
         Span(us * 1_000)
     }
 
-    /// Nothing for what is negative or no number.
+    /// Zero for a negative number or NaN.
     pub fn of_seconds(seconds: f64) -> Span {
         Span((seconds * 1e9).max(0.0) as u64)
     }
