--- a/crates/reactor/src/lib.rs
+++ b/crates/reactor/src/lib.rs
@@ -1,8 +1,8 @@
-//! Drives nodes over real sockets: one mio loop, one thread, any number of nodes.
+//! Drives nodes over real sockets: one mio event loop on one thread, with any number of nodes.
 //!
-//! Bounds: a link's unwritten bytes (`most_unwritten`; beyond it the link is closed as `Overflow`), the bytes
-//! read from one link before others have their turn, the connections taken from a listener in one go, and
-//! words from outside (a bounded queue; the teller waits).
+//! Bounds: the unwritten bytes of a link (`max_unwritten`; beyond it the link is closed with `Overflow`), the bytes
+//! read from one link per turn, the connections accepted from a listener per turn, and the queue of events from
+//! other threads (the sender blocks when it is full).
 #![forbid(unsafe_code)]
 
 mod disk;
@@ -14,7 +14,7 @@
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook_mio::v1_0::Signals;
 pub use sockets::write_atomically;
-use sockets::{Conn, Door, Taken};
+use sockets::{Conn, Listener, ReadOutcome};
 use std::collections::{BinaryHeap, HashMap, VecDeque};
 use std::io::{self, Write};
 use std::net::SocketAddr;
@@ -26,18 +26,18 @@
 
 const WAKER: Token = Token(0);
 const SIGNALS: Token = Token(1);
-const FIRST: usize = 2;
-const MOST_WORDS: usize = 4096;
-/// Connections taken from a listener in one go, and how long it rests when descriptors have run out.
-const MOST_TAKEN_IN: usize = 16;
-const NO_ROOM: Span = Span::millis(50);
+const FIRST_TOKEN: usize = 2;
+const MAX_QUEUED_EVENTS: usize = 4096;
+/// Connections accepted from a listener per turn, and the delay before the next accept when descriptors have run out.
+const MAX_ACCEPTS_PER_ROUND: usize = 16;
+const ACCEPT_RETRY_DELAY: Span = Span::millis(50);
 
-/// Which of the reactor's nodes.
+/// A node of one reactor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NodeId(pub usize);
 
-/// One clock for a process: counted from its start by a clock that never goes back, and put on the scale of
-/// the calendar once, so that moments of processes on one machine can be compared.
+/// The clock of a process: monotonic, with the wall-clock time of the process start as its offset, so that times of
+/// processes on one machine are comparable.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     base: u64,
@@ -57,82 +57,87 @@
     }
 }
 
-enum Told {
-    Word(NodeId, String),
+enum Event {
+    Command(NodeId, String),
     Synced(NodeId, u64, Result<(), String>),
-    /// A connection from another reactor of the house, and the door it came in at.
+    /// A connection transferred from another reactor of the group, and the listener that accepted it.
     Link(NodeId, std::net::TcpStream, u32),
     End,
 }
 
-/// Who of several reactors has which seat.
+/// The nodes of several reactors by their ids.
 #[derive(Clone, Default)]
 pub struct ReactorGroup {
-    seats: Arc<Mutex<HashMap<ReactorId, Resident>>>,
+    members: Arc<Mutex<HashMap<ReactorId, GroupMember>>>,
 }
 
 #[derive(Clone)]
-struct Resident {
+struct GroupMember {
     handle: Handle,
-    place: NodeId,
-    knocked: Arc<AtomicBool>,
+    node: NodeId,
+    notified: Arc<AtomicBool>,
 }
 
 impl ReactorGroup {
-    fn resident(&self, seat: ReactorId) -> Option<Resident> {
-        self.seats.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).get(&seat).cloned()
+    fn member(&self, id: ReactorId) -> Option<GroupMember> {
+        self.members.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).get(&id).cloned()
     }
 }
 
-/// Speaks to the nodes of a reactor that runs in another thread.
+/// Sends commands to the nodes of a reactor on another thread.
 #[derive(Clone)]
 pub struct Handle {
-    words: SyncSender<Told>,
+    events: SyncSender<Event>,
     waker: Arc<Waker>,
 }
 
 impl Handle {
-    /// False when the reactor has ended.
-    pub fn send_command(&self, place: NodeId, word: impl Into<String>) -> bool {
-        self.words.send(Told::Word(place, word.into())).is_ok() && self.waker.wake().is_ok()
-    }
-
-    /// A reactor that does not keep up is not waited for: the connection goes back to whoever had it.
-    fn hand(&self, place: NodeId, stream: std::net::TcpStream, door: u32) -> Result<(), std::net::TcpStream> {
-        match self.words.try_send(Told::Link(place, stream, door)) {
+    /// Returns false if the reactor has ended.
+    pub fn send_command(&self, node: NodeId, command: impl Into<String>) -> bool {
+        self.events.send(Event::Command(node, command.into())).is_ok() && self.waker.wake().is_ok()
+    }
+
+    /// Does not block when the target's queue is full: the connection is returned to the sender.
+    fn transfer(
+        &self,
+        node: NodeId,
+        stream: std::net::TcpStream,
+        listener: u32,
+    ) -> Result<(), std::net::TcpStream> {
+        match self.events.try_send(Event::Link(node, stream, listener)) {
             Ok(()) => {
                 let _ = self.waker.wake();
                 Ok(())
             }
-            Err(TrySendError::Full(Told::Link(_, stream, _)))
-            | Err(TrySendError::Disconnected(Told::Link(_, stream, _))) => Err(stream),
+            Err(TrySendError::Full(Event::Link(_, stream, _)))
+            | Err(TrySendError::Disconnected(Event::Link(_, stream, _))) => Err(stream),
             Err(_) => Ok(()),
         }
     }
 
     pub fn shut_down(&self) {
-        let _ = self.words.send(Told::End);
+        let _ = self.events.send(Event::End);
         let _ = self.waker.wake();
     }
 }
 
-/// A timer in the heap: earliest first, then in the order set.
+/// A timer in the heap, ordered by time, then by the order in which they were set.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct Alarm(std::cmp::Reverse<(Moment, u64)>, usize, u64);
+struct Timer(std::cmp::Reverse<(Moment, u64)>, usize, u64);
 
 enum Source {
-    Door { place: usize, door: u32 },
-    Link { place: usize, link: Link },
+    Listener { node: usize, listener: u32 },
+    Link { node: usize, link: Link },
 }
 
-struct Slot {
+struct NodeSlot {
     node: Box<dyn Node>,
     out: Outbox,
-    doors: HashMap<u32, (Token, Door)>,
+    listeners: HashMap<u32, (Token, Listener)>,
     links: HashMap<Link, (Token, Conn)>,
 }
 
-/// What waits for a node while another input is being carried out.
+/// An input queued for a node while another one is processed.
 enum Pending {
     Opened(Link),
     Closed(Link, Ended),
@@ -140,7 +145,7 @@
     NotListening(u32, String),
     File(String, Result<Vec<u8>, String>),
     Synced(u64, Result<(), String>),
-    HandedBack(Link, ReactorId),
+    TransferFailed(Link, ReactorId),
     Start,
     Stop,
     Reload,
@@ -150,61 +155,62 @@
     poll: Poll,
     clock: Clock,
     signals: Option<Signals>,
-    words: Receiver<Told>,
+    events: Receiver<Event>,
     handle: Handle,
-    house: ReactorGroup,
-    /// Nodes here that have a seat in the house, and whether somebody knocked.
-    seated: Vec<(NodeId, Arc<AtomicBool>)>,
-    slots: Vec<Slot>,
+    group: ReactorGroup,
+    /// Local nodes that belong to the group, and whether each has a pending notification.
+    group_members: Vec<(NodeId, Arc<AtomicBool>)>,
+    slots: Vec<NodeSlot>,
     sources: HashMap<Token, Source>,
     next_token: usize,
-    alarms: BinaryHeap<Alarm>,
-    alarms_set: u64,
+    timers: BinaryHeap<Timer>,
+    timers_set: u64,
     pending: VecDeque<(usize, Pending)>,
-    /// Links that had more to read when their turn ended.
-    again: VecDeque<(usize, Link)>,
-    /// Doors with more to take in, and when to look again.
-    waiting: Vec<(usize, u32, Moment)>,
-    most_unwritten: usize,
-    /// Where kept files lie, and who writes what is synced there; made with the first write.
+    /// Links that may have more to read.
+    readable: VecDeque<(usize, Link)>,
+    /// Listeners that may have more connections to accept, and when to try again.
+    accept_queue: Vec<(usize, u32, Moment)>,
+    max_unwritten: usize,
+    /// Directory of the nodes' files.
     dir: PathBuf,
+    /// Thread for synced writes, started by the first one.
     disk: Option<disk::Disk>,
-    announces: bool,
+    announce_listeners: bool,
     exit: Option<i32>,
     buffer: Vec<u8>,
 }
 
 impl Reactor {
-    pub fn new(clock: Clock, most_unwritten: usize, dir: PathBuf) -> io::Result<Reactor> {
+    pub fn new(clock: Clock, max_unwritten: usize, dir: PathBuf) -> io::Result<Reactor> {
         let poll = Poll::new()?;
         let waker = Arc::new(Waker::new(poll.registry(), WAKER)?);
-        let (sender, words) = sync_channel(MOST_WORDS);
+        let (sender, events) = sync_channel(MAX_QUEUED_EVENTS);
         Ok(Reactor {
             poll,
             clock,
             signals: None,
-            words,
-            handle: Handle { words: sender, waker },
-            house: ReactorGroup::default(),
-            seated: Vec::new(),
+            events,
+            handle: Handle { events: sender, waker },
+            group: ReactorGroup::default(),
+            group_members: Vec::new(),
             slots: Vec::new(),
             sources: HashMap::new(),
-            next_token: FIRST,
-            alarms: BinaryHeap::new(),
-            alarms_set: 0,
+            next_token: FIRST_TOKEN,
+            timers: BinaryHeap::new(),
+            timers_set: 0,
             pending: VecDeque::new(),
-            again: VecDeque::new(),
-            waiting: Vec::new(),
-            most_unwritten,
+            readable: VecDeque::new(),
+            accept_queue: Vec::new(),
+            max_unwritten,
             dir,
             disk: None,
-            announces: false,
+            announce_listeners: false,
             exit: None,
             buffer: vec![0; 64 * 1024],
         })
     }
 
-    /// SIGTERM and SIGINT end all nodes in order, SIGHUP has them read again.
+    /// SIGTERM and SIGINT send `Stop` to all nodes, SIGHUP sends `Reload`.
     pub fn catch_signals(&mut self) -> io::Result<()> {
         let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP])?;
         self.poll.registry().register(&mut signals, SIGNALS, Interest::READABLE)?;
@@ -212,10 +218,9 @@
         Ok(())
     }
 
-    /// Each listener's address goes to standard output, a line each, for whoever started the program with
-    /// ports of 0.
+    /// Prints each listener's address as a line on standard output, for a parent process that configured port 0.
     pub fn announce(&mut self) {
-        self.announces = true;
+        self.announce_listeners = true;
     }
 
     pub fn handle(&self) -> Handle {
@@ -224,52 +229,53 @@
 
     pub fn add(&mut self, node: Box<dyn Node>) -> NodeId {
         let out = Outbox::default();
-        self.slots.push(Slot { node, out, doors: HashMap::new(), links: HashMap::new() });
+        self.slots.push(NodeSlot { node, out, listeners: HashMap::new(), links: HashMap::new() });
         self.pending.push_back((self.slots.len() - 1, Pending::Start));
         NodeId(self.slots.len() - 1)
     }
 
-    /// Gives a node a seat among those of other reactors; all seats are taken before any of them runs. A
-    /// reactor belongs to one house.
-    pub fn join_group(&mut self, house: &ReactorGroup, seat: ReactorId, place: NodeId) {
-        let knocked = Arc::new(AtomicBool::new(false));
-        self.house = house.clone();
-        self.seated.push((place, knocked.clone()));
-        let resident = Resident { handle: self.handle.clone(), place, knocked };
-        self.house.seats.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).insert(seat, resident);
+    /// Registers a node with a reactor group; all nodes must be registered before any reactor of the group runs. A
+    /// reactor belongs to at most one group.
+    pub fn join_group(&mut self, group: &ReactorGroup, id: ReactorId, node: NodeId) {
+        let notified = Arc::new(AtomicBool::new(false));
+        self.group = group.clone();
+        self.group_members.push((node, notified.clone()));
+        let member = GroupMember { handle: self.handle.clone(), node, notified };
+        self.group.members.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).insert(id, member);
     }
 
-    /// Runs until a node asks for the exit or the handle ends it; hands the nodes back.
+    /// Runs until a node requests the exit or the handle shuts it down; returns the exit code and the nodes.
     pub fn run(mut self) -> io::Result<(i32, Vec<Box<dyn Node>>)> {
         let mut events = Events::with_capacity(1024);
-        self.settle();
+        self.deliver_pending();
         while self.exit.is_none() {
-            let wait = if self.again.is_empty() { self.wait() } else { Some(Duration::ZERO) };
+            let poll_timeout =
+                if self.readable.is_empty() { self.poll_timeout() } else { Some(Duration::ZERO) };
             let now = self.clock.now();
-            let doors = self.waiting.iter().map(|door| duration(door.2.since(now)));
-            let wait = doors.chain(wait).min();
-            match self.poll.poll(&mut events, wait) {
+            let listeners = self.accept_queue.iter().map(|listener| duration(listener.2.since(now)));
+            let poll_timeout = listeners.chain(poll_timeout).min();
+            match self.poll.poll(&mut events, poll_timeout) {
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => continue,
                 other => other?,
             }
             for event in &events {
-                // Who has asked for the exit promises nothing any more: what else this poll has is not heard.
+                // A node that has requested the exit expects no further input, so the rest of this poll is dropped.
                 if self.exit.is_some() {
                     break;
                 }
                 match event.token() {
-                    WAKER => self.hear_words(),
-                    SIGNALS => self.hear_signals(),
+                    WAKER => self.drain_events(),
+                    SIGNALS => self.handle_signals(),
                     token => {
                         self.ready(token, event.is_readable() || event.is_read_closed(), event.is_writable())
                     }
                 }
-                self.settle();
+                self.deliver_pending();
             }
-            for (place, link) in std::mem::take(&mut self.again) {
+            for (node, link) in std::mem::take(&mut self.readable) {
                 if self.exit.is_none() {
-                    self.read(place, link);
-                    self.settle();
+                    self.read(node, link);
+                    self.deliver_pending();
                 }
             }
             if self.exit.is_some() {
@@ -277,14 +283,14 @@
             }
             let now = self.clock.now();
             let (due, later): (Vec<_>, Vec<_>) =
-                std::mem::take(&mut self.waiting).into_iter().partition(|door| door.2 <= now);
-            self.waiting = later;
-            for (place, door, _) in due {
-                self.accept(place, door);
+                std::mem::take(&mut self.accept_queue).into_iter().partition(|listener| listener.2 <= now);
+            self.accept_queue = later;
+            for (node, listener, _) in due {
+                self.accept(node, listener);
             }
-            self.ring();
+            self.fire_timers();
         }
-        // Whoever ends in order has its last words written, as far as the peers take them at once.
+        // Flushes what the peers accept without blocking.
         for slot in &mut self.slots {
             slot.links.values_mut().for_each(|(_, conn)| {
                 let _ = conn.write();
@@ -293,172 +299,172 @@
         Ok((self.exit.unwrap_or(0), self.slots.into_iter().map(|slot| slot.node).collect()))
     }
 
-    fn wait(&self) -> Option<Duration> {
-        let next = self.alarms.peek()?;
+    fn poll_timeout(&self) -> Option<Duration> {
+        let next = self.timers.peek()?;
         let left = next.0 .0 .0.since(self.clock.now());
-        // The kernel waits whole milliseconds; rounding up keeps an alarm from ringing early and the loop
-        // from spinning.
+        // The kernel waits whole milliseconds; rounding up keeps a timer from firing early and the loop from spinning.
         Some(Duration::from_nanos(left.0))
     }
 
-    fn ring(&mut self) {
+    fn fire_timers(&mut self) {
         loop {
             let now = self.clock.now();
-            match self.alarms.peek() {
-                Some(alarm) if alarm.0 .0 .0 <= now && self.exit.is_none() => {}
+            match self.timers.peek() {
+                Some(next) if next.0 .0 .0 <= now && self.exit.is_none() => {}
                 _ => return,
             }
-            let Some(Alarm(_, place, timer)) = self.alarms.pop() else { return };
-            self.give(place, Input::TimerFired { timer });
-            self.settle();
+            let Some(Timer(_, node, timer)) = self.timers.pop() else { return };
+            self.deliver(node, Input::TimerFired { timer });
+            self.deliver_pending();
         }
     }
 
-    fn hear_words(&mut self) {
-        // The flag falls before the node looks, so that what is left meanwhile rings anew.
-        let knocked = |seated: &&(NodeId, Arc<AtomicBool>)| seated.1.swap(false, Ordering::AcqRel);
-        let knocked: Vec<NodeId> = self.seated.iter().filter(knocked).map(|seated| seated.0).collect();
-        for place in knocked {
-            self.give(place.0, Input::Notified);
-            self.settle();
+    fn drain_events(&mut self) {
+        // The flag is cleared before the node reads the shared state, so that a change made meanwhile notifies again.
+        let notified = |member: &&(NodeId, Arc<AtomicBool>)| member.1.swap(false, Ordering::AcqRel);
+        let notified: Vec<NodeId> =
+            self.group_members.iter().filter(notified).map(|member| member.0).collect();
+        for node in notified {
+            self.deliver(node.0, Input::Notified);
+            self.deliver_pending();
         }
         while self.exit.is_none() {
-            let Ok(told) = self.words.try_recv() else { return };
-            match told {
-                Told::End => self.exit = Some(self.exit.unwrap_or(0)),
-                Told::Link(place, stream, door) => {
-                    // One whose peer has gone is handed on all the same, so that both sides count alike.
+            let Ok(event) = self.events.try_recv() else { return };
+            match event {
+                Event::End => self.exit = Some(self.exit.unwrap_or(0)),
+                Event::Link(node, stream, listener) => {
+                    // Also passed on if the peer is gone, so that both sides count the same number of transfers.
                     let nowhere = SocketAddr::from(([0, 0, 0, 0], 0));
                     let from = stream.peer_addr().unwrap_or(nowhere);
-                    let link = self.slots[place.0].out.link();
-                    self.admit(place.0, link, Conn::taken_over(stream));
-                    self.give(place.0, Input::Accepted { link, listener: door, from });
-                    self.settle();
+                    let link = self.slots[node.0].out.link();
+                    self.register(node.0, link, Conn::from_std(stream));
+                    self.deliver(node.0, Input::Accepted { link, listener, from });
+                    self.deliver_pending();
                 }
-                Told::Synced(place, ticket, result) => {
-                    self.give(place.0, Input::Synced { ticket, result });
-                    self.settle();
+                Event::Synced(node, ticket, result) => {
+                    self.deliver(node.0, Input::Synced { ticket, result });
+                    self.deliver_pending();
                 }
-                Told::Word(place, word) => {
-                    self.give(place.0, Input::Command(&word));
-                    self.settle();
+                Event::Command(node, command) => {
+                    self.deliver(node.0, Input::Command(&command));
+                    self.deliver_pending();
                 }
             }
         }
     }
 
-    fn hear_signals(&mut self) {
+    fn handle_signals(&mut self) {
         let caught: Vec<i32> = self.signals.iter_mut().flat_map(|signals| signals.pending()).collect();
         for signal in caught {
-            for place in 0..self.slots.len() {
+            for node in 0..self.slots.len() {
                 let what = if signal == SIGHUP { Pending::Reload } else { Pending::Stop };
-                self.pending.push_back((place, what));
+                self.pending.push_back((node, what));
             }
         }
     }
 
-    fn give(&mut self, place: usize, input: Input<'_>) {
+    fn deliver(&mut self, node: usize, input: Input<'_>) {
         let now = self.clock.now();
-        let slot = &mut self.slots[place];
+        let slot = &mut self.slots[node];
         slot.node.handle(now, input, &mut slot.out);
         let effects = std::mem::take(&mut slot.out.effects);
-        effects.into_iter().for_each(|effect| self.carry_out(place, effect));
+        effects.into_iter().for_each(|effect| self.execute(node, effect));
     }
 
-    /// Hands out what waits until nothing does.
-    fn settle(&mut self) {
-        while let Some((place, what)) = self.pending.pop_front() {
+    /// Delivers queued inputs until the queue is empty.
+    fn deliver_pending(&mut self) {
+        while let Some((node, what)) = self.pending.pop_front() {
             match what {
-                Pending::Opened(link) => self.give(place, Input::Opened { link }),
-                Pending::Closed(link, why) => self.give(place, Input::Closed { link, why }),
-                Pending::Listening(door, at) => self.give(place, Input::Listening { listener: door, at }),
-                Pending::NotListening(door, why) => {
-                    self.give(place, Input::NotListening { listener: door, why })
+                Pending::Opened(link) => self.deliver(node, Input::Opened { link }),
+                Pending::Closed(link, why) => self.deliver(node, Input::Closed { link, why }),
+                Pending::Listening(listener, at) => self.deliver(node, Input::Listening { listener, at }),
+                Pending::NotListening(listener, why) => {
+                    self.deliver(node, Input::NotListening { listener, why })
                 }
                 Pending::File(name, bytes) => {
                     let bytes = bytes.as_deref().map_err(|why| why.clone());
-                    self.give(place, Input::File { name: &name, bytes });
+                    self.deliver(node, Input::File { name: &name, bytes });
                 }
-                Pending::Synced(ticket, result) => self.give(place, Input::Synced { ticket, result }),
-                Pending::HandedBack(link, to) => self.give(place, Input::TransferFailed { link, to }),
-                Pending::Start => self.give(place, Input::Start),
-                Pending::Stop => self.give(place, Input::Stop),
-                Pending::Reload => self.give(place, Input::Reload),
+                Pending::Synced(ticket, result) => self.deliver(node, Input::Synced { ticket, result }),
+                Pending::TransferFailed(link, to) => self.deliver(node, Input::TransferFailed { link, to }),
+                Pending::Start => self.deliver(node, Input::Start),
+                Pending::Stop => self.deliver(node, Input::Stop),
+                Pending::Reload => self.deliver(node, Input::Reload),
             }
         }
     }
 
-    fn carry_out(&mut self, place: usize, effect: Effect) {
+    fn execute(&mut self, node: usize, effect: Effect) {
         match effect {
-            Effect::Listen { listener: door, at } => self.listen(place, door, at),
-            Effect::Unlisten { listener: door } => {
-                if let Some((token, mut open)) = self.slots[place].doors.remove(&door) {
+            Effect::Listen { listener, at } => self.listen(node, listener, at),
+            Effect::Unlisten { listener } => {
+                if let Some((token, mut open)) = self.slots[node].listeners.remove(&listener) {
                     let _ = self.poll.registry().deregister(&mut open.listener);
                     self.sources.remove(&token);
                 }
             }
             Effect::Connect { link, to, from } => match Conn::connect(to, from) {
-                Ok(conn) => self.admit(place, link, conn),
+                Ok(conn) => self.register(node, link, conn),
                 Err(e) => {
-                    // That this side has no room says nothing of the peer: taken for a refusal it was a dead server.
-                    let why = if no_room(&e) { Ended::Overflow } else { Ended::Refused };
-                    self.pending.push_back((place, Pending::Closed(link, why)));
+                    // A lack of local resources must not be reported as a refusal: the server would be taken for dead.
+                    let why = if lacks_resources(&e) { Ended::Overflow } else { Ended::Refused };
+                    self.pending.push_back((node, Pending::Closed(link, why)));
                 }
             },
             Effect::Send { link, bytes } => {
-                let most = self.most_unwritten;
-                let Some((_, conn)) = self.slots[place].links.get_mut(&link) else { return };
+                let max = self.max_unwritten;
+                let Some((_, conn)) = self.slots[node].links.get_mut(&link) else { return };
                 conn.queue(bytes);
-                let went = conn.write();
-                let over = conn.unwritten() > most;
-                match went {
-                    Err(why) => self.broken(place, link, why),
-                    Ok(()) if over => self.drop_link(place, link, Ended::Overflow),
-                    Ok(()) => self.finished(place, link),
+                let result = conn.write();
+                let over = conn.unwritten() > max;
+                match result {
+                    Err(why) => self.write_failed(node, link, why),
+                    Ok(()) if over => self.drop_link(node, link, Ended::Overflow),
+                    Ok(()) => self.close_if_written(node, link),
                 }
             }
             Effect::Finish { link } => {
-                if let Some((_, conn)) = self.slots[place].links.get_mut(&link) {
+                if let Some((_, conn)) = self.slots[node].links.get_mut(&link) {
                     conn.finishing = true;
-                    self.finished(place, link);
+                    self.close_if_written(node, link);
                 }
             }
             Effect::Cut { link } => {
-                if let Some((_, conn)) = self.slots[place].links.get_mut(&link) {
+                if let Some((_, conn)) = self.slots[node].links.get_mut(&link) {
                     conn.reset_on_drop();
-                    self.drop_link(place, link, Ended::Ours);
+                    self.drop_link(node, link, Ended::Ours);
                 }
             }
-            Effect::Transfer { link, to, listener: door } => self.hand(place, link, to, door),
-            Effect::Notify { reactor: seat } => {
-                if let Some(resident) = self.house.resident(seat) {
-                    if !resident.knocked.swap(true, Ordering::AcqRel) {
-                        let _ = resident.handle.waker.wake();
+            Effect::Transfer { link, to, listener } => self.transfer(node, link, to, listener),
+            Effect::Notify { reactor } => {
+                if let Some(member) = self.group.member(reactor) {
+                    if !member.notified.swap(true, Ordering::AcqRel) {
+                        let _ = member.handle.waker.wake();
                     }
                 }
             }
             Effect::Pause { link } => {
-                if let Some((_, conn)) = self.slots[place].links.get_mut(&link) {
+                if let Some((_, conn)) = self.slots[node].links.get_mut(&link) {
                     conn.paused = true;
                 }
             }
             Effect::Resume { link } => {
-                if let Some((_, conn)) = self.slots[place].links.get_mut(&link) {
+                if let Some((_, conn)) = self.slots[node].links.get_mut(&link) {
                     conn.paused = false;
-                    self.again.push_back((place, link));
+                    self.readable.push_back((node, link));
                 }
             }
             Effect::SetTimer { timer, at } => {
-                self.alarms_set += 1;
-                self.alarms.push(Alarm(std::cmp::Reverse((at, self.alarms_set)), place, timer));
+                self.timers_set += 1;
+                self.timers.push(Timer(std::cmp::Reverse((at, self.timers_set)), node, timer));
             }
             Effect::ReadFile { name } => {
-                let told = |e: io::Error| match e.kind() {
+                let describe = |e: io::Error| match e.kind() {
                     io::ErrorKind::NotFound => NO_FILE.to_string(),
                     _ => e.to_string(),
                 };
-                let bytes = std::fs::read(self.dir.join(&name)).map_err(told);
-                self.pending.push_back((place, Pending::File(name, bytes)));
+                let bytes = std::fs::read(self.dir.join(&name)).map_err(describe);
+                self.pending.push_back((node, Pending::File(name, bytes)));
             }
             Effect::SaveFile { name, bytes } => {
                 if let Err(e) = sockets::write_atomically(&self.dir.join(&name), &bytes) {
@@ -466,62 +472,62 @@
                 }
             }
             Effect::Append { name, at, bytes, ticket } => {
-                self.write(place, ticket, disk::Job { name, at: Some(at), bytes });
+                self.write(node, ticket, disk::FileWrite { name, at: Some(at), bytes });
             }
             Effect::ReplaceFile { name, bytes, ticket } => {
-                self.write(place, ticket, disk::Job { name, at: None, bytes });
+                self.write(node, ticket, disk::FileWrite { name, at: None, bytes });
             }
-            Effect::Log(line) => {
-                if self.announces && line.event == "listening" {
-                    let fields: Vec<&str> = line.fields.iter().map(|field| field.1.as_str()).collect();
-                    // Who reads this may have gone; that is no reason to end.
+            Effect::Log(record) => {
+                if self.announce_listeners && record.event == "listening" {
+                    let fields: Vec<&str> = record.fields.iter().map(|field| field.1.as_str()).collect();
+                    // The reader of standard output may be gone, which is not an error.
                     let _ = writeln!(io::stdout(), "listening {}", fields.join(" "));
                 }
-                log(&line);
+                log(&record);
             }
             Effect::Exit { code } => self.exit = Some(self.exit.unwrap_or(code)),
         }
     }
 
-    /// A sync takes milliseconds: on this thread, all links would wait for it.
-    fn write(&mut self, place: usize, ticket: u64, job: disk::Job) {
+    /// Writes on the disk thread: a sync takes milliseconds, during which all links would wait on this thread.
+    fn write(&mut self, node: usize, ticket: u64, write: disk::FileWrite) {
         let (dir, handle) = (&self.dir, &self.handle);
         let disk = self.disk.get_or_insert_with(|| disk::Disk::new(dir.clone(), handle.clone()));
-        if let Err(why) = disk.write(NodeId(place), ticket, job) {
-            self.pending.push_back((place, Pending::Synced(ticket, Err(why))));
+        if let Err(why) = disk.write(NodeId(node), ticket, write) {
+            self.pending.push_back((node, Pending::Synced(ticket, Err(why))));
         }
     }
 
-    fn listen(&mut self, place: usize, door: u32, at: SocketAddr) {
+    fn listen(&mut self, node: usize, listener: u32, at: SocketAddr) {
         let token = self.token();
-        let opened = Door::open(at).and_then(|mut open| {
+        let opened = Listener::open(at).and_then(|mut open| {
             self.poll.registry().register(&mut open.listener, token, Interest::READABLE)?;
             let at = open.listener.local_addr()?;
             Ok((open, at))
         });
         match opened {
             Ok((open, at)) => {
-                self.sources.insert(token, Source::Door { place, door });
-                self.slots[place].doors.insert(door, (token, open));
-                self.pending.push_back((place, Pending::Listening(door, at)));
+                self.sources.insert(token, Source::Listener { node, listener });
+                self.slots[node].listeners.insert(listener, (token, open));
+                self.pending.push_back((node, Pending::Listening(listener, at)));
             }
-            Err(e) => self.pending.push_back((place, Pending::NotListening(door, format!("{at}: {e}")))),
+            Err(e) => self.pending.push_back((node, Pending::NotListening(listener, format!("{at}: {e}")))),
         }
     }
 
-    fn hand(&mut self, place: usize, link: Link, to: ReactorId, door: u32) {
-        let Some((token, mut conn)) = self.slots[place].links.remove(&link) else { return };
+    fn transfer(&mut self, node: usize, link: Link, to: ReactorId, listener: u32) {
+        let Some((token, mut conn)) = self.slots[node].links.remove(&link) else { return };
         let _ = self.poll.registry().deregister(&mut conn.stream);
         self.sources.remove(&token);
-        let went = match self.house.resident(to) {
-            Some(resident) => resident.handle.hand(resident.place, conn.given_away(), door),
-            None => Err(conn.given_away()),
+        let result = match self.group.member(to) {
+            Some(member) => member.handle.transfer(member.node, conn.into_std(), listener),
+            None => Err(conn.into_std()),
         };
-        match went {
-            Ok(()) => self.pending.push_back((place, Pending::Closed(link, Ended::Handed))),
+        match result {
+            Ok(()) => self.pending.push_back((node, Pending::Closed(link, Ended::Handed))),
             Err(stream) => {
-                self.admit(place, link, Conn::taken_over(stream));
-                self.pending.push_back((place, Pending::HandedBack(link, to)));
+                self.register(node, link, Conn::from_std(stream));
+                self.pending.push_back((node, Pending::TransferFailed(link, to)));
             }
         }
     }
@@ -531,142 +537,142 @@
         Token(self.next_token - 1)
     }
 
-    fn admit(&mut self, place: usize, link: Link, mut conn: Conn) {
+    fn register(&mut self, node: usize, link: Link, mut conn: Conn) {
         let token = self.token();
         let both = Interest::READABLE | Interest::WRITABLE;
         if self.poll.registry().register(&mut conn.stream, token, both).is_err() {
-            self.pending.push_back((place, Pending::Closed(link, Ended::Overflow)));
+            self.pending.push_back((node, Pending::Closed(link, Ended::Overflow)));
             return;
         }
-        self.sources.insert(token, Source::Link { place, link });
-        self.slots[place].links.insert(link, (token, conn));
+        self.sources.insert(token, Source::Link { node, link });
+        self.slots[node].links.insert(link, (token, conn));
     }
 
-    fn drop_link(&mut self, place: usize, link: Link, why: Ended) {
-        if let Some((token, mut conn)) = self.slots[place].links.remove(&link) {
+    fn drop_link(&mut self, node: usize, link: Link, why: Ended) {
+        if let Some((token, mut conn)) = self.slots[node].links.remove(&link) {
             let _ = self.poll.registry().deregister(&mut conn.stream);
             self.sources.remove(&token);
             if why == Ended::Overflow {
                 conn.reset_on_drop();
             }
-            self.pending.push_back((place, Pending::Closed(link, why)));
+            self.pending.push_back((node, Pending::Closed(link, why)));
         }
     }
 
-    /// Nothing can be written any more. What the peer had said before it broke the link may still wait to be read: a
-    /// server's answer right ahead of its reset was thrown away, and the server taken for dead.
-    fn broken(&mut self, place: usize, link: Link, why: Ended) {
-        let Some((_, conn)) = self.slots[place].links.get_mut(&link) else { return };
-        conn.give_up(why);
-        // Nobody reads these any more, so their end would never be seen.
+    /// Handles a failed write. Bytes that the peer sent before it reset the connection may still be unread and are read
+    /// first: otherwise a server's answer right before its reset is lost and the server taken for dead.
+    fn write_failed(&mut self, node: usize, link: Link, why: Ended) {
+        let Some((_, conn)) = self.slots[node].links.get_mut(&link) else { return };
+        conn.stop_writing(why);
+        // These links are not read, so their end would never be noticed.
         if conn.paused || conn.finishing {
-            return self.drop_link(place, link, why);
+            return self.drop_link(node, link, why);
         }
-        self.again.push_back((place, link));
+        self.readable.push_back((node, link));
     }
 
-    /// Closes a link that was to be finished once all of it is written.
-    fn finished(&mut self, place: usize, link: Link) {
+    /// Closes a finishing link once all queued bytes are written.
+    fn close_if_written(&mut self, node: usize, link: Link) {
         let done = |conn: &Conn| conn.finishing && conn.open && conn.unwritten() == 0;
-        if self.slots[place].links.get(&link).is_some_and(|(_, conn)| done(conn)) {
-            self.drop_link(place, link, Ended::Ours);
+        if self.slots[node].links.get(&link).is_some_and(|(_, conn)| done(conn)) {
+            self.drop_link(node, link, Ended::Ours);
         }
     }
 
     fn ready(&mut self, token: Token, readable: bool, writable: bool) {
         match self.sources.get(&token) {
-            // After the links of this round: those taken in before are heard first.
-            Some(Source::Door { place, door }) => {
-                let (place, door) = (*place, *door);
-                self.waiting.retain(|waiting| (waiting.0, waiting.1) != (place, door));
-                self.waiting.push((place, door, self.clock.now()));
+            // Accepts after this round's links, so that connections accepted earlier are read first.
+            Some(Source::Listener { node, listener }) => {
+                let (node, listener) = (*node, *listener);
+                self.accept_queue.retain(|entry| (entry.0, entry.1) != (node, listener));
+                self.accept_queue.push((node, listener, self.clock.now()));
             }
-            Some(Source::Link { place, link }) => {
-                let (place, link) = (*place, *link);
+            Some(Source::Link { node, link }) => {
+                let (node, link) = (*node, *link);
                 if writable {
-                    self.writable(place, link);
-                    self.settle();
+                    self.writable(node, link);
+                    self.deliver_pending();
                 }
                 if readable {
-                    self.read(place, link);
+                    self.read(node, link);
                 }
             }
             None => {}
         }
     }
 
-    /// Takes in a few, once a round: what these have to say is heard before more come, or hundreds that say nothing
-    /// would push out those who are about to. When descriptors run out the door is looked at again after a while; the
-    /// kernel tells of a waiting connection once only.
-    fn accept(&mut self, place: usize, door: u32) {
-        for _ in 0..MOST_TAKEN_IN {
-            let Some((_, open)) = self.slots[place].doors.get_mut(&door) else { return };
+    /// Accepts a bounded number of connections per round, so that they are read before more are accepted: otherwise
+    /// hundreds of silent connections displace those whose first message is under way. When descriptors run out,
+    /// accepting is retried after a delay, since the kernel reports a pending connection only once.
+    fn accept(&mut self, node: usize, listener: u32) {
+        for _ in 0..MAX_ACCEPTS_PER_ROUND {
+            let Some((_, open)) = self.slots[node].listeners.get_mut(&listener) else { return };
             match open.accept() {
                 Ok(Some((conn, from))) => {
-                    let link = self.slots[place].out.link();
-                    self.admit(place, link, conn);
-                    self.give(place, Input::Accepted { link, listener: door, from });
-                    self.settle();
+                    let link = self.slots[node].out.link();
+                    self.register(node, link, conn);
+                    self.deliver(node, Input::Accepted { link, listener, from });
+                    self.deliver_pending();
                 }
                 Ok(None) => return,
                 Err(e) => {
                     tracing::warn!(error = %e, "not_accepted");
-                    return self.waiting.push((place, door, self.clock.now() + NO_ROOM));
+                    return self.accept_queue.push((node, listener, self.clock.now() + ACCEPT_RETRY_DELAY));
                 }
             }
         }
-        self.waiting.push((place, door, self.clock.now()));
+        self.accept_queue.push((node, listener, self.clock.now()));
     }
 
-    fn writable(&mut self, place: usize, link: Link) {
-        let Some((_, conn)) = self.slots[place].links.get_mut(&link) else { return };
+    fn writable(&mut self, node: usize, link: Link) {
+        let Some((_, conn)) = self.slots[node].links.get_mut(&link) else { return };
         if !conn.open {
             match conn.established() {
                 Ok(true) => {
                     conn.open = true;
-                    self.pending.push_back((place, Pending::Opened(link)));
+                    self.pending.push_back((node, Pending::Opened(link)));
                 }
                 Ok(false) => return,
-                Err(_) => return self.drop_link(place, link, Ended::Refused),
+                Err(_) => return self.drop_link(node, link, Ended::Refused),
             }
         }
-        let Some((_, conn)) = self.slots[place].links.get_mut(&link) else { return };
+        let Some((_, conn)) = self.slots[node].links.get_mut(&link) else { return };
         match conn.write() {
-            Ok(()) => self.finished(place, link),
-            Err(why) => self.broken(place, link, why),
+            Ok(()) => self.close_if_written(node, link),
+            Err(why) => self.write_failed(node, link, why),
         }
     }
 
-    /// Reads one buffer; a link that has more comes again after the others.
-    fn read(&mut self, place: usize, link: Link) {
-        let Some((_, conn)) = self.slots[place].links.get_mut(&link) else { return };
+    /// Reads one buffer; a link with more to read is queued behind the others.
+    fn read(&mut self, node: usize, link: Link) {
+        let Some((_, conn)) = self.slots[node].links.get_mut(&link) else { return };
         if conn.paused || !conn.open {
             return;
         }
         let mut buffer = std::mem::take(&mut self.buffer);
-        let taken = conn.read(&mut buffer);
-        match taken {
-            Taken::Bytes(count) => {
-                self.give(place, Input::Bytes { link, bytes: &buffer[..count] });
-                self.again.push_back((place, link));
+        let outcome = conn.read(&mut buffer);
+        match outcome {
+            ReadOutcome::Bytes(count) => {
+                self.deliver(node, Input::Bytes { link, bytes: &buffer[..count] });
+                self.readable.push_back((node, link));
             }
-            Taken::Nothing => {}
-            Taken::Ended(why) => self.drop_link(place, link, why),
+            ReadOutcome::Nothing => {}
+            ReadOutcome::Ended(why) => self.drop_link(node, link, why),
         }
         self.buffer = buffer;
     }
 }
 
-/// Whether a connection could not be opened for want of something on this side.
-fn no_room(e: &io::Error) -> bool {
+/// Whether a connection could not be opened for lack of local resources.
+fn lacks_resources(e: &io::Error) -> bool {
     use libc::{EADDRNOTAVAIL, EMFILE, ENFILE, ENOBUFS, ENOMEM};
     matches!(e.raw_os_error(), Some(EMFILE | ENFILE | ENOBUFS | ENOMEM | EADDRNOTAVAIL))
 }
 
-fn log(line: &LogRecord) {
-    let fields: Vec<String> = line.fields.iter().map(|(name, value)| format!("{name}={value}")).collect();
-    let (event, fields) = (line.event, fields.join(" "));
-    match line.level {
+fn log(record: &LogRecord) {
+    let fields: Vec<String> = record.fields.iter().map(|(name, value)| format!("{name}={value}")).collect();
+    let (event, fields) = (record.event, fields.join(" "));
+    match record.level {
         Level::Debug => tracing::debug!(event, "{fields}"),
         Level::Info => tracing::info!(event, "{fields}"),
         Level::Warn => tracing::warn!(event, "{fields}"),
@@ -674,7 +680,7 @@
     }
 }
 
-/// A span as the standard library has it.
+/// Converts a span to the standard library's duration.
 pub fn duration(span: Span) -> Duration {
     Duration::from_nanos(span.0)
 }
--- a/crates/reactor/src/sockets.rs
+++ b/crates/reactor/src/sockets.rs
@@ -1,4 +1,4 @@
-//! Listeners, streams and kept files; nothing here knows a node.
+//! Listeners, streams and atomic file writes, independent of nodes.
 
 use mio::net::{TcpListener, TcpStream};
 use pewtergap_node::Ended;
@@ -11,21 +11,21 @@
 use std::time::Duration;
 
 const BACKLOG: i32 = 4096;
-const SLICES: usize = 32;
+const MAX_IO_SLICES: usize = 32;
 
-pub struct Door {
+pub struct Listener {
     pub listener: TcpListener,
 }
 
-impl Door {
-    pub fn open(at: SocketAddr) -> io::Result<Door> {
+impl Listener {
+    pub fn open(at: SocketAddr) -> io::Result<Listener> {
         let socket = Socket::new(Domain::for_address(at), Type::STREAM, None)?;
         socket.set_reuse_address(true)?;
         socket.set_nonblocking(true)?;
         socket.bind(&SockAddr::from(at))?;
-        // A thousand proxies that come at once found the usual backlog of 128 full and waited a second each.
+        // With the usual backlog of 128, a thousand proxies connecting at once overflowed it and each waited a second.
         socket.listen(BACKLOG)?;
-        Ok(Door { listener: TcpListener::from_std(socket.into()) })
+        Ok(Listener { listener: TcpListener::from_std(socket.into()) })
     }
 
     pub fn accept(&mut self) -> io::Result<Option<(Conn, SocketAddr)>> {
@@ -33,7 +33,7 @@
             match self.listener.accept() {
                 Ok((stream, from)) => return Ok(Some((Conn::new(stream, true), from))),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(None),
-                // The peer went before it was taken in.
+                // The peer closed the connection before it was accepted.
                 Err(e) if matches!(e.kind(), ErrorKind::ConnectionAborted | ErrorKind::Interrupted) => {}
                 Err(e) => return Err(e),
             }
@@ -41,7 +41,7 @@
     }
 }
 
-pub enum Taken {
+pub enum ReadOutcome {
     Bytes(usize),
     Nothing,
     Ended(Ended),
@@ -53,26 +53,35 @@
     pub paused: bool,
     pub finishing: bool,
     unwritten: VecDeque<Vec<u8>>,
-    /// Bytes of the first buffer that are written.
-    done: usize,
-    count: usize,
-    /// Nothing can be written any more, and why; what has come is still read.
-    broken: Option<Ended>,
+    /// Bytes of the first buffer that are already written.
+    first_written: usize,
+    unwritten_len: usize,
+    /// Set once writing has failed, with the reason; bytes already received are still read.
+    write_error: Option<Ended>,
 }
 
 impl Conn {
     fn new(stream: TcpStream, open: bool) -> Conn {
         let _ = stream.set_nodelay(true);
         let unwritten = VecDeque::new();
-        Conn { stream, open, paused: false, finishing: false, unwritten, done: 0, count: 0, broken: None }
+        Conn {
+            stream,
+            open,
+            paused: false,
+            finishing: false,
+            unwritten,
+            first_written: 0,
+            unwritten_len: 0,
+            write_error: None,
+        }
     }
 
-    /// A connection that stands already, from another reactor.
-    pub fn taken_over(stream: std::net::TcpStream) -> Conn {
+    /// Wraps an established connection from another reactor.
+    pub fn from_std(stream: std::net::TcpStream) -> Conn {
         Conn::new(TcpStream::from_std(stream), true)
     }
 
-    pub fn given_away(self) -> std::net::TcpStream {
+    pub fn into_std(self) -> std::net::TcpStream {
         self.stream.into()
     }
 
@@ -90,7 +99,7 @@
         Ok(Conn::new(TcpStream::from_std(socket.into()), false))
     }
 
-    /// Whether a connection that was asked for stands by now.
+    /// Whether a pending connect has completed.
     pub fn established(&self) -> io::Result<bool> {
         if let Some(e) = self.stream.take_error()? {
             return Err(e);
@@ -104,42 +113,44 @@
         }
     }
 
-    /// From here on nothing is written; the link ends for this reason once all that came is read.
-    pub fn give_up(&mut self, why: Ended) {
-        self.broken = Some(why);
+    /// Stops writing; the link is closed for this reason once all received bytes are read.
+    pub fn stop_writing(&mut self, why: Ended) {
+        self.write_error = Some(why);
         self.unwritten.clear();
-        (self.done, self.count) = (0, 0);
+        (self.first_written, self.unwritten_len) = (0, 0);
     }
 
     pub fn queue(&mut self, bytes: Vec<u8>) {
-        if self.broken.is_some() {
+        if self.write_error.is_some() {
             return;
         }
-        self.count += bytes.len();
+        self.unwritten_len += bytes.len();
         if !bytes.is_empty() {
             self.unwritten.push_back(bytes);
         }
     }
 
     pub fn unwritten(&self) -> usize {
-        self.count
+        self.unwritten_len
     }
 
     pub fn write(&mut self) -> Result<(), Ended> {
         while self.open && !self.unwritten.is_empty() {
-            let first = IoSlice::new(&self.unwritten[0][self.done..]);
-            let rest = self.unwritten.iter().skip(1).take(SLICES - 1).map(|bytes| IoSlice::new(bytes));
+            let first = IoSlice::new(&self.unwritten[0][self.first_written..]);
+            let rest = self.unwritten.iter().skip(1).take(MAX_IO_SLICES - 1).map(|bytes| IoSlice::new(bytes));
             let slices: Vec<IoSlice> = std::iter::once(first).chain(rest).collect();
             match self.stream.write_vectored(&slices) {
                 Ok(mut wrote) => {
-                    self.count -= wrote;
-                    while let Some(left) = self.unwritten.front().map(|bytes| bytes.len() - self.done) {
+                    self.unwritten_len -= wrote;
+                    while let Some(left) =
+                        self.unwritten.front().map(|bytes| bytes.len() - self.first_written)
+                    {
                         if wrote < left {
-                            self.done += wrote;
+                            self.first_written += wrote;
                             break;
                         }
                         wrote -= left;
-                        self.done = 0;
+                        self.first_written = 0;
                         self.unwritten.pop_front();
                     }
                 }
@@ -151,16 +162,16 @@
         Ok(())
     }
 
-    pub fn read(&mut self, buffer: &mut [u8]) -> Taken {
+    pub fn read(&mut self, buffer: &mut [u8]) -> ReadOutcome {
         loop {
             return match self.stream.read(buffer) {
-                Ok(0) => Taken::Ended(self.broken.unwrap_or(Ended::Done)),
-                Ok(count) => Taken::Bytes(count),
+                Ok(0) => ReadOutcome::Ended(self.write_error.unwrap_or(Ended::Done)),
+                Ok(count) => ReadOutcome::Bytes(count),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {
-                    self.broken.map_or(Taken::Nothing, Taken::Ended)
+                    self.write_error.map_or(ReadOutcome::Nothing, ReadOutcome::Ended)
                 }
                 Err(e) if e.kind() == ErrorKind::Interrupted => continue,
-                Err(_) => Taken::Ended(Ended::Reset),
+                Err(_) => ReadOutcome::Ended(Ended::Reset),
             };
         }
     }
@@ -170,13 +181,13 @@
     }
 }
 
-/// Writes beside the file, syncs and renames: a reader finds the old file or the new one, never a part.
+/// Writes a temporary file, syncs it and renames it over `path`: a reader finds the old or the new content in full.
 pub fn write_atomically(path: &Path, bytes: &[u8]) -> io::Result<()> {
-    let beside = path.with_extension("new");
-    let mut file = File::create(&beside)?;
+    let temporary = path.with_extension("new");
+    let mut file = File::create(&temporary)?;
     file.write_all(bytes)?;
     file.sync_all()?;
-    std::fs::rename(&beside, path)?;
+    std::fs::rename(&temporary, path)?;
     path.parent().map_or(Ok(()), |dir| {
         File::open(if dir.as_os_str().is_empty() { Path::new(".") } else { dir })?.sync_all()
     })
--- a/crates/reactor/tests/signals.rs
+++ b/crates/reactor/tests/signals.rs
@@ -1,4 +1,4 @@
-//! A signal and a peer's bytes in one look at the kernel. A process of its own: signals are the whole process's.
+//! A signal and a peer's bytes reported by the same poll. In a test binary of its own, since signals reach the whole process.
 
 use pewtergap_node::{Effect, Input, Level, Node, Outbox};
 use pewtergap_reactor::{Clock, Reactor};
@@ -12,25 +12,25 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-const CEILING: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Answers each read by what it read; the first one holds it up as long as somebody has the lock.
+/// Echoes what it reads; each read blocks while the test holds the lock.
 struct Echo {
-    heard: Sender<String>,
-    held: Arc<Mutex<()>>,
+    reports: Sender<String>,
+    gate: Arc<Mutex<()>>,
 }
 
 impl Node for Echo {
     fn handle(&mut self, _: Moment, input: Input<'_>, out: &mut Outbox) {
-        let told = match input {
+        let report = match input {
             Input::Start => {
                 return out.push(Effect::Listen { listener: 1, at: SocketAddr::from(([127, 0, 0, 1], 0)) })
             }
             Input::Listening { at, .. } => at.to_string(),
             Input::Bytes { link, bytes } => {
                 out.send(link, bytes.to_vec());
-                let _ = self.heard.send(String::from_utf8_lossy(bytes).into_owned());
-                return drop(self.held.lock());
+                let _ = self.reports.send(String::from_utf8_lossy(bytes).into_owned());
+                return drop(self.gate.lock());
             }
             Input::Stop => {
                 out.log(Level::Info, "stopped", vec![]);
@@ -40,7 +40,7 @@
             Input::Closed { .. } | Input::Accepted { .. } => return,
             other => format!("{other:?}"),
         };
-        let _ = self.heard.send(told);
+        let _ = self.reports.send(report);
     }
 
     fn into_any(self: Box<Self>) -> Box<dyn Any> {
@@ -49,30 +49,30 @@
 }
 
 #[test]
-fn a_question_behind_the_signal_to_end_gets_no_answer_any_more() {
-    let (sender, heard) = channel();
-    let held = Arc::new(Mutex::new(()));
+fn a_request_behind_the_stop_signal_gets_no_answer() {
+    let (sender, reports) = channel();
+    let gate = Arc::new(Mutex::new(()));
     let mut reactor = Reactor::new(Clock::default(), 1 << 20, PathBuf::new()).unwrap();
     reactor.catch_signals().unwrap();
-    reactor.add(Box::new(Echo { heard: sender, held: held.clone() }));
-    let ended = std::thread::spawn(move || reactor.run().unwrap().0);
-    let hear = || heard.recv_timeout(CEILING).unwrap();
-    let at = hear();
+    reactor.add(Box::new(Echo { reports: sender, gate: gate.clone() }));
+    let exit_code = std::thread::spawn(move || reactor.run().unwrap().0);
+    let next_report = || reports.recv_timeout(TIMEOUT).unwrap();
+    let at = next_report();
     let (mut first, mut second) = (TcpStream::connect(&at).unwrap(), TcpStream::connect(&at).unwrap());
-    // The second is known to be taken in before anything is held.
+    // Makes sure that the second connection is accepted before the reactor is blocked.
     second.write_all(b"here").unwrap();
-    assert_eq!(hear(), "here");
+    assert_eq!(next_report(), "here");
     second.read_exact(&mut [0; 4]).unwrap();
-    let lock = held.lock().unwrap();
+    let lock = gate.lock().unwrap();
     first.write_all(b"hold").unwrap();
-    assert_eq!(hear(), "hold");
-    // While it stands still: the signal first, then the question. The kernel tells of them in this order.
+    assert_eq!(next_report(), "hold");
+    // While the reactor is blocked: first the signal, then the request. The kernel reports them in this order.
     signal_hook::low_level::raise(SIGTERM).unwrap();
     second.write_all(b"late").unwrap();
     drop(lock);
-    assert_eq!(hear(), "stop");
-    assert_eq!(ended.join().unwrap(), 0);
-    assert!(heard.recv_timeout(CEILING).is_err(), "the question was heard");
+    assert_eq!(next_report(), "stop");
+    assert_eq!(exit_code.join().unwrap(), 0);
+    assert!(reports.recv_timeout(TIMEOUT).is_err(), "the request was handled");
     let mut rest = Vec::new();
     let _ = second.read_to_end(&mut rest);
     assert_eq!(rest, b"");
--- a/crates/reactor/tests/sockets.rs
+++ b/crates/reactor/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! What the reactor promises its nodes, on real sockets.
+//! The reactor's guarantees to its nodes, on real sockets.
 
 use pewtergap_node::{Effect, Ended, Input, Level, Link, Node, Outbox};
 use pewtergap_reactor::{Clock, Handle, Reactor};
@@ -12,20 +12,20 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Tells what it is given, and does what it is told by words.
-struct Parrot {
-    heard: Sender<String>,
+/// Reports its inputs and executes commands.
+struct Reporter {
+    reports: Sender<String>,
     at: Option<SocketAddr>,
     links: Vec<Link>,
-    /// Who holds this holds up the whole reactor at the word.
-    held: Arc<Mutex<()>>,
+    /// The `hold` command blocks the reactor while the test holds this lock.
+    gate: Arc<Mutex<()>>,
 }
 
-const CEILING: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 
-impl Node for Parrot {
+impl Node for Reporter {
     fn handle(&mut self, now: Moment, input: Input<'_>, out: &mut Outbox) {
-        let told = match input {
+        let report = match input {
             Input::Start => {
                 out.push(Effect::Listen { listener: 1, at: SocketAddr::from(([127, 0, 0, 1], 0)) });
                 return;
@@ -53,8 +53,8 @@
                 return;
             }
             Input::Command("hold") => {
-                let _ = self.heard.send("holding".into());
-                drop(self.held.lock());
+                let _ = self.reports.send("holding".into());
+                drop(self.gate.lock());
                 return;
             }
             Input::Command("finish") => {
@@ -74,20 +74,20 @@
                 out.push(Effect::Exit { code: 7 });
                 "asked to end".into()
             }
-            Input::Command("say") => {
+            Input::Command("send") => {
                 self.links.iter().for_each(|link| out.send(*link, b"late".to_vec()));
                 return;
             }
-            Input::Command("strange") => {
-                // An address of documentation: no machine has it.
+            Input::Command("unavailable source") => {
+                // An address reserved for documentation, which no machine has.
                 out.connect("127.0.0.1:1".parse().unwrap(), Some("192.0.2.1".parse().unwrap()));
                 return;
             }
-            Input::Command("taken") => {
+            Input::Command("address in use") => {
                 out.push(Effect::Listen { listener: 2, at: self.at.unwrap() });
                 return;
             }
-            Input::Command("nobody") => {
+            Input::Command("refused") => {
                 out.connect("127.0.0.1:1".parse().unwrap(), Some("127.0.0.9".parse().unwrap()));
                 return;
             }
@@ -100,7 +100,7 @@
             }
             other => format!("{other:?}"),
         };
-        let _ = self.heard.send(told);
+        let _ = self.reports.send(report);
     }
 
     fn into_any(self: Box<Self>) -> Box<dyn Any> {
@@ -108,171 +108,171 @@
     }
 }
 
-struct Stage {
+struct Setup {
     handle: Handle,
     place: pewtergap_reactor::NodeId,
-    heard: Receiver<String>,
+    reports: Receiver<String>,
     at: SocketAddr,
-    held: Arc<Mutex<()>>,
+    gate: Arc<Mutex<()>>,
 }
 
-fn stage() -> Stage {
+fn setup() -> Setup {
     let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
     let mut reactor = Reactor::new(Clock::default(), 4 << 20, dir).unwrap();
-    let (sender, heard) = channel();
-    let held = Arc::new(Mutex::new(()));
+    let (sender, reports) = channel();
+    let gate = Arc::new(Mutex::new(()));
     let place =
-        reactor.add(Box::new(Parrot { heard: sender, at: None, links: Vec::new(), held: held.clone() }));
+        reactor.add(Box::new(Reporter { reports: sender, at: None, links: Vec::new(), gate: gate.clone() }));
     let handle = reactor.handle();
     std::thread::spawn(move || reactor.run().unwrap());
-    let at = heard.recv_timeout(CEILING).unwrap().parse().unwrap();
-    Stage { handle, place, heard, at, held }
+    let at = reports.recv_timeout(TIMEOUT).unwrap().parse().unwrap();
+    Setup { handle, place, reports, at, gate }
 }
 
-impl Stage {
-    fn tell(&self, word: &str) {
+impl Setup {
+    fn command(&self, word: &str) {
         assert!(self.handle.send_command(self.place, word));
     }
 
-    fn hear(&self) -> String {
-        self.heard.recv_timeout(CEILING).unwrap()
+    fn next_report(&self) -> String {
+        self.reports.recv_timeout(TIMEOUT).unwrap()
     }
 
     fn connect(&self) -> TcpStream {
         let stream = TcpStream::connect(self.at).unwrap();
-        assert_eq!(self.hear(), "accepted");
+        assert_eq!(self.next_report(), "accepted");
         stream
     }
 }
 
-impl Drop for Stage {
+impl Drop for Setup {
     fn drop(&mut self) {
         self.handle.shut_down();
     }
 }
 
 #[test]
-fn a_peer_that_does_not_read_is_closed_and_not_buffered_for_without_end() {
-    let stage = stage();
-    let _peer = stage.connect();
-    stage.tell("flood");
-    assert_eq!(stage.hear(), format!("closed {:?}", Ended::Overflow));
+fn a_peer_that_does_not_read_is_closed_with_overflow() {
+    let setup = setup();
+    let _peer = setup.connect();
+    setup.command("flood");
+    assert_eq!(setup.next_report(), format!("closed {:?}", Ended::Overflow));
 }
 
 #[test]
-fn bytes_come_and_go_and_a_finished_link_has_its_last_words_written() {
-    let stage = stage();
-    let mut peer = stage.connect();
+fn a_finished_link_is_closed_after_its_last_bytes_are_written() {
+    let setup = setup();
+    let mut peer = setup.connect();
     peer.write_all(b"hello").unwrap();
-    assert_eq!(stage.hear(), "5 bytes");
-    stage.tell("finish");
+    assert_eq!(setup.next_report(), "5 bytes");
+    setup.command("finish");
     let mut all = String::new();
     peer.read_to_string(&mut all).unwrap();
-    assert_eq!((all.as_str(), stage.hear()), ("hellolast words", "closed Ours".into()));
-    let peer = stage.connect();
+    assert_eq!((all.as_str(), setup.next_report()), ("hellolast words", "closed Ours".into()));
+    let peer = setup.connect();
     drop(peer);
-    assert_eq!(stage.hear(), "closed Done");
+    assert_eq!(setup.next_report(), "closed Done");
 }
 
 #[test]
-fn what_a_peer_said_before_it_broke_the_link_is_heard_though_a_write_fails_first() {
-    // A server's complete answer right ahead of its reset: the question could not be written any more, and the answer
-    // was thrown away with the link.
-    let stage = stage();
-    let mut peer = stage.connect();
-    let held = stage.held.lock().unwrap();
-    stage.tell("hold");
-    assert_eq!(stage.hear(), "holding");
-    // Behind the hold in the same round, so that the write comes before any look at what has arrived.
-    stage.tell("say");
+fn bytes_received_before_a_reset_are_read_after_a_failed_write() {
+    // A server's complete answer right before its reset: writing the request fails, and the unread answer must not be
+    // lost with the link.
+    let setup = setup();
+    let mut peer = setup.connect();
+    let gate = setup.gate.lock().unwrap();
+    setup.command("hold");
+    assert_eq!(setup.next_report(), "holding");
+    // Queued behind `hold` in the same round, so that the write precedes the read of what has arrived.
+    setup.command("send");
     peer.write_all(b"answer").unwrap();
     SockRef::from(&peer).set_linger(Some(Duration::ZERO)).unwrap();
     drop(peer);
-    drop(held);
-    assert_eq!(stage.hear(), "6 bytes");
-    assert_eq!(stage.hear(), format!("closed {:?}", Ended::Reset));
+    drop(gate);
+    assert_eq!(setup.next_report(), "6 bytes");
+    assert_eq!(setup.next_report(), format!("closed {:?}", Ended::Reset));
 }
 
 #[test]
-fn what_comes_behind_an_exit_in_the_same_round_is_not_heard() {
-    let stage = stage();
-    let held = stage.held.lock().unwrap();
-    stage.tell("hold");
-    assert_eq!(stage.hear(), "holding");
-    stage.tell("end");
-    stage.tell("timers");
-    stage.tell("too late");
-    drop(held);
-    assert_eq!(stage.hear(), "asked to end");
-    // The node goes with its reactor, and nothing was told in between.
-    assert!(stage.heard.recv_timeout(CEILING).is_err_and(|e| e == RecvTimeoutError::Disconnected));
+fn inputs_behind_an_exit_in_the_same_round_are_dropped() {
+    let setup = setup();
+    let gate = setup.gate.lock().unwrap();
+    setup.command("hold");
+    assert_eq!(setup.next_report(), "holding");
+    setup.command("end");
+    setup.command("timers");
+    setup.command("too late");
+    drop(gate);
+    assert_eq!(setup.next_report(), "asked to end");
+    // The node is dropped with its reactor without any further report.
+    assert!(setup.reports.recv_timeout(TIMEOUT).is_err_and(|e| e == RecvTimeoutError::Disconnected));
 }
 
 #[test]
-fn one_that_always_has_more_to_read_holds_up_nobody() {
-    let stage = stage();
-    let (mut much, mut little) = (stage.connect(), stage.connect());
-    let held = stage.held.lock().unwrap();
-    stage.tell("hold");
-    assert_eq!(stage.hear(), "holding");
-    // As much as the kernel takes: many reads' worth.
-    much.set_nonblocking(true).unwrap();
+fn a_busy_link_does_not_starve_others() {
+    let setup = setup();
+    let (mut flooding, mut quiet) = (setup.connect(), setup.connect());
+    let gate = setup.gate.lock().unwrap();
+    setup.command("hold");
+    assert_eq!(setup.next_report(), "holding");
+    // Fills the kernel's buffers: enough for many reads.
+    flooding.set_nonblocking(true).unwrap();
     let mut sent = 0;
-    while let Ok(count) = much.write(&[1; 64 * 1024]) {
+    while let Ok(count) = flooding.write(&[1; 64 * 1024]) {
         sent += count;
     }
-    assert!(sent > 8 * 64 * 1024, "{sent} bytes are no flood");
-    little.write_all(b"hello").unwrap();
-    drop(held);
-    let told: Vec<String> = (0..4).map(|_| stage.hear()).collect();
-    assert!(told.contains(&"5 bytes".to_string()), "{told:?}");
+    assert!(sent > 8 * 64 * 1024, "only {sent} bytes");
+    quiet.write_all(b"hello").unwrap();
+    drop(gate);
+    let report: Vec<String> = (0..4).map(|_| setup.next_report()).collect();
+    assert!(report.contains(&"5 bytes".to_string()), "{report:?}");
 }
 
 #[test]
-fn what_this_side_lacks_is_not_told_as_a_refusal_of_the_peer() {
-    let stage = stage();
-    stage.tell("strange");
-    assert_eq!(stage.hear(), format!("closed {:?}", Ended::Overflow));
+fn a_lack_of_local_resources_is_not_reported_as_refused() {
+    let setup = setup();
+    setup.command("unavailable source");
+    assert_eq!(setup.next_report(), format!("closed {:?}", Ended::Overflow));
 }
 
 #[test]
-fn timers_ring_in_their_order_and_nobody_there_is_told_as_refused() {
-    let stage = stage();
-    stage.tell("timers");
-    let rung: Vec<String> = (0..4).map(|_| stage.hear()).collect();
-    assert_eq!(rung, ["due 4", "due 1", "due 2", "due 3"]);
-    stage.tell("nobody");
-    assert_eq!(stage.hear(), format!("closed {:?}", Ended::Refused));
-    stage.tell("taken");
-    assert_eq!(stage.hear(), "not listening");
+fn timers_fire_in_order_and_a_closed_port_is_reported_as_refused() {
+    let setup = setup();
+    setup.command("timers");
+    let fired: Vec<String> = (0..4).map(|_| setup.next_report()).collect();
+    assert_eq!(fired, ["due 4", "due 1", "due 2", "due 3"]);
+    setup.command("refused");
+    assert_eq!(setup.next_report(), format!("closed {:?}", Ended::Refused));
+    setup.command("address in use");
+    assert_eq!(setup.next_report(), "not listening");
 }
 
 #[test]
-fn a_kept_file_is_the_old_one_or_the_new_one() {
-    let stage = stage();
-    stage.tell("files");
-    assert_eq!(stage.hear(), "none: Err(\"missing\")");
-    assert_eq!(stage.hear(), "kept: Ok(9)");
+fn a_saved_file_is_replaced_atomically() {
+    let setup = setup();
+    setup.command("files");
+    assert_eq!(setup.next_report(), "none: Err(\"missing\")");
+    assert_eq!(setup.next_report(), "kept: Ok(9)");
     assert!(!PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("kept.new").exists());
 }
 
 #[test]
-fn of_hundreds_that_come_at_once_the_first_are_heard_before_the_last_are_taken_in() {
-    // Taken in all at once, those that say nothing pushed out the ones whose first word was on its way.
-    let stage = stage();
-    let held = stage.held.lock().unwrap();
-    stage.tell("hold");
-    assert_eq!(stage.hear(), "holding");
-    let mut peers: Vec<TcpStream> = (0..200).map(|_| TcpStream::connect(stage.at).unwrap()).collect();
+fn accepted_connections_are_read_before_more_are_accepted() {
+    // If all were accepted at once, silent connections would displace those whose first bytes are under way.
+    let setup = setup();
+    let gate = setup.gate.lock().unwrap();
+    setup.command("hold");
+    assert_eq!(setup.next_report(), "holding");
+    let mut peers: Vec<TcpStream> = (0..200).map(|_| TcpStream::connect(setup.at).unwrap()).collect();
     peers.iter_mut().for_each(|peer| peer.write_all(b"hello").unwrap());
-    drop(held);
-    let told: Vec<String> = (0..400).map(|_| stage.hear()).collect();
-    let first_word = told.iter().position(|told| told == "5 bytes").unwrap();
-    assert_eq!(told.iter().filter(|told| *told == "accepted").count(), 200);
-    assert_eq!(first_word, 16, "so many are taken in before the first is heard");
+    drop(gate);
+    let report: Vec<String> = (0..400).map(|_| setup.next_report()).collect();
+    let first_word = report.iter().position(|report| report == "5 bytes").unwrap();
+    assert_eq!(report.iter().filter(|report| *report == "accepted").count(), 200);
+    assert_eq!(first_word, 16, "accepted before the first read");
 }
 
-/// Writes twice at places of a file, cuts it back, and once where nothing can be written.
+/// Replaces a file, appends and truncates, and writes once to a path that does not exist.
 struct Writer;
 
 impl Node for Writer {
@@ -309,12 +309,12 @@
 }
 
 #[test]
-fn writes_are_carried_out_in_order_and_an_error_is_told() {
+fn writes_are_executed_in_order_and_errors_are_reported() {
     let dir = std::env::temp_dir().join(format!("pewtergap-writes-{}", std::process::id()));
     std::fs::create_dir_all(&dir).expect("a folder");
     let mut reactor = Reactor::new(Clock::default(), 1024, dir.clone()).expect("a reactor");
     reactor.add(Box::new(Writer));
-    assert_eq!(reactor.run().expect("it runs").0, 0, "the write into nowhere was told as an error");
+    assert_eq!(reactor.run().expect("it runs").0, 0, "the write to a missing path was reported as an error");
     assert_eq!(std::fs::read(dir.join("kept")).expect("the file"), b"headonetwo");
     let _ = std::fs::remove_dir_all(dir);
 }
