--- a/crates/proxy/src/calls.rs
+++ b/crates/proxy/src/calls.rs
@@ -1,115 +1,115 @@
-//! A call on its way: states and what follows from each ending of a try.
+//! The state of a call, and whether it is retried after a failed try.
 
 use pewtergap_http::{Head, Reader};
 use pewtergap_node::Link;
 use pewtergap_protocol::load_report::LoadReport;
 use pewtergap_time::Moment;
 
-/// How a try ended without an answer to pass on.
+/// How a try ended without a response to forward.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Miss {
-    /// It surely never ran: nobody listened, or the server says that it turned it away before running it.
+pub enum TryFailure {
+    /// It provably never ran: the connection was refused, or the server rejected the call before running it.
     NeverRan,
-    /// It may have run: the answer did not come, or not whole.
+    /// It may have run: the response is missing or incomplete.
     MayHaveRun,
-    /// The server answered with an error of its own.
-    Erred,
+    /// The server responded with an error of its own.
+    ServerError,
 }
 
-/// Whether a route's calls may run twice.
+/// Whether the calls of a route may run twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeats {
+pub enum RetrySafety {
     Repeatable,
     Mutating,
 }
 
-/// What happens after a miss.
+/// What happens after a failed try.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum After {
-    TryAgain,
+pub enum RetryDecision {
+    Retry,
     GiveUp,
 }
 
-/// Ways of trying again, as ordered: 0 never, once on proof, once after any failure.
-pub const ON_PROOF: u32 = 1;
-pub const ONCE: u32 = 2;
+/// Values of `resend` in a gate besides 0 for never: once if the try provably never ran, once after any failure.
+pub const RESEND_IF_NEVER_RAN: u32 = 1;
+pub const RESEND_ONCE: u32 = 2;
 
-/// For what must not run twice only proof counts, whatever is ordered: an order that would break rule 2 is
-/// not obeyed beyond it.
-const AFTER: &[(u32, Repeats, Miss, After)] = &[
-    (ON_PROOF, Repeats::Repeatable, Miss::NeverRan, After::TryAgain),
-    (ON_PROOF, Repeats::Mutating, Miss::NeverRan, After::TryAgain),
-    (ONCE, Repeats::Repeatable, Miss::NeverRan, After::TryAgain),
-    (ONCE, Repeats::Repeatable, Miss::MayHaveRun, After::TryAgain),
-    (ONCE, Repeats::Repeatable, Miss::Erred, After::TryAgain),
-    (ONCE, Repeats::Mutating, Miss::NeverRan, After::TryAgain),
+/// Combinations that allow a retry. A mutating call is only retried if the try provably never ran, whatever the planner
+/// ordered: an order that would break rule 2 is only obeyed as far as the rule allows.
+const RETRY_RULES: &[(u32, RetrySafety, TryFailure, RetryDecision)] = &[
+    (RESEND_IF_NEVER_RAN, RetrySafety::Repeatable, TryFailure::NeverRan, RetryDecision::Retry),
+    (RESEND_IF_NEVER_RAN, RetrySafety::Mutating, TryFailure::NeverRan, RetryDecision::Retry),
+    (RESEND_ONCE, RetrySafety::Repeatable, TryFailure::NeverRan, RetryDecision::Retry),
+    (RESEND_ONCE, RetrySafety::Repeatable, TryFailure::MayHaveRun, RetryDecision::Retry),
+    (RESEND_ONCE, RetrySafety::Repeatable, TryFailure::ServerError, RetryDecision::Retry),
+    (RESEND_ONCE, RetrySafety::Mutating, TryFailure::NeverRan, RetryDecision::Retry),
 ];
 
-pub fn after(resend: u32, repeats: Repeats, miss: Miss, tries: u32) -> After {
-    let row = AFTER.iter().find(|row| (row.0, row.1, row.2) == (resend, repeats, miss));
-    row.filter(|_| tries < 2).map_or(After::GiveUp, |row| row.3)
+pub fn retry_decision(resend: u32, safety: RetrySafety, failure: TryFailure, tries: u32) -> RetryDecision {
+    let row = RETRY_RULES.iter().find(|row| (row.0, row.1, row.2) == (resend, safety, failure));
+    row.filter(|_| tries < 2).map_or(RetryDecision::GiveUp, |row| row.3)
 }
 
 /// A call between a client and a server.
 pub struct Call {
     pub client: Link,
     pub route: usize,
-    /// As it goes to a server.
+    /// The request as sent to servers.
     pub request: Vec<u8>,
     pub body_expected: bool,
-    pub until: Moment,
+    pub deadline: Moment,
     pub tries: u32,
     pub resend: u32,
     pub server: String,
     pub link: Link,
-    /// When the present try began.
-    pub tried: Moment,
-    /// Servers that were tried.
-    pub before: Vec<String>,
-    pub answer: Reader,
-    /// The head of the answer went on to the client.
-    pub passing: bool,
+    /// Start of the current try.
+    pub try_started: Moment,
+    /// Servers already tried.
+    pub tried_servers: Vec<String>,
+    pub response: Reader,
+    /// Whether the head of the response was forwarded to the client.
+    pub head_forwarded: bool,
     pub chunked: bool,
     pub status: u16,
     pub report: LoadReport,
-    pub keep_server: bool,
+    pub reuse_connection: bool,
 }
 
-/// How a call ended at the proxy, told to the client in a header when the proxy itself answers.
+/// Why the proxy itself responded to a call, sent to the client in a header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Given {
+pub enum CallError {
     Throttled,
     NoLine,
-    TimeUp,
+    TimedOut,
     Failed,
     NoRoute,
-    TooMany,
+    TooManyCalls,
 }
 
-impl Given {
+impl CallError {
     pub fn status(self) -> u16 {
         match self {
-            Given::Throttled => 429,
-            Given::NoLine | Given::TooMany => 503,
-            Given::TimeUp => 504,
-            Given::Failed => 502,
-            Given::NoRoute => 404,
+            CallError::Throttled => 429,
+            CallError::NoLine | CallError::TooManyCalls => 503,
+            CallError::TimedOut => 504,
+            CallError::Failed => 502,
+            CallError::NoRoute => 404,
         }
     }
 
     pub fn name(self) -> &'static str {
         match self {
-            Given::Throttled => "throttled",
-            Given::NoLine => "no-line",
-            Given::TimeUp => "time-up",
-            Given::Failed => "failed",
-            Given::NoRoute => "no-route",
-            Given::TooMany => "too-many",
+            CallError::Throttled => "throttled",
+            CallError::NoLine => "no-line",
+            CallError::TimedOut => "time-up",
+            CallError::Failed => "failed",
+            CallError::NoRoute => "no-route",
+            CallError::TooManyCalls => "too-many",
         }
     }
 }
 
-/// Headers that concern one connection only, and are not passed on.
+/// Headers that apply to a single connection and are not forwarded.
 pub fn hop_by_hop(name: &str) -> bool {
     matches!(
         name,
@@ -124,10 +124,10 @@
     )
 }
 
-/// Headers to pass on: without those of the connection, and without those that the connection header names.
-pub fn passed_on(head: &Head) -> Vec<(&str, &str)> {
+/// Headers to forward: all but hop-by-hop headers and those named in the `connection` header.
+pub fn forwarded_headers(head: &Head) -> Vec<(&str, &str)> {
     let named = head.header("connection").unwrap_or("").to_ascii_lowercase();
     let names: Vec<&str> = named.split(',').map(str::trim).collect();
-    let pass = |name: &str| !hop_by_hop(name) && !names.contains(&name);
-    head.headers.iter().filter(|h| pass(&h.0)).map(|h| (h.0.as_str(), h.1.as_str())).collect()
+    let forwarded = |name: &str| !hop_by_hop(name) && !names.contains(&name);
+    head.headers.iter().filter(|h| forwarded(&h.0)).map(|h| (h.0.as_str(), h.1.as_str())).collect()
 }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,26 +1,26 @@
-//! A plain proxy: it obeys the tables that a planner publishes and decides nothing of its own.
+//! A proxy that follows the tables published by a planner and makes no load balancing decisions of its own.
 //!
-//! [`Proxy`] is a node. It picks evenly by weight, keeps its tables when its stream breaks, lets in what the
-//! levels say, tries again only when ordered and only on proof for what must not run twice, keeps away from a
-//! server after so many failures of its own in a row, and tells its planner what it met, in sums.
+//! [`Proxy`] is a node. It distributes calls by weight, keeps its tables when the stream to the planner breaks, admits
+//! calls according to the admission levels, retries only as ordered and mutating calls only if the try provably never
+//! ran, ejects a server after a number of consecutive failures, and reports statistics to its planner.
 //!
-//! For several cores [`proxy_nodes`] makes it of several nodes.
+//! [`proxy_nodes`] builds a proxy of several nodes, to use several cores.
 //!
-//! Not in here: choosing servers by load, hedging, caching, HTTP/2, TLS.
+//! Not implemented: choosing servers by load, hedging, caching, HTTP/2, TLS.
 #![forbid(unsafe_code)]
 
-mod board;
 mod calls;
-mod house;
+mod multi_worker;
 mod node;
-mod orders;
-mod picks;
+mod picker;
+mod planner_client;
 mod servers;
+mod shared_state;
 mod stream;
 pub mod tables;
 mod worker;
 
-pub use board::{least_busy, SharedState, WorkerStatus};
-pub use house::{proxy_nodes, FRONT_ID};
+pub use multi_worker::{proxy_nodes, ACCEPTOR_ID};
 pub use node::{EjectionConfig, FrontConfig, Proxy, Route, ENDED_HEADER, NOT_RUN_HEADER};
+pub use shared_state::{least_busy, SharedState, WorkerStatus};
 pub use stream::ProxyConfig;
--- a/crates/proxy/src/node.rs
+++ b/crates/proxy/src/node.rs
@@ -1,6 +1,6 @@
-//! The proxy as one node: the planner's side and one worker.
+//! The proxy as a single node: the planner client and one worker.
 
-use crate::orders::{timer, told_of_door, Orders, CLIENTS};
+use crate::planner_client::{log_listener, timer, PlannerClient, CLIENT_LISTENER};
 use crate::stream::ProxyConfig;
 use crate::tables::Tables;
 use crate::worker::Worker;
@@ -15,11 +15,11 @@
     pub name: String,
     pub time_limit: Span,
     pub mutating: bool,
-    /// How it is tried again while no planner has said: 0 never, 1 on proof, 2 once.
+    /// Resend policy until a planner sets one: 0 never, 1 if the try provably never ran, 2 once after any failure.
     pub resend: u32,
 }
 
-/// Where clients come in, and what is taken from them.
+/// Configuration of the client and server side of a proxy.
 #[derive(Clone, Copy, Debug)]
 pub struct FrontConfig {
     pub listen: SocketAddr,
@@ -28,66 +28,66 @@
     pub keep_alive: Span,
 }
 
-/// Keeping away from a server after so many failures of its own calls there in a row; 0 for never.
+/// Ejection of a server after a number of consecutive failures of this proxy's own tries; 0 disables it.
 #[derive(Clone, Copy, Debug)]
 pub struct EjectionConfig {
     pub consecutive_failures: u32,
     pub ejection_time: Span,
 }
 
-/// What a server answers with when it turned a call away before running it.
+/// Response header of a server that rejected a call before running it.
 pub const NOT_RUN_HEADER: &str = "x-pewtergap-not-run";
-/// How a call ended here, when the proxy answered itself.
+/// Response header with the reason when the proxy itself responded to a call.
 pub const ENDED_HEADER: &str = "x-pewtergap-ended";
 
 pub struct Proxy {
     front: FrontConfig,
-    orders: Orders,
+    planner_client: PlannerClient,
     worker: Worker,
-    follows: u64,
+    applied_version: u64,
     stopping: bool,
 }
 
 impl Proxy {
     pub fn new(
-        home: ProxyConfig,
+        config: ProxyConfig,
         front: FrontConfig,
         routes: Vec<Route>,
-        shunning: EjectionConfig,
+        ejection: EjectionConfig,
         standing: &[String],
         seed: u64,
     ) -> Proxy {
-        let tables = Arc::new(Tables::standing(standing, routes.len()));
-        let worker = Worker::new(&home.name, front, routes.clone(), shunning, tables.clone(), seed);
-        let orders = Orders::new(home, front.source_ip, routes, tables, seed);
-        Proxy { front, orders, worker, follows: 0, stopping: false }
+        let tables = Arc::new(Tables::initial(standing, routes.len()));
+        let worker = Worker::new(&config.name, front, routes.clone(), ejection, tables.clone(), seed);
+        let planner_client = PlannerClient::new(config, front.source_ip, routes, tables, seed);
+        Proxy { front, planner_client, worker, applied_version: 0, stopping: false }
     }
 
     pub fn tables(&self) -> &Tables {
-        self.orders.tables()
+        self.planner_client.tables()
     }
 
     pub fn joined(&self) -> bool {
-        self.orders.joined()
+        self.planner_client.joined()
     }
 
-    fn follow(&mut self, now: Moment, out: &mut Outbox) {
-        if self.follows != self.orders.version() {
-            self.follows = self.orders.version();
-            self.worker.follow(self.orders.tables().clone());
-            self.orders.followed(self.follows, out);
-            self.worker.reap(now, out);
+    fn apply_tables(&mut self, now: Moment, out: &mut Outbox) {
+        if self.applied_version != self.planner_client.version() {
+            self.applied_version = self.planner_client.version();
+            self.worker.set_tables(self.planner_client.tables().clone());
+            self.planner_client.acknowledge(self.applied_version, out);
+            self.worker.close_idle(now, out);
         }
     }
 
-    fn due(&mut self, now: Moment, timer: u64, out: &mut Outbox) {
-        if self.orders.due(now, timer, out) {
-            let (rows, arrivals) = self.worker.counted();
-            self.orders.report(now, rows, &arrivals, out);
+    fn timer_fired(&mut self, now: Moment, timer: u64, out: &mut Outbox) {
+        if self.planner_client.timer_fired(now, timer, out) {
+            let (rows, arrivals) = self.worker.take_counters();
+            self.planner_client.report(now, rows, &arrivals, out);
         }
         match timer {
-            timer::HOUSEKEEPING => self.worker.reap(now, out),
-            id => self.worker.due(now, id, out),
+            timer::HOUSEKEEPING => self.worker.close_idle(now, out),
+            id => self.worker.timer_fired(now, id, out),
         }
     }
 }
@@ -95,26 +95,30 @@
 impl Node for Proxy {
     fn handle(&mut self, now: Moment, input: Input<'_>, out: &mut Outbox) {
         match input {
-            Input::Start => self.orders.start(now, self.front.listen, out),
-            Input::Listening { .. } | Input::NotListening { .. } => told_of_door(&input, out),
-            Input::Accepted { link, .. } => self.worker.accepted(link, out),
-            Input::Opened { link } if self.orders.is_link(link) => self.orders.opened(now, out),
+            Input::Start => self.planner_client.start(now, self.front.listen, out),
+            Input::Listening { .. } | Input::NotListening { .. } => log_listener(&input, out),
+            Input::Accepted { link, .. } => self.worker.accept(link, out),
+            Input::Opened { link } if self.planner_client.is_link(link) => {
+                self.planner_client.connected(now, out)
+            }
             Input::Opened { .. } => {}
-            Input::Bytes { link, bytes } if self.orders.is_link(link) => {
-                self.orders.bytes(now, bytes, out);
-                self.follow(now, out);
+            Input::Bytes { link, bytes } if self.planner_client.is_link(link) => {
+                self.planner_client.receive(now, bytes, out);
+                self.apply_tables(now, out);
+            }
+            Input::Bytes { link, bytes } => self.worker.receive(now, link, bytes, out),
+            Input::Closed { link, .. } if self.planner_client.is_link(link) => {
+                self.planner_client.disconnected(now, out)
             }
-            Input::Bytes { link, bytes } => self.worker.bytes(now, link, bytes, out),
-            Input::Closed { link, .. } if self.orders.is_link(link) => self.orders.lost(now, out),
             Input::Closed { link, why } => self.worker.closed(now, link, why, out),
-            Input::TimerFired { timer } => self.due(now, timer, out),
+            Input::TimerFired { timer } => self.timer_fired(now, timer, out),
             Input::Stop if !self.stopping => {
-                // Calls under way are finished; nobody new is let in.
+                // Calls in flight are completed; no new clients are accepted.
                 self.stopping = true;
                 self.worker.stop();
-                self.orders.stop();
-                out.push(Effect::Unlisten { listener: CLIENTS });
-                let wait = if self.worker.idle() { Span::millis(50) } else { self.worker.longest() };
+                self.planner_client.stop();
+                out.push(Effect::Unlisten { listener: CLIENT_LISTENER });
+                let wait = if self.worker.idle() { Span::millis(50) } else { self.worker.max_time_limit() };
                 out.set_timer(timer::STOP, now + wait);
             }
             Input::Stop | Input::Reload | Input::Command(_) | Input::File { .. } => {}
--- a/crates/proxy/src/servers.rs
+++ b/crates/proxy/src/servers.rs
@@ -1,4 +1,4 @@
-//! What a proxy knows of each server by its own calls: connections, failures in a row, sums.
+//! Per-server state of a proxy: idle connections, consecutive failures, ejection, statistics of its tries.
 
 use pewtergap_node::Link;
 use pewtergap_protocol::load_report::LoadReport;
@@ -7,46 +7,46 @@
 use std::collections::HashMap;
 
 #[derive(Debug, Default)]
-struct Counted {
+struct Counters {
     tries: u64,
     dropped: u64,
-    took: Span,
+    latency: Span,
     report: LoadReport,
 }
 
 #[derive(Debug, Default)]
-struct Server {
-    /// Connections without a call, the one used last at the end.
+struct ServerEntry {
+    /// Idle connections, the most recently used one last.
     idle: Vec<(Link, Moment)>,
-    failed_in_row: u32,
-    shunned_until: Option<Moment>,
-    counted: Counted,
+    consecutive_failures: u32,
+    ejected_until: Option<Moment>,
+    counters: Counters,
 }
 
-/// A try, as it ended.
+/// Outcome of a try.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum TryEnd {
-    Good { took: Span, report: LoadReport },
-    Bad,
+pub enum TryOutcome {
+    Success { latency: Span, report: LoadReport },
+    Failure,
 }
 
 #[derive(Debug, Default)]
 pub struct Servers {
-    known: HashMap<String, Server>,
+    known: HashMap<String, ServerEntry>,
 }
 
 impl Servers {
-    /// A connection that stands ready, the one used last: the others then grow old enough to be closed.
-    pub fn idle(&mut self, server: &str) -> Option<Link> {
+    /// Takes the most recently used idle connection, so that the others become old enough to be closed.
+    pub fn take_idle(&mut self, server: &str) -> Option<Link> {
         self.known.get_mut(server)?.idle.pop().map(|idle| idle.0)
     }
 
-    pub fn rest(&mut self, server: &str, link: Link, now: Moment) {
+    pub fn put_idle(&mut self, server: &str, link: Link, now: Moment) {
         self.known.entry(server.into()).or_default().idle.push((link, now));
     }
 
-    /// An idle connection ended; whether it was one.
-    pub fn ended(&mut self, link: Link) -> bool {
+    /// Removes a closed connection from the idle ones; returns whether it was one.
+    pub fn remove_idle(&mut self, link: Link) -> bool {
         let mut found = false;
         for server in self.known.values_mut() {
             let before = server.idle.len();
@@ -56,62 +56,77 @@
         found
     }
 
-    /// Idle connections to close: too old, or to servers that no table names any more. Forgets servers of
-    /// which nothing is left to know.
-    pub fn reap(&mut self, now: Moment, keep_alive: Span, named: impl Fn(&str) -> bool) -> Vec<Link> {
-        let mut old = Vec::new();
+    /// Returns the idle connections to close: those too old, and those to servers in no table any more. Removes servers
+    /// without any remaining state.
+    pub fn expire_idle(
+        &mut self,
+        now: Moment,
+        keep_alive: Span,
+        is_in_tables: impl Fn(&str) -> bool,
+    ) -> Vec<Link> {
+        let mut expired = Vec::new();
         for (name, server) in &mut self.known {
-            let stays = named(name);
+            let in_tables = is_in_tables(name);
             server.idle.retain(|(link, since)| {
-                let keep = stays && now.since(*since) < keep_alive;
+                let keep = in_tables && now.since(*since) < keep_alive;
                 if !keep {
-                    old.push(*link);
+                    expired.push(*link);
                 }
                 keep
             });
         }
-        self.known.retain(|name, server| named(name) || !server.idle.is_empty() || server.counted.tries > 0);
-        old
+        self.known.retain(|name, server| {
+            is_in_tables(name) || !server.idle.is_empty() || server.counters.tries > 0
+        });
+        expired
     }
 
-    pub fn shunned(&self, server: &str, now: Moment) -> bool {
-        self.known.get(server).and_then(|s| s.shunned_until).is_some_and(|until| until > now)
+    pub fn is_ejected(&self, server: &str, now: Moment) -> bool {
+        self.known.get(server).and_then(|s| s.ejected_until).is_some_and(|until| until > now)
     }
 
-    /// A try ended. `most` failures in a row, where told, keep the proxy away for a while; true when they do.
-    pub fn ended_try(&mut self, server: &str, end: TryEnd, now: Moment, most: u32, rest: Span) -> bool {
+    /// Records a try. After `max_failures` consecutive failures (0 disables it) the server is ejected for
+    /// `ejection_time`; returns whether this try did so.
+    pub fn record_try(
+        &mut self,
+        server: &str,
+        outcome: TryOutcome,
+        now: Moment,
+        max_failures: u32,
+        ejection_time: Span,
+    ) -> bool {
         let known = self.known.entry(server.into()).or_default();
-        known.counted.tries += 1;
-        match end {
-            TryEnd::Good { took, report } => {
-                known.failed_in_row = 0;
-                known.counted.took = known.counted.took + took;
-                let before = known.counted.report;
-                known.counted.report = LoadReport {
+        known.counters.tries += 1;
+        match outcome {
+            TryOutcome::Success { latency, report } => {
+                known.consecutive_failures = 0;
+                known.counters.latency = known.counters.latency + latency;
+                let before = known.counters.report;
+                known.counters.report = LoadReport {
                     util: report.util.or(before.util),
                     in_flight: report.in_flight.or(before.in_flight),
                 };
                 false
             }
-            TryEnd::Bad => {
-                known.failed_in_row += 1;
-                known.counted.dropped += 1;
-                let shun = most > 0 && known.failed_in_row >= most;
-                if shun {
-                    known.failed_in_row = 0;
-                    known.shunned_until = Some(now + rest);
+            TryOutcome::Failure => {
+                known.consecutive_failures += 1;
+                known.counters.dropped += 1;
+                let eject = max_failures > 0 && known.consecutive_failures >= max_failures;
+                if eject {
+                    known.consecutive_failures = 0;
+                    known.ejected_until = Some(now + ejection_time);
                 }
-                shun
+                eject
             }
         }
     }
 
-    /// What was counted since the last time.
-    pub fn sums(&mut self) -> Vec<ServerStatsRow> {
+    /// Takes the statistics since the last call.
+    pub fn take_stats(&mut self) -> Vec<ServerStatsRow> {
         let mut rows: Vec<ServerStatsRow> = Vec::new();
-        for (name, server) in self.known.iter_mut().filter(|known| known.1.counted.tries > 0) {
-            let Counted { tries, dropped, took, report } = std::mem::take(&mut server.counted);
-            let mean_us = took.0 / 1_000 / (tries - dropped).max(1);
+        for (name, server) in self.known.iter_mut().filter(|known| known.1.counters.tries > 0) {
+            let Counters { tries, dropped, latency, report } = std::mem::take(&mut server.counters);
+            let mean_us = latency.0 / 1_000 / (tries - dropped).max(1);
             let (util, in_hand) = (report.util, report.in_flight);
             rows.push(ServerStatsRow {
                 server: name.clone(),
--- a/crates/proxy/src/stream.rs
+++ b/crates/proxy/src/stream.rs
@@ -1,11 +1,12 @@
-//! The stream to a planner: one at a time, dialled again when it breaks, the next one when it does not stand.
+//! State machine of the stream to a planner: one at a time; reconnects to the same planner when an established stream
+//! breaks, and tries the next planner when a connection cannot be established.
 
 use pewtergap_node::Link;
 use pewtergap_protocol::{FrameReader, PlannerMessage};
 use pewtergap_time::{Moment, Span};
 use std::net::SocketAddr;
 
-/// Where planners are, its own zone's first, and how it names itself to them.
+/// How the proxy identifies itself, and the planners' addresses, those in its own zone first.
 #[derive(Clone, Debug)]
 pub struct ProxyConfig {
     pub name: String,
@@ -16,63 +17,63 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// A timer will have it dial.
+    /// Waiting for the reconnect timer.
     Waiting,
-    Dialing,
-    /// Connected, the hello is out.
-    Greeting,
+    Connecting,
+    /// Connected, `Hello` is sent.
+    Handshake,
     Joined,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sign {
-    Due,
-    Opened,
+pub enum Signal {
+    TimerFired,
+    Connected,
     Welcomed,
-    /// Refused, broken, silent, or what came cannot be used.
-    Lost,
+    /// Connection refused, reset or timed out, or an invalid message was received.
+    Disconnected,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
-    Dial,
-    Greet,
+pub enum Action {
+    Connect,
+    SendHello,
     Join,
-    /// Wait, and try the next planner.
-    Next,
-    /// Wait, and try the same planner again: it was there a moment ago.
-    Again,
+    /// Wait, then connect to the next planner.
+    NextPlanner,
+    /// Wait, then reconnect to the same planner, which was reachable a moment ago.
+    SamePlanner,
 }
 
-use Sign::*;
+use Action::*;
+use Signal::*;
 use State::*;
-use Step::*;
 
-const STEPS: &[(State, Sign, State, Step)] = &[
-    (Waiting, Due, Dialing, Dial),
-    (Dialing, Opened, Greeting, Greet),
-    (Greeting, Welcomed, Joined, Join),
-    (Dialing, Lost, Waiting, Next),
-    (Greeting, Lost, Waiting, Next),
-    (Joined, Lost, Waiting, Again),
+const TRANSITIONS: &[(State, Signal, State, Action)] = &[
+    (Waiting, TimerFired, Connecting, Connect),
+    (Connecting, Connected, Handshake, SendHello),
+    (Handshake, Welcomed, Joined, Join),
+    (Connecting, Disconnected, Waiting, NextPlanner),
+    (Handshake, Disconnected, Waiting, NextPlanner),
+    (Joined, Disconnected, Waiting, SamePlanner),
 ];
 
-/// Shortest and longest wait before dialling again.
-const WAITS: (Span, Span) = (Span::millis(50), Span::millis(2_000));
-/// A connection or a greeting that takes longer has failed: behind a cut nothing ever comes back.
-pub const PATIENCE: Span = Span::millis(1_000);
-/// Beats that may be missed.
-const MISSED: f64 = 4.0;
+/// Minimum and maximum delay before reconnecting.
+const RECONNECT_DELAYS: (Span, Span) = (Span::millis(50), Span::millis(2_000));
+/// Time limit for connecting and for the handshake: behind a network partition no response ever arrives.
+pub const CONNECT_TIMEOUT: Span = Span::millis(1_000);
+/// Heartbeat intervals without any message after which the stream has timed out.
+const MAX_MISSED_HEARTBEATS: f64 = 4.0;
 
 pub struct Stream {
     pub state: State,
     pub link: Option<Link>,
     pub frames: FrameReader<PlannerMessage>,
-    pub heard: Moment,
-    pub every: Span,
+    pub last_contact: Moment,
+    pub report_interval: Span,
     planners: Vec<SocketAddr>,
-    at: usize,
-    wait: Span,
+    next_planner: usize,
+    delay: Span,
 }
 
 impl Stream {
@@ -81,53 +82,53 @@
             state: Waiting,
             link: None,
             frames: FrameReader::default(),
-            heard: Moment(0),
-            every: Span::millis(1_000),
+            last_contact: Moment(0),
+            report_interval: Span::millis(1_000),
             planners,
-            at: 0,
-            wait: WAITS.0,
+            next_planner: 0,
+            delay: RECONNECT_DELAYS.0,
         }
     }
 
-    /// The planner to dial next, if any are known.
+    /// The planner to connect to next, if any is configured.
     pub fn planner(&self) -> Option<SocketAddr> {
-        self.planners.get(self.at).copied()
+        self.planners.get(self.next_planner).copied()
     }
 
-    /// What to do, and how long to wait before it where it is a wait.
-    pub fn step(&mut self, sign: Sign, chance: f64) -> Option<(Step, Span)> {
-        let row = STEPS.iter().find(|row| row.0 == self.state && row.1 == sign)?;
+    /// The action for a signal, and its delay if it is a reconnect.
+    pub fn step(&mut self, signal: Signal, random: f64) -> Option<(Action, Span)> {
+        let row = TRANSITIONS.iter().find(|row| row.0 == self.state && row.1 == signal)?;
         self.state = row.2;
-        let jitter = 0.5 + chance;
+        let jitter = 0.5 + random;
         Some(match row.3 {
             Join => {
-                self.wait = WAITS.0;
+                self.delay = RECONNECT_DELAYS.0;
                 (Join, Span(0))
             }
-            Again => {
-                self.wait = WAITS.0;
-                (Again, WAITS.0.times(jitter))
+            SamePlanner => {
+                self.delay = RECONNECT_DELAYS.0;
+                (SamePlanner, RECONNECT_DELAYS.0.times(jitter))
             }
-            Next => {
-                self.at = (self.at + 1) % self.planners.len().max(1);
-                // All planners are tried once before the wait grows.
-                let wait = self.wait;
-                if self.at == 0 {
-                    self.wait = self.wait.times(2.0).min(WAITS.1);
+            NextPlanner => {
+                self.next_planner = (self.next_planner + 1) % self.planners.len().max(1);
+                // All planners are tried once before the delay grows.
+                let delay = self.delay;
+                if self.next_planner == 0 {
+                    self.delay = self.delay.times(2.0).min(RECONNECT_DELAYS.1);
                 }
-                (Next, wait.times(jitter))
+                (NextPlanner, delay.times(jitter))
             }
             other => (other, Span(0)),
         })
     }
 
-    /// Nothing was heard for too long.
-    pub fn overdue(&self, now: Moment) -> bool {
-        let silent = now.since(self.heard);
+    /// Whether nothing was received for too long.
+    pub fn is_timed_out(&self, now: Moment) -> bool {
+        let contact_age = now.since(self.last_contact);
         match self.state {
             Waiting => false,
-            Dialing | Greeting => silent > PATIENCE,
-            Joined => silent > self.every.times(MISSED),
+            Connecting | Handshake => contact_age > CONNECT_TIMEOUT,
+            Joined => contact_age > self.report_interval.times(MAX_MISSED_HEARTBEATS),
         }
     }
 }
--- a/crates/proxy/src/worker.rs
+++ b/crates/proxy/src/worker.rs
@@ -1,9 +1,11 @@
-//! What serves calls: clients in, servers out, by the tables it was last given. Any number of them work for
-//! one proxy, each on a thread of its own; they share nothing but those tables.
-
-use crate::calls::{after, passed_on, After, Call, Given, Miss, Repeats};
-use crate::picks::{Level, Picks};
-use crate::servers::{Servers, TryEnd};
+//! Serves calls: accepts requests of clients and forwards them to servers according to the current tables. A proxy has
+//! any number of workers, each on its own thread; they share only the tables.
+
+use crate::calls::{
+    forwarded_headers, retry_decision, Call, CallError, RetryDecision, RetrySafety, TryFailure,
+};
+use crate::picker::{AdmissionLevel, WeightedPicker};
+use crate::servers::{Servers, TryOutcome};
 use crate::tables::Tables;
 use crate::{EjectionConfig, FrontConfig, Route, ENDED_HEADER, NOT_RUN_HEADER};
 use pewtergap_http::{chunk, request, response, Head, Limits, Part, Reader, Side, StartLine, LAST_CHUNK};
@@ -15,13 +17,13 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-const MOST_CLIENTS: usize = 10_000;
-/// Timers from here on are calls'.
-pub const CALLS: u64 = 16;
+const MAX_CLIENTS: usize = 10_000;
+/// Ids of calls, which are also the ids of their timers, start here.
+pub const FIRST_CALL_ID: u64 = 16;
 
-/// Calls of a route that came and that were dropped.
+/// Number of calls of a route that arrived, and of those that were dropped.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Arrival {
+pub struct ArrivalCount {
     pub calls: u64,
     pub dropped: u64,
 }
@@ -31,76 +33,76 @@
     head: Option<Head>,
     body: Vec<u8>,
     call: Option<u64>,
-    keep: bool,
+    keep_alive: bool,
 }
 
 pub struct Worker {
     via: String,
-    front: FrontConfig,
+    config: FrontConfig,
     routes: Vec<Route>,
-    shunning: EjectionConfig,
+    ejection: EjectionConfig,
     rng: fastrand::Rng,
     tables: Arc<Tables>,
-    picks: HashMap<u32, Picks>,
-    levels: Vec<Level>,
+    pickers: HashMap<u32, WeightedPicker>,
+    levels: Vec<AdmissionLevel>,
     servers: Servers,
     clients: BTreeMap<Link, Client>,
     calls: BTreeMap<u64, Call>,
     by_server_link: HashMap<Link, u64>,
     next_call: u64,
-    arrivals: Vec<Arrival>,
+    arrivals: Vec<ArrivalCount>,
     stopping: bool,
 }
 
 impl Worker {
-    /// `name` is the proxy's, as servers see it.
+    /// `name` is the proxy's name in the `via` header.
     pub fn new(
         name: &str,
-        front: FrontConfig,
+        config: FrontConfig,
         routes: Vec<Route>,
-        shunning: EjectionConfig,
+        ejection: EjectionConfig,
         tables: Arc<Tables>,
         seed: u64,
     ) -> Worker {
         let mut worker = Worker {
             via: format!("1.1 {name}"),
-            front,
-            picks: HashMap::new(),
-            levels: vec![Level::default(); routes.len()],
-            arrivals: vec![Arrival::default(); routes.len()],
+            config,
+            pickers: HashMap::new(),
+            levels: vec![AdmissionLevel::default(); routes.len()],
+            arrivals: vec![ArrivalCount::default(); routes.len()],
             routes,
-            shunning,
+            ejection,
             rng: fastrand::Rng::with_seed(seed),
             tables: tables.clone(),
             servers: Servers::default(),
             clients: BTreeMap::new(),
             calls: BTreeMap::new(),
             by_server_link: HashMap::new(),
-            next_call: CALLS,
+            next_call: FIRST_CALL_ID,
             stopping: false,
         };
-        worker.follow(tables);
+        worker.set_tables(tables);
         worker
     }
 
-    /// The tables changed: picking goes on from where it is.
-    pub fn follow(&mut self, tables: Arc<Tables>) {
+    /// Replaces the tables; the pickers of remaining tables keep their state.
+    pub fn set_tables(&mut self, tables: Arc<Tables>) {
         self.tables = tables;
         let mut used = BTreeSet::new();
         for route in 0..self.routes.len() {
-            if let Some((table, found)) = self.tables.of(route) {
+            if let Some((table, found)) = self.tables.for_route(route) {
                 if used.insert(table) {
-                    self.picks.entry(table).or_default().follow(&found.lines, &mut self.rng);
+                    self.pickers.entry(table).or_default().update(&found.lines, &mut self.rng);
                 }
             }
         }
-        self.picks.retain(|table, _| used.contains(table));
+        self.pickers.retain(|table, _| used.contains(table));
     }
 
-    /// What was met at each server, and what came, since the last time.
-    pub fn counted(&mut self) -> (Vec<ServerStatsRow>, Vec<Arrival>) {
-        let none = vec![Arrival::default(); self.routes.len()];
-        (self.servers.sums(), std::mem::replace(&mut self.arrivals, none))
+    /// Takes the statistics by server and the arrivals by route since the last call.
+    pub fn take_counters(&mut self) -> (Vec<ServerStatsRow>, Vec<ArrivalCount>) {
+        let none = vec![ArrivalCount::default(); self.routes.len()];
+        (self.servers.take_stats(), std::mem::replace(&mut self.arrivals, none))
     }
 
     pub fn clients(&self) -> usize {
@@ -115,24 +117,24 @@
         self.stopping = true;
     }
 
-    pub fn longest(&self) -> Span {
+    pub fn max_time_limit(&self) -> Span {
         self.routes.iter().map(|route| route.time_limit).max().unwrap_or_default()
     }
 
-    pub fn accepted(&mut self, link: Link, out: &mut Outbox) {
-        if self.clients.len() >= MOST_CLIENTS {
+    pub fn accept(&mut self, link: Link, out: &mut Outbox) {
+        if self.clients.len() >= MAX_CLIENTS {
             return out.cut(link);
         }
         let reader = Reader::new(Side::Requests, Limits { head: 16 * 1024, body: 256 * 1024 });
-        let client = Client { reader, head: None, body: Vec::new(), call: None, keep: false };
+        let client = Client { reader, head: None, body: Vec::new(), call: None, keep_alive: false };
         self.clients.insert(link, client);
     }
 
-    pub fn bytes(&mut self, now: Moment, link: Link, bytes: &[u8], out: &mut Outbox) {
+    pub fn receive(&mut self, now: Moment, link: Link, bytes: &[u8], out: &mut Outbox) {
         if self.clients.contains_key(&link) {
-            self.client_bytes(now, link, bytes, out)
+            self.receive_from_client(now, link, bytes, out)
         } else {
-            self.server_bytes(now, link, bytes, out)
+            self.receive_from_server(now, link, bytes, out)
         }
     }
 
@@ -140,40 +142,38 @@
         let Some(client) = self.clients.remove(&link) else {
             return self.server_closed(now, link, why, out);
         };
-        // Nobody waits for the answer any more. What was sent cannot be called back.
+        // The client is gone, so the response is discarded. The request already sent cannot be revoked.
         if let Some(call) = client.call.and_then(|id| self.calls.remove(&id)) {
             self.by_server_link.remove(&call.link);
             out.cut(call.link);
-            self.count(&call.server, TryEnd::Bad, now, out);
+            self.record_try(&call.server, TryOutcome::Failure, now, out);
         }
     }
 
-    /// A call's time limit.
-    pub fn due(&mut self, now: Moment, id: u64, out: &mut Outbox) {
-        if self.calls.get(&id).is_some_and(|call| call.until <= now) {
+    /// Handles the timer of a call's time limit.
+    pub fn timer_fired(&mut self, now: Moment, id: u64, out: &mut Outbox) {
+        if self.calls.get(&id).is_some_and(|call| call.deadline <= now) {
             if let Some(server) = self.calls.get(&id).filter(|c| c.tries > 0).map(|c| c.server.clone()) {
-                self.count(&server, TryEnd::Bad, now, out);
+                self.record_try(&server, TryOutcome::Failure, now, out);
             }
-            self.end(now, id, Given::TimeUp, out);
+            self.fail_call(now, id, CallError::TimedOut, out);
         }
     }
 
-    pub fn reap(&mut self, now: Moment, out: &mut Outbox) {
+    pub fn close_idle(&mut self, now: Moment, out: &mut Outbox) {
         let tables = &self.tables;
-        for link in self.servers.reap(now, self.front.keep_alive, |server| tables.names(server)) {
+        for link in self.servers.expire_idle(now, self.config.keep_alive, |server| tables.contains(server)) {
             out.finish(link);
         }
     }
 
-    // ---- clients
-
-    fn client_bytes(&mut self, now: Moment, link: Link, bytes: &[u8], out: &mut Outbox) {
+    fn receive_from_client(&mut self, now: Moment, link: Link, bytes: &[u8], out: &mut Outbox) {
         let Some(client) = self.clients.get_mut(&link) else { return };
         client.reader.push(bytes);
         self.read_client(now, link, out);
     }
 
-    /// Reads the next request of a client, one at a time: while a call is under way it is not read from.
+    /// Reads the next request of a client, one at a time: reading is paused while a call is in flight.
     fn read_client(&mut self, now: Moment, link: Link, out: &mut Outbox) {
         loop {
             let Some(client) = self.clients.get_mut(&link) else { return };
@@ -184,15 +184,15 @@
             match client.reader.next_part() {
                 Ok(None) => return,
                 Ok(Some(Part::Head(head))) => {
-                    client.keep = head.keep_alive;
+                    client.keep_alive = head.keep_alive;
                     client.head = Some(head);
                     client.body.clear();
                 }
                 Ok(Some(Part::Data(data))) => client.body.extend_from_slice(&data),
-                Ok(Some(Part::End)) => self.called(now, link, out),
-                Err(wrong) => {
-                    let body = wrong.to_string();
-                    out.send(link, response(wrong.status, &[("connection", "close")], Some(body.as_bytes())));
+                Ok(Some(Part::End)) => self.start_call(now, link, out),
+                Err(error) => {
+                    let body = error.to_string();
+                    out.send(link, response(error.status, &[("connection", "close")], Some(body.as_bytes())));
                     out.finish(link);
                     self.clients.remove(&link);
                     return;
@@ -201,23 +201,23 @@
         }
     }
 
-    fn called(&mut self, now: Moment, link: Link, out: &mut Outbox) {
+    fn start_call(&mut self, now: Moment, link: Link, out: &mut Outbox) {
         let Some(client) = self.clients.get_mut(&link) else { return };
         let (Some(head), body) = (client.head.take(), std::mem::take(&mut client.body)) else { return };
         let StartLine::Request { method, target } = &head.first else { return };
         let first = target.trim_start_matches('/').split(['/', '?']).next().unwrap_or("");
         let Some(route) = self.routes.iter().position(|route| route.name == first) else {
-            return self.give(link, Given::NoRoute, out);
+            return self.respond_locally(link, CallError::NoRoute, out);
         };
         self.arrivals[route].calls += 1;
         let (level, resend) = self.gate(route);
         if !self.levels[route].admits(level) {
-            return self.give(link, Given::Throttled, out);
+            return self.respond_locally(link, CallError::Throttled, out);
         }
-        if self.calls.len() >= self.front.max_calls {
-            return self.give(link, Given::TooMany, out);
+        if self.calls.len() >= self.config.max_calls {
+            return self.respond_locally(link, CallError::TooManyCalls, out);
         }
-        let mut headers = passed_on(&head);
+        let mut headers = forwarded_headers(&head);
         headers.push(("via", &self.via));
         let whole = (!body.is_empty() || head.length.is_some()).then_some(body.as_slice());
         let request = request(method, target, &headers, whole);
@@ -228,83 +228,81 @@
             route,
             request,
             body_expected: method != "HEAD",
-            until: now + self.routes[route].time_limit,
+            deadline: now + self.routes[route].time_limit,
             tries: 0,
             resend,
             server: String::new(),
             link: Link(0),
-            tried: now,
-            before: Vec::new(),
-            answer: answers(),
-            passing: false,
+            try_started: now,
+            tried_servers: Vec::new(),
+            response: response_reader(),
+            head_forwarded: false,
             chunked: false,
             status: 0,
             report: LoadReport::default(),
-            keep_server: false,
+            reuse_connection: false,
         };
-        out.set_timer(id, call.until);
+        out.set_timer(id, call.deadline);
         self.clients.entry(link).and_modify(|client| client.call = Some(id));
         self.calls.insert(id, call);
         self.try_next(now, id, out);
     }
 
-    /// Part let in, and how it is tried again.
+    /// Admission level and resend policy of a route.
     fn gate(&self, route: usize) -> (f64, u32) {
         let usual = (1.0, self.routes[route].resend);
-        self.tables.of(route).and_then(|(_, table)| table.gate(route)).unwrap_or(usual)
+        self.tables.for_route(route).and_then(|(_, table)| table.gate(route)).unwrap_or(usual)
     }
 
-    /// Answers a client from here; at once, whatever the reason.
-    fn give(&mut self, link: Link, given: Given, out: &mut Outbox) {
-        let keep = self.clients.get(&link).is_some_and(|client| client.keep);
-        let mut headers = vec![(ENDED_HEADER, given.name())];
-        if !keep {
+    /// Responds to a client without a server's response.
+    fn respond_locally(&mut self, link: Link, error: CallError, out: &mut Outbox) {
+        let keep_alive = self.clients.get(&link).is_some_and(|client| client.keep_alive);
+        let mut headers = vec![(ENDED_HEADER, error.name())];
+        if !keep_alive {
             headers.push(("connection", "close"));
         }
-        out.send(link, response(given.status(), &headers, Some(b"")));
-        self.answered(link, keep, out);
+        out.send(link, response(error.status(), &headers, Some(b"")));
+        self.finish_response(link, keep_alive, out);
     }
 
-    /// A client has its answer; its connection goes on with the next call, or ends.
-    fn answered(&mut self, link: Link, keep: bool, out: &mut Outbox) {
+    /// Ends a call after its response: the connection is kept for the next call, or closed.
+    fn finish_response(&mut self, link: Link, keep_alive: bool, out: &mut Outbox) {
         let Some(client) = self.clients.get_mut(&link) else { return };
         client.call = None;
-        if !keep || self.stopping {
+        if !keep_alive || self.stopping {
             out.finish(link);
             self.clients.remove(&link);
         }
     }
 
-    // ---- tries
-
     fn try_next(&mut self, now: Moment, id: u64, out: &mut Outbox) {
         let Some(call) = self.calls.get_mut(&id) else { return };
-        let Some((table, found)) = self.tables.of(call.route) else {
-            return self.end(now, id, Given::NoLine, out);
+        let Some((table, found)) = self.tables.for_route(call.route) else {
+            return self.fail_call(now, id, CallError::NoLine, out);
         };
-        let picks = self.picks.entry(table).or_default();
+        let picker = self.pickers.entry(table).or_default();
         let servers = &self.servers;
-        let fresh = |server: &str| !call.before.iter().any(|tried| tried == server);
-        let fine = |server: &str| fresh(server) && !servers.shunned(server, now);
-        // Where all lines are shunned, one of them is better than none.
-        let picked = picks.pick(&found.lines, fine).or_else(|| picks.pick(&found.lines, fresh));
-        let Some(server) = picked else {
-            let given = if call.tries > 0 { Given::Failed } else { Given::NoLine };
-            return self.end(now, id, given, out);
+        let is_untried = |server: &str| !call.tried_servers.iter().any(|tried| tried == server);
+        let is_usable = |server: &str| is_untried(server) && !servers.is_ejected(server, now);
+        // If all remaining servers are ejected, one of them is used anyway.
+        let server = picker.pick(&found.lines, is_usable).or_else(|| picker.pick(&found.lines, is_untried));
+        let Some(server) = server else {
+            let error = if call.tries > 0 { CallError::Failed } else { CallError::NoLine };
+            return self.fail_call(now, id, error, out);
         };
         call.tries += 1;
-        call.tried = now;
+        call.try_started = now;
         call.server = server.clone();
-        call.before.push(server.clone());
-        call.answer = answers();
+        call.tried_servers.push(server.clone());
+        call.response = response_reader();
         if !call.body_expected {
-            call.answer.expect_no_body();
+            call.response.expect_no_body();
         }
-        let link = match self.servers.idle(&server) {
+        let link = match self.servers.take_idle(&server) {
             Some(link) => link,
             None => match server.parse::<SocketAddr>() {
-                Ok(at) => out.connect(at, self.front.source_ip),
-                Err(_) => return self.missed(now, id, Miss::NeverRan, out),
+                Ok(at) => out.connect(at, self.config.source_ip),
+                Err(_) => return self.try_failed(now, id, TryFailure::NeverRan, out),
             },
         };
         call.link = link;
@@ -312,111 +310,114 @@
         out.send(link, call.request.clone());
     }
 
-    /// A try ended without an answer to pass on.
-    fn missed(&mut self, now: Moment, id: u64, miss: Miss, out: &mut Outbox) {
+    /// Handles a try that ended without a response to forward.
+    fn try_failed(&mut self, now: Moment, id: u64, failure: TryFailure, out: &mut Outbox) {
         let Some(call) = self.calls.get(&id) else { return };
         let server = call.server.clone();
-        let again = self.again(call, miss) && !call.passing && now < call.until;
-        self.count(&server, TryEnd::Bad, now, out);
-        if again {
+        let retry = self.may_retry(call, failure) && !call.head_forwarded && now < call.deadline;
+        self.record_try(&server, TryOutcome::Failure, now, out);
+        if retry {
             return self.try_next(now, id, out);
         }
-        self.end(now, id, Given::Failed, out);
+        self.fail_call(now, id, CallError::Failed, out);
     }
 
-    fn again(&self, call: &Call, miss: Miss) -> bool {
-        let repeats = if self.routes[call.route].mutating { Repeats::Mutating } else { Repeats::Repeatable };
-        after(call.resend, repeats, miss, call.tries) == After::TryAgain
+    fn may_retry(&self, call: &Call, failure: TryFailure) -> bool {
+        let safety =
+            if self.routes[call.route].mutating { RetrySafety::Mutating } else { RetrySafety::Repeatable };
+        retry_decision(call.resend, safety, failure, call.tries) == RetryDecision::Retry
     }
 
-    fn count(&mut self, server: &str, end: TryEnd, now: Moment, out: &mut Outbox) {
-        if self.servers.ended_try(
+    fn record_try(&mut self, server: &str, end: TryOutcome, now: Moment, out: &mut Outbox) {
+        if self.servers.record_try(
             server,
             end,
             now,
-            self.shunning.consecutive_failures,
-            self.shunning.ejection_time,
+            self.ejection.consecutive_failures,
+            self.ejection.ejection_time,
         ) {
             out.log(LogLevel::Info, "shuns", vec![("server", server.into())]);
         }
     }
 
-    /// A call ends without a server's answer.
-    fn end(&mut self, now: Moment, id: u64, given: Given, out: &mut Outbox) {
+    /// Ends a call without a server's response.
+    fn fail_call(&mut self, now: Moment, id: u64, error: CallError, out: &mut Outbox) {
         let Some(call) = self.calls.remove(&id) else { return };
-        if given != Given::NoLine {
+        if error != CallError::NoLine {
             self.arrivals[call.route].dropped += 1;
         }
         if self.by_server_link.remove(&call.link).is_some() {
             out.cut(call.link);
         }
-        if call.passing {
-            // Part of an answer is out: only the end of the connection tells the client that it is not whole.
+        if call.head_forwarded {
+            // Part of a response was already forwarded: only closing the connection tells the client that it is incomplete.
             out.cut(call.client);
             self.clients.remove(&call.client);
             return;
         }
-        self.give(call.client, given, out);
-        self.next_of(now, call.client, out);
+        self.respond_locally(call.client, error, out);
+        self.resume_client(now, call.client, out);
     }
 
-    fn next_of(&mut self, now: Moment, client: Link, out: &mut Outbox) {
+    fn resume_client(&mut self, now: Moment, client: Link, out: &mut Outbox) {
         if self.clients.contains_key(&client) {
             out.push(Effect::Resume { link: client });
             self.read_client(now, client, out);
         }
     }
 
-    fn server_bytes(&mut self, now: Moment, link: Link, bytes: &[u8], out: &mut Outbox) {
+    fn receive_from_server(&mut self, now: Moment, link: Link, bytes: &[u8], out: &mut Outbox) {
         let Some(id) = self.by_server_link.get(&link).copied() else {
-            // An idle connection on which something comes is of no use any more.
-            if self.servers.ended(link) {
+            // An idle connection on which bytes arrive cannot be reused.
+            if self.servers.remove_idle(link) {
                 out.cut(link);
             }
             return;
         };
         if let Some(call) = self.calls.get_mut(&id) {
-            call.answer.push(bytes);
+            call.response.push(bytes);
         }
         loop {
             let Some(call) = self.calls.get_mut(&id).filter(|call| call.link == link) else { return };
-            match call.answer.next_part() {
+            match call.response.next_part() {
                 Ok(None) => return,
-                Ok(Some(part)) => self.part(now, id, part, out),
-                Err(wrong) => {
+                Ok(Some(part)) => self.receive_part(now, id, part, out),
+                Err(error) => {
                     out.log(
                         LogLevel::Warn,
                         "bad_answer",
-                        vec![("server", call.server.clone()), ("why", wrong.to_string())],
+                        vec![("server", call.server.clone()), ("why", error.to_string())],
                     );
                     self.by_server_link.remove(&link);
                     out.cut(link);
-                    return self.missed(now, id, Miss::MayHaveRun, out);
+                    return self.try_failed(now, id, TryFailure::MayHaveRun, out);
                 }
             }
         }
     }
 
-    fn part(&mut self, now: Moment, id: u64, part: Part, out: &mut Outbox) {
+    fn receive_part(&mut self, now: Moment, id: u64, part: Part, out: &mut Outbox) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         match part {
-            // An interim answer says nothing of the call.
+            // An interim response does not end the call.
             Part::Head(head) if head.status() < 200 => {}
             Part::Head(head) => {
                 call.status = head.status();
                 call.report = head.header(HEADER).map(LoadReport::parse).unwrap_or_default();
-                call.keep_server = head.keep_alive;
+                call.reuse_connection = head.keep_alive;
                 let never_ran = head.status() == 503 && head.header(NOT_RUN_HEADER).is_some();
-                let miss = if never_ran { Miss::NeverRan } else { Miss::Erred };
-                let (link, status, in_time) = (call.link, call.status, now < call.until);
-                if status >= 500 && in_time && self.calls.get(&id).is_some_and(|call| self.again(call, miss))
+                let failure = if never_ran { TryFailure::NeverRan } else { TryFailure::ServerError };
+                let (link, status, in_time) = (call.link, call.status, now < call.deadline);
+                if status >= 500
+                    && in_time
+                    && self.calls.get(&id).is_some_and(|call| self.may_retry(call, failure))
                 {
                     self.by_server_link.remove(&link);
                     out.cut(link);
-                    return self.missed(now, id, miss, out);
+                    return self.try_failed(now, id, failure, out);
                 }
                 let Some(call) = self.calls.get_mut(&id) else { return };
-                let mut headers = passed_on(&head);
+                let mut headers = forwarded_headers(&head);
                 let length = head.length.map(|length| length.to_string());
                 call.chunked = length.is_none() && call.body_expected && !matches!(call.status, 204 | 304);
                 match &length {
@@ -424,57 +425,57 @@
                     None if call.chunked => headers.push(("transfer-encoding", "chunked")),
                     None => {}
                 }
-                call.passing = true;
+                call.head_forwarded = true;
                 out.send(call.client, response(call.status, &headers, None));
             }
-            Part::Data(data) if call.passing => {
+            Part::Data(data) if call.head_forwarded => {
                 out.send(call.client, if call.chunked { chunk(&data) } else { data });
             }
             Part::Data(_) => {}
-            Part::End if !call.passing => {}
+            Part::End if !call.head_forwarded => {}
             Part::End => {
                 if call.chunked {
                     out.send(call.client, LAST_CHUNK.to_vec());
                 }
                 let Some(call) = self.calls.remove(&id) else { return };
                 self.by_server_link.remove(&call.link);
-                if call.keep_server && self.tables.names(&call.server) {
-                    self.servers.rest(&call.server, call.link, now);
+                if call.reuse_connection && self.tables.contains(&call.server) {
+                    self.servers.put_idle(&call.server, call.link, now);
                 } else {
                     out.finish(call.link);
                 }
                 let end = if call.status < 500 {
-                    TryEnd::Good { took: now.since(call.tried), report: call.report }
+                    TryOutcome::Success { latency: now.since(call.try_started), report: call.report }
                 } else {
                     self.arrivals[call.route].dropped += 1;
-                    TryEnd::Bad
+                    TryOutcome::Failure
                 };
-                self.count(&call.server, end, now, out);
-                let keep = self.clients.get(&call.client).is_some_and(|client| client.keep);
-                self.answered(call.client, keep, out);
-                self.next_of(now, call.client, out);
+                self.record_try(&call.server, end, now, out);
+                let keep_alive = self.clients.get(&call.client).is_some_and(|client| client.keep_alive);
+                self.finish_response(call.client, keep_alive, out);
+                self.resume_client(now, call.client, out);
             }
         }
     }
 
     fn server_closed(&mut self, now: Moment, link: Link, why: Ended, out: &mut Outbox) {
         let Some(id) = self.by_server_link.remove(&link) else {
-            self.servers.ended(link);
+            self.servers.remove_idle(link);
             return;
         };
         let Some(call) = self.calls.get_mut(&id).filter(|call| call.link == link) else { return };
         if why == Ended::Done {
-            // An answer without a length ends with its connection.
-            if let Ok(Some(Part::End)) = call.answer.close() {
-                call.keep_server = false;
-                return self.part(now, id, Part::End, out);
+            // A response without a length ends with its connection.
+            if let Ok(Some(Part::End)) = call.response.close() {
+                call.reuse_connection = false;
+                return self.receive_part(now, id, Part::End, out);
             }
         }
-        let miss = if why == Ended::Refused { Miss::NeverRan } else { Miss::MayHaveRun };
-        self.missed(now, id, miss, out);
+        let failure = if why == Ended::Refused { TryFailure::NeverRan } else { TryFailure::MayHaveRun };
+        self.try_failed(now, id, failure, out);
     }
 }
 
-fn answers() -> Reader {
+fn response_reader() -> Reader {
     Reader::new(Side::Responses, Limits { body: u64::MAX, ..Limits::default() })
 }
--- a/crates/proxy/tests/parts.rs
+++ b/crates/proxy/tests/parts.rs
@@ -1,4 +1,4 @@
-//! Tables by version, and the proxy as a node: what it does with calls, orders and failures.
+//! Versioned tables, and the proxy as a single node: calls, updates and failures.
 
 use pewtergap_node::{Effect, Ended, Input, Link, Node, Outbox};
 use pewtergap_protocol::{
@@ -29,39 +29,43 @@
 }
 
 #[test]
-fn deltas_dropped_reordered_and_repeated_are_refused_and_nothing_is_applied_twice() {
-    let mut tables = Tables::standing(&["s0:1".into()], 2);
-    let mut trace = tables.print();
-    let mut take = |tables: &mut Tables, what: &str, update: &Update| {
-        let done = tables
+fn missing_reordered_and_repeated_updates_are_rejected_as_a_whole() {
+    let mut tables = Tables::initial(&["s0:1".into()], 2);
+    let mut trace = tables.to_text();
+    let mut apply = |tables: &mut Tables, what: &str, update: &Update| {
+        let outcome = tables
             .apply(update)
-            .map_or_else(|refusal| format!("refused: {}", refusal.reason), |()| "taken".into());
-        trace += &format!("{what}: {done}\n{}", tables.print());
+            .map_or_else(|refusal| format!("rejected: {}", refusal.reason), |()| "applied".into());
+        trace += &format!("{what}: {outcome}\n{}", tables.to_text());
     };
     tables.welcome(&welcome("a", 1));
-    take(
+    apply(
         &mut tables,
         "a change before the first binding",
         &update(1, vec![change(3, 1, 2, &[("s1:1", 1.0)], &[])], &[]),
     );
-    take(
+    apply(
         &mut tables,
-        "the whole",
+        "full table",
         &update(2, vec![change(3, 0, 5, &[("s1:1", 1.0), ("s2:1", 1.0)], &[])], &[3]),
     );
-    take(&mut tables, "version 7 before 6", &update(4, vec![change(3, 6, 7, &[], &["s2:1"])], &[]));
-    take(&mut tables, "version 6", &update(3, vec![change(3, 5, 6, &[("s3:1", 0.5)], &[])], &[]));
-    take(&mut tables, "version 6 again", &update(3, vec![change(3, 5, 6, &[("s3:1", 0.5)], &[])], &[]));
+    apply(&mut tables, "version 7 before 6", &update(4, vec![change(3, 6, 7, &[], &["s2:1"])], &[]));
+    apply(&mut tables, "version 6", &update(3, vec![change(3, 5, 6, &[("s3:1", 0.5)], &[])], &[]));
+    apply(&mut tables, "version 6 again", &update(3, vec![change(3, 5, 6, &[("s3:1", 0.5)], &[])], &[]));
     let both = vec![change(4, 0, 1, &[("s9:1", 1.0)], &[]), change(3, 8, 9, &[], &["s1:1"])];
-    take(&mut tables, "one table fits and one does not: nothing of it", &update(5, both, &[4]));
-    take(&mut tables, "an older whole, late", &update(6, vec![change(3, 0, 4, &[("s0:1", 1.0)], &[])], &[3]));
+    apply(&mut tables, "one table fits and one does not: nothing is applied", &update(5, both, &[4]));
+    apply(
+        &mut tables,
+        "an older full table, late",
+        &update(6, vec![change(3, 0, 4, &[("s0:1", 1.0)], &[])], &[3]),
+    );
     tables.welcome(&welcome("b", 9));
-    take(
+    apply(
         &mut tables,
         "another planner's change of its own table 3",
         &update(1, vec![change(3, 6, 7, &[], &["s1:1"])], &[]),
     );
-    take(
+    apply(
         &mut tables,
         "another planner's first binding",
         &update(2, vec![change(0, 0, 1, &[("s4:1", 1.0)], &[])], &[0]),
@@ -71,8 +75,8 @@
 
 const START: Moment = Moment(1_000_000_000_000);
 
-/// A proxy on a bare stage: inputs by short calls, what it does as text.
-struct Stage {
+/// A proxy driven by the test; its effects are recorded as text.
+struct Setup {
     proxy: Proxy,
     now: Moment,
     out: Outbox,
@@ -83,15 +87,15 @@
     next: u64,
 }
 
-impl Stage {
-    fn new(shun_after: u32, servers: &[&str], resend: u32) -> Stage {
+impl Setup {
+    fn new(max_failures: u32, servers: &[&str], resend: u32) -> Setup {
         let route = |name: &str, mutating| Route {
             name: name.into(),
             time_limit: Span::millis(1_000),
             mutating,
             resend,
         };
-        let home = ProxyConfig {
+        let config = ProxyConfig {
             name: "p1".into(),
             zone: "north".into(),
             planners: vec!["127.0.0.1:7100".parse().unwrap(), "127.0.0.1:7200".parse().unwrap()],
@@ -100,11 +104,12 @@
         let listen = SocketAddr::from(([127, 0, 0, 1], 0));
         let front = FrontConfig { listen, source_ip: None, max_calls: 100, keep_alive: Span::millis(5_000) };
         let routes = vec![route("search", false), route("order", true)];
-        let standing: Vec<String> = servers.iter().map(|server| format!("127.0.0.1:{server}")).collect();
-        let shunning =
-            EjectionConfig { consecutive_failures: shun_after, ejection_time: Span::millis(2_000) };
-        let proxy = Proxy::new(home, front, routes, shunning, &standing, 7);
-        let mut stage = Stage {
+        let initial_servers: Vec<String> =
+            servers.iter().map(|server| format!("127.0.0.1:{server}")).collect();
+        let ejection =
+            EjectionConfig { consecutive_failures: max_failures, ejection_time: Span::millis(2_000) };
+        let proxy = Proxy::new(config, front, routes, ejection, &initial_servers, 7);
+        let mut setup = Setup {
             proxy,
             now: START,
             out: Outbox::default(),
@@ -114,8 +119,8 @@
             planner: None,
             next: 1_000_000,
         };
-        stage.give(Input::Start);
-        stage
+        setup.give(Input::Start);
+        setup
     }
 
     fn give(&mut self, input: Input<'_>) {
@@ -130,14 +135,14 @@
                         link,
                         format!("{}{}", if planner { "planner " } else { "server " }, to.port()),
                     );
-                    format!("dials {}", self.names[&link])
+                    format!("connects to {}", self.names[&link])
                 }
                 Effect::Send { link, bytes } => {
                     let name = self.names.get(&link).cloned().unwrap_or_default();
                     if name.starts_with("planner") {
                         let mut frames = FrameReader::<ProxyMessage>::default();
                         frames.push(&bytes);
-                        format!("tells {name}: {}", spoken(&frames.next_message().unwrap().unwrap()))
+                        format!("reports to {name}: {}", describe(&frames.next_message().unwrap().unwrap()))
                     } else {
                         let text = String::from_utf8_lossy(&bytes).into_owned();
                         let ended = text
@@ -157,14 +162,14 @@
                     self.timers.push((at, timer));
                     continue;
                 }
-                Effect::Log(line) if line.event == "shuns" => format!("shuns {}", line.fields[0].1),
+                Effect::Log(line) if line.event == "shuns" => format!("ejects {}", line.fields[0].1),
                 _ => continue,
             };
             self.trace += &format!("{at:>5} {}\n", line.trim_end());
         }
     }
 
-    /// Lets time pass; timers ring in their order.
+    /// Advances the time and fires the due timers in order.
     fn pass(&mut self, ms: u64) {
         let until = self.now + Span::millis(ms);
         loop {
@@ -187,7 +192,7 @@
         link
     }
 
-    /// The connection to a server dialled last.
+    /// The most recent connection to a server.
     fn server(&self) -> Link {
         *self
             .names
@@ -218,7 +223,7 @@
     }
 }
 
-fn spoken(up: &ProxyMessage) -> String {
+fn describe(up: &ProxyMessage) -> String {
     use pewtergap_protocol::proxy_message::Kind;
     match up.kind.as_ref().unwrap() {
         Kind::Hello(hello) => {
@@ -243,139 +248,139 @@
 const NOT_RUN: &str = "HTTP/1.1 503 Busy\r\nx-pewtergap-not-run: 1\r\ncontent-length: 0\r\n\r\n";
 
 #[test]
-fn an_answer_that_vanishes_is_never_followed_by_a_second_try_of_what_must_not_run_twice() {
-    let mut stage = Stage::new(0, &["8001", "8002"], 2);
+fn mutating_calls_are_not_retried_after_a_lost_response() {
+    let mut setup = Setup::new(0, &["8001", "8002"], 2);
     for (route, why) in [("order", Ended::Reset), ("order", Ended::Refused), ("search", Ended::Reset)] {
-        stage.trace += &format!("# {route}, its connection ends: {why:?}\n");
-        stage.call(route);
-        let link = stage.server();
-        stage.close(link, why);
+        setup.trace += &format!("# {route}, the connection ends: {why:?}\n");
+        setup.call(route);
+        let link = setup.server();
+        setup.close(link, why);
     }
-    stage.trace += "# order, turned away before it ran\n";
-    stage.call("order");
-    let link = stage.server();
-    stage.answer(link, NOT_RUN);
-    stage.trace += "# order, half an answer and then the end\n";
-    stage.call("order");
-    let link = stage.server();
-    stage.answer(link, "HTTP/1.1 200 OK\r\ncontent-le");
-    stage.close(link, Ended::Done);
-    stage.trace += "# order, no answer until its time is up: given up at once then\n";
-    stage.call("order");
-    stage.pass(1_100);
-    insta::assert_snapshot!(stage.trace);
+    setup.trace += "# order, rejected before it ran\n";
+    setup.call("order");
+    let link = setup.server();
+    setup.answer(link, NOT_RUN);
+    setup.trace += "# order, an incomplete response, then the end of the connection\n";
+    setup.call("order");
+    let link = setup.server();
+    setup.answer(link, "HTTP/1.1 200 OK\r\ncontent-le");
+    setup.close(link, Ended::Done);
+    setup.trace += "# order, no response within the time limit: fails at once\n";
+    setup.call("order");
+    setup.pass(1_100);
+    insta::assert_snapshot!(setup.trace);
 }
 
 #[test]
-fn a_broken_stream_leaves_the_tables_in_force_and_the_next_planner_replaces_them() {
-    let mut stage = Stage::new(0, &["8001"], 0);
-    stage.join("a", 5);
-    stage.down(planner_message::Kind::Update(update(
+fn tables_stay_in_force_until_the_next_planner_replaces_them() {
+    let mut setup = Setup::new(0, &["8001"], 0);
+    setup.join("a", 5);
+    setup.down(planner_message::Kind::Update(update(
         1,
         vec![change(2, 0, 4, &[("127.0.0.1:8002", 1.0)], &[])],
         &[2],
     )));
-    stage.call("search");
-    let planner = stage.planner.unwrap();
-    stage.close(planner, Ended::Reset);
-    stage.trace += "# the stream is broken; calls go on by the tables\n";
-    stage.call("search");
-    stage.pass(100);
-    let planner = stage.planner.unwrap();
-    stage.close(planner, Ended::Refused);
-    stage.pass(200);
-    stage.join("b", 6);
-    stage.trace += "# another planner, a delta of its own first: refused; then its binding\n";
-    stage.down(planner_message::Kind::Update(update(
+    setup.call("search");
+    let planner = setup.planner.unwrap();
+    setup.close(planner, Ended::Reset);
+    setup.trace += "# the stream is broken; calls still follow the tables\n";
+    setup.call("search");
+    setup.pass(100);
+    let planner = setup.planner.unwrap();
+    setup.close(planner, Ended::Refused);
+    setup.pass(200);
+    setup.join("b", 6);
+    setup.trace += "# another planner, an incremental change first: rejected; then its binding\n";
+    setup.down(planner_message::Kind::Update(update(
         1,
         vec![change(2, 4, 5, &[], &["127.0.0.1:8002"])],
         &[],
     )));
-    stage.call("search");
-    stage.down(planner_message::Kind::Update(update(
+    setup.call("search");
+    setup.down(planner_message::Kind::Update(update(
         2,
         vec![change(0, 0, 1, &[("127.0.0.1:8003", 1.0)], &[])],
         &[0],
     )));
-    stage.call("search");
-    stage.trace += "# it falls silent: after four missed beats the proxy dials again\n";
-    stage.pass(3_500);
-    insta::assert_snapshot!(stage.trace);
+    setup.call("search");
+    setup.trace += "# the planner is silent: after four missed heartbeats the proxy reconnects\n";
+    setup.pass(3_500);
+    insta::assert_snapshot!(setup.trace);
 }
 
 #[test]
-fn levels_let_in_their_part_and_a_table_without_lines_is_told_at_once() {
-    let mut stage = Stage::new(0, &["8001"], 0);
-    stage.join("a", 5);
+fn levels_admit_their_fraction_and_a_table_without_lines_fails_at_once() {
+    let mut setup = Setup::new(0, &["8001"], 0);
+    setup.join("a", 5);
     let mut table = change(2, 0, 4, &[("127.0.0.1:8002", 1.0)], &[]);
     table.gates = vec![Gate { routes: 1, level: 0.25, resend: 0 }];
-    stage.down(planner_message::Kind::Update(update(1, vec![table], &[2])));
+    setup.down(planner_message::Kind::Update(update(1, vec![table], &[2])));
     for _ in 0..40 {
-        stage.call("search");
+        setup.call("search");
     }
-    let throttled = stage.trace.matches("throttled").count();
-    stage.trace = format!("{throttled} of 40 throttled at a level of 0.25\n");
-    stage.down(planner_message::Kind::Update(update(
+    let throttled = setup.trace.matches("throttled").count();
+    setup.trace = format!("{throttled} of 40 throttled at a level of 0.25\n");
+    setup.down(planner_message::Kind::Update(update(
         2,
         vec![change(2, 4, 5, &[], &["127.0.0.1:8002"])],
         &[],
     )));
-    stage.call("order");
-    stage.call("nowhere");
-    insta::assert_snapshot!(stage.trace);
+    setup.call("order");
+    setup.call("nowhere");
+    insta::assert_snapshot!(setup.trace);
 }
 
 #[test]
-fn a_server_that_fails_in_a_row_is_left_alone_for_a_while_unless_it_is_the_last() {
-    let mut stage = Stage::new(2, &["8001", "8002"], 0);
+fn a_failing_server_is_ejected_unless_it_is_the_last() {
+    let mut setup = Setup::new(2, &["8001", "8002"], 0);
     for _ in 0..6 {
-        stage.call("search");
-        let link = stage.server();
-        if stage.names[&link].ends_with("8001") {
-            stage.close(link, Ended::Refused);
+        setup.call("search");
+        let link = setup.server();
+        if setup.names[&link].ends_with("8001") {
+            setup.close(link, Ended::Refused);
         } else {
-            stage.answer(link, OK);
-            stage.close(link, Ended::Done);
+            setup.answer(link, OK);
+            setup.close(link, Ended::Done);
         }
     }
-    stage.trace += "# the other one goes as well: a shunned line is better than none\n";
+    setup.trace += "# the other server fails too: an ejected server is better than none\n";
     for _ in 0..4 {
-        stage.call("search");
-        let link = stage.server();
-        stage.close(link, Ended::Refused);
+        setup.call("search");
+        let link = setup.server();
+        setup.close(link, Ended::Refused);
     }
-    insta::assert_snapshot!(stage.trace);
+    insta::assert_snapshot!(setup.trace);
 }
 
 #[test]
 fn picks_are_split_by_weight_within_two_percent_over_a_long_run() {
-    let mut stage = Stage::new(0, &["8001"], 0);
-    stage.join("a", 5);
+    let mut setup = Setup::new(0, &["8001"], 0);
+    setup.join("a", 5);
     let lines = [
         ("127.0.0.1:8001", 1.0),
         ("127.0.0.1:8002", 0.5),
         ("127.0.0.1:8003", 0.125),
         ("127.0.0.1:8004", 2.0),
     ];
-    stage.down(planner_message::Kind::Update(update(1, vec![change(2, 0, 1, &lines, &[])], &[2])));
+    setup.down(planner_message::Kind::Update(update(1, vec![change(2, 0, 1, &lines, &[])], &[2])));
     let calls = 4_000;
     let mut counts: BTreeMap<String, f64> = BTreeMap::new();
     for at in 0..calls {
         if at == calls / 2 {
-            // A change in the middle moves nobody's turn.
-            stage.down(planner_message::Kind::Update(update(
+            // A table change halfway must not affect the distribution.
+            setup.down(planner_message::Kind::Update(update(
                 2,
                 vec![change(2, 1, 2, &[("127.0.0.1:8003", 0.125)], &[])],
                 &[],
             )));
         }
-        stage.trace.clear();
-        let client = stage.call("search");
-        let link = stage.server();
-        *counts.entry(stage.names[&link].clone()).or_default() += 1.0;
-        stage.close(link, Ended::Refused);
-        stage.close(client, Ended::Done);
-        stage.names.retain(|link, _| link.0 < 10);
+        setup.trace.clear();
+        let client = setup.call("search");
+        let link = setup.server();
+        *counts.entry(setup.names[&link].clone()).or_default() += 1.0;
+        setup.close(link, Ended::Refused);
+        setup.close(client, Ended::Done);
+        setup.names.retain(|link, _| link.0 < 10);
     }
     let all: f64 = lines.iter().map(|line| line.1).sum();
     for (server, weight) in lines {
@@ -388,15 +393,15 @@
 }
 
 #[test]
-fn sums_tell_what_the_proxy_met_and_the_load_that_answers_brought() {
-    let mut stage = Stage::new(0, &["8001"], 0);
-    stage.join("a", 5);
+fn reports_contain_tries_and_load_reports() {
+    let mut setup = Setup::new(0, &["8001"], 0);
+    setup.join("a", 5);
     for status in ["200 OK", "500 Oops"] {
-        stage.call("search");
-        let link = stage.server();
-        stage.answer(link, &OK.replace("200 OK", status));
+        setup.call("search");
+        let link = setup.server();
+        setup.answer(link, &OK.replace("200 OK", status));
     }
-    stage.trace.clear();
-    stage.pass(1_200);
-    insta::assert_snapshot!(stage.trace);
+    setup.trace.clear();
+    setup.pass(1_200);
+    insta::assert_snapshot!(setup.trace);
 }
