--- a/crates/settings/src/files.rs
+++ b/crates/settings/src/files.rs
@@ -1,8 +1,8 @@
-//! The two files of the program: a planner's service and a proxy.
+//! The settings files of a planner, a control machine and a proxy.
 
 use crate::read::{Faults, Fraction, Section};
 use crate::script::Script;
-use pewtergap_control::channel::Channel as Queue;
+use pewtergap_control::channel::Channel;
 use pewtergap_control::{ListSource, ListenConfig, ProbeConfig, ReportConfig, Service, ServiceConfig};
 use pewtergap_duty::LeaseConfig;
 use pewtergap_member::messages::SUPPORTED_FORMATS;
@@ -24,10 +24,10 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Control machines that one planner may know of.
-const MOST_MACHINES: usize = 64;
+/// Maximum number of control machines configured for a planner.
+const MAX_MACHINES: usize = 64;
 
-/// What `pewtergap run` starts from.
+/// The settings of `pewtergap run`.
 pub struct ServiceFile {
     pub service: ServiceConfig,
     pub listen: ListenConfig,
@@ -40,22 +40,22 @@
     pub slicing: Slicing,
     pub reports: ReportConfig,
     pub probes: ProbeConfig,
-    /// Who agrees with this planner on what it holds for others; alone unless others are named.
+    /// The cluster that this planner is a member of; it is the only member unless others are configured.
     pub member: MemberConfig,
-    /// Whom it watches instead of being a member.
+    /// The control machines that it watches instead of being a member.
     pub watch: Option<WatchTargetConfig>,
     pub seed: Option<u64>,
     pub dir: PathBuf,
 }
 
-/// What `pewtergap control` starts from.
+/// The settings of `pewtergap control`.
 pub struct ControlFile {
     pub config: ControlMachineConfig,
     pub seed: Option<u64>,
     pub dir: PathBuf,
 }
 
-/// What `pewtergap proxy` starts from.
+/// The settings of `pewtergap proxy`.
 pub struct ProxyFile {
     pub proxy: ProxyConfig,
     pub front: FrontConfig,
@@ -66,7 +66,7 @@
     pub dir: PathBuf,
 }
 
-/// A route, as both sides see it.
+/// A route, as configured for the planner and for the proxy.
 #[derive(Clone, Debug)]
 pub struct RouteFile {
     pub name: String,
@@ -77,7 +77,7 @@
 fn route(part: &Section) -> RouteFile {
     let name: String = part.required("name");
     if name.contains(['/', ' ', '?']) {
-        part.error("name", "a route is the first part of a path, without / or ?");
+        part.error("name", "a route is the first segment of a path, without / or ?");
     }
     let (slo_time, time_limit): (Span, Span) = (part.required("slo_time"), part.required("time_limit"));
     if slo_time > time_limit {
@@ -91,7 +91,7 @@
         1 => RetrySafety::Repeatable,
         _ => {
             if window.is_none() {
-                part.error("window", "is missing: how long are repeats of a keyed call dropped?");
+                part.error("window", "is missing: the time for which repeats of a keyed call are dropped");
             }
             RetrySafety::Keyed { scope, window: window.unwrap_or_default() }
         }
@@ -116,7 +116,7 @@
     RouteFile { name, planned, served }
 }
 
-/// The routes of a file: at least one, each once.
+/// The routes of a file: at least one, with unique names.
 pub fn routes(part: &Section) -> Vec<RouteFile> {
     let routes = part.parts("routes", "route", route);
     if routes.is_empty() {
@@ -127,7 +127,7 @@
     }
     for (at, route) in routes.iter().enumerate() {
         if routes[..at].iter().any(|other| other.name == route.name) {
-            part.error("routes", format!("route \"{}\" is there twice", route.name));
+            part.error("routes", format!("duplicate route \"{}\"", route.name));
         }
     }
     routes
@@ -143,7 +143,7 @@
     }
 }
 
-/// The figures of the rules, and the time for which a proxy may lack a line.
+/// The values of `rules()`, and the time for which a proxy may be without a line.
 pub fn rules(part: &Section) -> (Contract, Span) {
     let contract = Contract {
         drain_grace: part.required("drain_grace"),
@@ -154,7 +154,7 @@
         overload_time: part.or_default("fall", Span::millis(2_000)),
     };
     if contract.overload_factor < 1.0 {
-        part.error("overload", "a server is not pushed over by less than it can do, 1 or more was expected");
+        part.error("overload", "a server within its capacity is not overloaded, 1 or more was expected");
     }
     (contract, part.or_default("no_line", Span::millis(2_000)))
 }
@@ -170,23 +170,23 @@
     }
 }
 
-/// Names and where each is found, each name once.
-fn found_at(part: &Section, list: &str, kind: &str) -> Vec<(String, SocketAddr)> {
+/// Names with their addresses; names are unique.
+fn named_addresses(part: &Section, list: &str, kind: &str) -> Vec<(String, SocketAddr)> {
     let all = part.parts(list, kind, |part| (part.required::<String>("name"), part.required("address")));
     for (at, one) in all.iter().enumerate() {
         if all[..at].iter().any(|other| other.0 == one.0) {
-            part.error(list, format!("{kind} \"{}\" is there twice", one.0));
+            part.error(list, format!("duplicate {kind} \"{}\"", one.0));
         }
     }
     all
 }
 
-/// Whoever agrees with this planner. Left out, it is alone.
+/// The members of the cluster. If omitted, the planner is the only member.
 fn cluster(part: &Section) -> MemberConfig {
-    let founders = found_at(part, "members", "member");
-    let observers = found_at(part, "observers", "member");
+    let founders = named_addresses(part, "members", "member");
+    let observers = named_addresses(part, "observers", "member");
     if let Some(both) = observers.iter().find(|one| founders.iter().any(|other| other.0 == one.0)) {
-        part.error("observers", format!("\"{}\" is among the members, who vote", both.0));
+        part.error("observers", format!("\"{}\" is already among the voting members", both.0));
     }
     if observers.len() > MAX_OBSERVERS {
         part.error(
@@ -195,7 +195,7 @@
         );
     }
     if founders.is_empty() && !observers.is_empty() {
-        part.error("observers", "members is missing: whom do they observe?");
+        part.error("observers", "members is missing: observers need a cluster");
     }
     if founders.len() > MAX_MEMBERS || !founders.is_empty() && founders.len().is_multiple_of(2) {
         part.error("members", format!("{} members: 1, 3, 5 or 7 were expected", founders.len()));
@@ -207,7 +207,10 @@
     if raft.heartbeat_interval.times(4.0) > raft.election_timeout {
         part.conflict(
             "election",
-            format!("{} is less than four beats of {}", raft.election_timeout, raft.heartbeat_interval),
+            format!(
+                "{} is less than four heartbeat intervals of {}",
+                raft.election_timeout, raft.heartbeat_interval
+            ),
         );
     }
     let request_timeout = part.or_default("patience", Span::millis(3_000));
@@ -216,7 +219,7 @@
     if !(SUPPORTED_FORMATS.0..=SUPPORTED_FORMATS.1).contains(&max_format) {
         part.error(
             "format",
-            format!("{max_format}: this build speaks {} to {}", SUPPORTED_FORMATS.0, SUPPORTED_FORMATS.1),
+            format!("{max_format}: this build supports {} to {}", SUPPORTED_FORMATS.0, SUPPORTED_FORMATS.1),
         );
     } else if max_format < OBSERVERS_FORMAT && !observers.is_empty() {
         part.error("format", format!("{max_format}: observers need {OBSERVERS_FORMAT}"));
@@ -239,7 +242,7 @@
     }
 }
 
-/// Duties that one planner holds at a time; left out, there are none and each does all for itself.
+/// Duties that one planner holds at a time; if omitted, there are none and each planner does everything itself.
 fn duties(part: &Section) -> (LeaseConfig, Span, usize) {
     let lease = LeaseConfig {
         duration: part.or_default("lease", Span::millis(3_000)),
@@ -257,7 +260,7 @@
     (lease, part.or_default("steady", Span::millis(5_000)), slices)
 }
 
-/// What planners share; left out, they share nothing.
+/// What planners share with each other; if omitted, nothing.
 fn sharing(
     part: &Section,
     fleet: &Fleet,
@@ -271,14 +274,11 @@
         part.error("every", "at least 50ms were expected");
     }
     if max_age < interval.times(2.0) {
-        part.conflict(
-            "fresh",
-            format!("{max_age} is less than twice what passes between two tellings, {interval}"),
-        );
+        part.conflict("fresh", format!("{max_age} is less than twice the interval of {interval}"));
     }
     let budget = BudgetConfig {
         share_validity: part.or_default("holds", Span::millis(30_000)),
-        // A server that was cold under a planner's last tables is warm by then, wherever these still are.
+        // After this time a server that was cold under a planner's last tables is warm, wherever they are still in force.
         effect_timeout: contract.warmup + contract.drain_grace,
         max_clock_drift: drift,
         planner_count: fleet.planners as u64,
@@ -287,7 +287,7 @@
     SharingConfig { interval, max_age, budget, proxies, max_streams }
 }
 
-fn books(part: &Section) -> AccountingConfig {
+fn accounting(part: &Section) -> AccountingConfig {
     let accounting = AccountingConfig {
         address: part.required("receiver"),
         period: part.or_default("period", Span::millis(60_000)),
@@ -298,26 +298,26 @@
     accounting
 }
 
-/// Whom a planner watches that is no member.
+/// The control machines watched by a planner that is not a member.
 fn watch(part: &Section) -> WatchTargetConfig {
-    let machines = found_at(part, "machines", "machine");
-    if machines.is_empty() || machines.len() > MOST_MACHINES {
-        part.error("machines", format!("{} machines: 1 to {MOST_MACHINES} were expected", machines.len()));
+    let machines = named_addresses(part, "machines", "machine");
+    if machines.is_empty() || machines.len() > MAX_MACHINES {
+        part.error("machines", format!("{} machines: 1 to {MAX_MACHINES} were expected", machines.len()));
     }
-    let usual = WatchConfig::default();
+    let defaults = WatchConfig::default();
     let watch_config =
-        WatchConfig { connect_timeout: part.or_default("dial", usual.connect_timeout), ..usual };
+        WatchConfig { connect_timeout: part.or_default("dial", defaults.connect_timeout), ..defaults };
     WatchTargetConfig { planner: String::new(), machines, source_ip: None, watch_config, seed: 0 }
 }
 
-/// The watches that a control machine serves.
+/// The watch server of a control machine.
 fn watches(part: &Section) -> (SocketAddr, WatchConfig) {
-    let usual = WatchConfig::default();
+    let defaults = WatchConfig::default();
     let watch_config = WatchConfig {
-        max_watches: part.or_default("most", usual.max_watches),
-        max_snapshots: part.or_default("snapshots", usual.max_snapshots),
-        batch_interval: part.or_default("pace", usual.batch_interval),
-        ..usual
+        max_watches: part.or_default("most", defaults.max_watches),
+        max_snapshots: part.or_default("snapshots", defaults.max_snapshots),
+        batch_interval: part.or_default("pace", defaults.batch_interval),
+        ..defaults
     };
     if watch_config.max_watches > 16_384 {
         part.error("most", format!("{}: 16384 watches at most were expected", watch_config.max_watches));
@@ -334,11 +334,11 @@
     (part.required("listen"), watch_config)
 }
 
-/// Names that name files.
+/// A name that is also used as a file name.
 fn file_name(part: &Section) -> String {
     let name: String = part.required("name");
     if !name.chars().all(|c| c.is_ascii_alphanumeric() || c == '-' || c == '_') {
-        part.error("name", "letters, digits, - and _ only: it names files");
+        part.error("name", "letters, digits, - and _ only: it is used in file names");
     }
     name
 }
@@ -349,7 +349,7 @@
         let from = part.optional("source_address");
         let post = part.part_or_default("cluster", "cluster", cluster);
         if !post.founders.is_empty() && post.listen.is_none() {
-            part.error("cluster", "listen is missing: where do the other members come in?");
+            part.error("cluster", "listen is missing: the address that other members connect to");
         }
         let mut belong = post.founders.iter().chain(&post.observers);
         if !post.founders.is_empty() && !belong.any(|one| one.0 == name) {
@@ -396,7 +396,7 @@
         });
         let channel = part.part_or_default("channel", "channel", channel);
         let contract = part.part_or_default("rules", "rules", rules).0;
-        // One removal has to reach all proxies of the fleet, should the other planners be gone.
+        // A removal must reach all proxies of the fleet in time, even if all other planners are down.
         let leaves = fleet.proxies as f64 * (channel.message_overhead + 2.0) / channel.lines_per_s.max(1e-9);
         let removal = Span::of_seconds(channel.max_transit.seconds() + leaves);
         if removal > contract.drain_grace {
@@ -408,7 +408,7 @@
         }
         if channel.max_queued_lines < fleet.proxies as f64 * (channel.message_overhead + 2.0) {
             let what = format!(
-                "{} waiting lines do not hold a removal to {} proxies",
+                "{} queued lines cannot hold a removal to {} proxies",
                 channel.max_queued_lines, fleet.proxies
             );
             part.conflict("channel", what);
@@ -441,10 +441,10 @@
         };
         let post = part.part_or_default("cluster", "cluster", cluster);
         if !post.founders.is_empty() && post.listen.is_none() {
-            part.error("cluster", "listen is missing: where do the other members come in?");
+            part.error("cluster", "listen is missing: the address that other members connect to");
         }
         let watch = part.optional_part("watch", "watch", watch);
-        let receiver = part.optional_part("books", "books", books);
+        let receiver = part.optional_part("books", "books", accounting);
         let duties = part.optional_part("duties", "duties", duties).map(|(lease, steady, slices)| {
             let names = [Some(CLEANING_DUTY), Some(RELEASE_DUTY), receiver.map(|_| ACCOUNTING_DUTY)];
             let names = names.into_iter().flatten().map(str::to_string);
@@ -455,7 +455,7 @@
         let shares =
             part.optional_part("sharing", "sharing", |part| sharing(part, &fleet, &reports, &contract, drift));
         if shares.is_some() && duties.is_none() {
-            part.error("sharing", "duties() is missing: its leases say who may use which part of a budget");
+            part.error("sharing", "duties() is missing: its leases determine the shares of a budget");
         }
         if shares.is_some() && post.founders.len() > fleet.planners {
             let what = format!(
@@ -468,11 +468,11 @@
         let slices = (duties.as_ref().map_or(0, |duties| duties.1), probing.2.timeout);
         let duties = duties.map(|duties| duties.0);
         if receiver.is_some() && duties.is_none() {
-            part.error("books", "duties() is missing: one planner at a time keeps them");
+            part.error("books", "duties() is missing: accounting is a duty of one planner at a time");
         }
         let member = !post.founders.is_empty() || duties.is_some() || shares.is_some() || receiver.is_some();
         if watch.is_some() && member {
-            let what = "a planner that watches is no member: cluster(), duties(), sharing() and books() are for those that are";
+            let what = "a planner that watches is not a member: cluster(), duties(), sharing() and books() are for members only";
             part.error("watch", what);
         }
         let watch = watch.map(|watch| WatchTargetConfig { planner: name.clone(), source_ip: doors.source_ip, ..watch });
@@ -537,13 +537,13 @@
 }
 
 impl ServiceFile {
-    /// The planner that this file describes: the service and the member beside it.
+    /// Builds the planner: the service and its cluster member.
     pub fn planner(self, now: Moment, seed: u64) -> PlannerNode {
         let (grace, post) = (self.contract.drain_grace, MemberConfig { seed, ..self.member.clone() });
         PlannerNode::new(self.service(now, seed), post, grace)
     }
 
-    /// What this file describes: a planner that watches, or one that is a member.
+    /// Builds the planner as a node, either watching or as a member.
     pub fn node(self, now: Moment, seed: u64) -> Box<dyn Node> {
         match self.watch.clone() {
             Some(watch) => {
@@ -554,10 +554,10 @@
         }
     }
 
-    /// The service that this file describes.
+    /// Builds the service.
     pub fn service(self, now: Moment, seed: u64) -> Service {
         let seed = self.seed.unwrap_or(seed);
-        let queue = Queue::new(
+        let queue = Channel::new(
             self.channel.lines_per_s,
             self.channel.message_overhead,
             self.channel.max_queued_lines,
@@ -570,7 +570,7 @@
 }
 
 impl ControlFile {
-    /// The control machine that this file describes.
+    /// Builds the control machine.
     pub fn machine(self, seed: u64) -> ControlMachine {
         let seed = self.seed.unwrap_or(seed);
         ControlMachine::new(ControlMachineConfig { seed, ..self.config })
@@ -578,7 +578,7 @@
 }
 
 impl ProxyFile {
-    /// The proxy that this file describes.
+    /// Builds the proxy.
     pub fn proxy(self, seed: u64) -> Proxy {
         let seed = self.seed.unwrap_or(seed);
         Proxy::new(self.proxy, self.front, self.routes, self.shunning, &self.standing, seed)
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,8 +1,8 @@
-//! Settings as a Starlark script, checked, to typed values.
+//! Reads settings from a Starlark script into validated, typed values.
 //!
-//! A script may use loops, functions and variables; it must end with one call that says what the file is for:
-//! `service(...)`, `control_machine(...)`, `proxy(...)`, or `day(...)`. All faults of a file are told at once, each with file, line,
-//! column, the setting, and what was expected.
+//! A script may use loops, functions and variables. Its last expression is a call that determines the kind of the file:
+//! `service(...)`, `control_machine(...)`, `proxy(...)`, or `day(...)`. All errors of a file are reported at once, each
+//! with file, line, column, the setting, and the expected value.
 #![forbid(unsafe_code)]
 
 mod files;
--- a/crates/settings/src/read.rs
+++ b/crates/settings/src/read.rs
@@ -1,4 +1,4 @@
-//! Taking settings out of a part of a script, one by one; what nobody takes is not known.
+//! Reads the settings of a section one by one; settings that were never read are reported as unknown.
 
 use pewtergap_time::Span;
 use serde_json::{Map, Value as Json};
@@ -9,12 +9,12 @@
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// file:line:column
+    /// Location as `file:line:column`.
     pub at: String,
     pub what: String,
 }
 
-/// All that is wrong with a script.
+/// All errors of a script.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Faults(pub Vec<Fault>);
 
@@ -25,12 +25,12 @@
     }
 }
 
-/// What a setting can be.
+/// A type that a setting can have.
 pub trait Setting: Sized {
-    /// What is expected, for messages.
+    /// Description of the expected value, for error messages.
     const EXPECTED: &'static str;
     fn parse(value: &Json) -> Option<Self>;
-    /// Stands in for a value that is at fault, until all faults are told.
+    /// Replaces an invalid value while the remaining settings are checked.
     fn placeholder() -> Self;
 }
 
@@ -65,7 +65,7 @@
     }
 }
 
-/// A part of a whole.
+/// A fraction between 0 and 1.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fraction(pub f64);
 
@@ -149,7 +149,7 @@
     }
 }
 
-/// One call of a script, as its settings.
+/// The settings given in one call of the script.
 pub struct Section<'a> {
     map: &'a Map<String, Json>,
     faults: &'a RefCell<Vec<Fault>>,
@@ -170,14 +170,14 @@
         at.and_then(Json::as_str).unwrap_or("?").to_string()
     }
 
-    /// Something is wrong with a setting.
+    /// Reports an error in a setting.
     pub fn error(&self, name: &str, what: impl fmt::Display) {
         let what = format!("{}(): {name}: {what}", self.kind());
         self.faults.borrow_mut().push(Fault { at: self.at(name), what });
     }
 
-    /// Settings that are fine each by itself do not go together. Told only when nothing else is at fault:
-    /// stand-ins would clash for no reason.
+    /// Reports settings that are valid on their own but not together. Ignored if other errors were reported, since
+    /// placeholders could conflict for no reason.
     pub fn conflict(&self, name: &str, what: impl fmt::Display) {
         if self.faults.borrow().is_empty() {
             self.error(name, what);
@@ -193,14 +193,14 @@
         let value = self.find(name)?;
         let read = T::parse(value);
         if read.is_none() {
-            let many = if value.is_array() { "a list, each " } else { "" };
-            self.error(name, format!("expected {many}{}, found {}", T::EXPECTED, shown(value)));
+            let list_prefix = if value.is_array() { "a list, each " } else { "" };
+            self.error(name, format!("expected {list_prefix}{}, found {}", T::EXPECTED, render(value)));
         }
         Some(read.unwrap_or_else(T::placeholder))
     }
 
-    pub fn or_default<T: Setting>(&self, name: &str, usual: T) -> T {
-        self.optional(name).unwrap_or(usual)
+    pub fn or_default<T: Setting>(&self, name: &str, default: T) -> T {
+        self.optional(name).unwrap_or(default)
     }
 
     pub fn required<T: Setting>(&self, name: &str) -> T {
@@ -210,53 +210,53 @@
         })
     }
 
-    /// One of some words; the first is the usual one.
+    /// A setting with a fixed set of words as values; the first is the default.
     pub fn choice<T: Copy>(&self, name: &str, words: &[(&str, T)]) -> T {
-        let usual = words[0].1;
-        let Some(value) = self.find(name) else { return usual };
+        let default = words[0].1;
+        let Some(value) = self.find(name) else { return default };
         let found = words.iter().find(|word| value.as_str() == Some(word.0));
         found.map_or_else(
             || {
                 let names: Vec<String> = words.iter().map(|word| format!("\"{}\"", word.0)).collect();
-                self.error(name, format!("expected one of {}, found {}", names.join(", "), shown(value)));
-                usual
+                self.error(name, format!("expected one of {}, found {}", names.join(", "), render(value)));
+                default
             },
             |word| word.1,
         )
     }
 
-    fn part(&self, name: &str, kinds: &[&str], value: &'a Json) -> Option<Section<'a>> {
+    fn subsection(&self, name: &str, kinds: &[&str], value: &'a Json) -> Option<Section<'a>> {
         let map = value.as_object().filter(|map| {
             let kind = map.get("$kind").and_then(Json::as_str);
             kind.is_some_and(|kind| kinds.contains(&kind))
         });
         if map.is_none() {
             let calls: Vec<String> = kinds.iter().map(|kind| format!("{kind}()")).collect();
-            self.error(name, format!("expected {}, found {}", calls.join(" or "), shown(value)));
+            self.error(name, format!("expected {}, found {}", calls.join(" or "), render(value)));
         }
         map.map(|map| Section::new(map, self.faults))
     }
 
-    /// A part that may be left out; `read` then gets an empty one.
+    /// An optional section; if it is missing, `read` is called with an empty one.
     pub fn part_or_default<T>(&self, name: &str, kind: &str, read: impl FnOnce(&Section) -> T) -> T {
         let empty = Map::from_iter([
             ("$kind".to_string(), Json::from(kind)),
             ("$at".to_string(), Json::from(self.at(name))),
         ]);
-        let found = self.find(name).and_then(|value| self.part(name, &[kind], value));
+        let found = self.find(name).and_then(|value| self.subsection(name, &[kind], value));
         let section = found.unwrap_or_else(|| Section::new(&empty, self.faults));
         let value = read(&section);
         section.done();
         value
     }
 
-    /// A part that may be left out.
+    /// An optional section.
     pub fn optional_part<T>(&self, name: &str, kind: &str, read: impl FnOnce(&Section) -> T) -> Option<T> {
         self.find(name)?;
         Some(self.part_or_default(name, kind, read))
     }
 
-    /// A part that must be there, of one of some kinds.
+    /// A required section of one of the given kinds.
     pub fn required_part<T>(
         &self,
         name: &str,
@@ -268,33 +268,35 @@
             self.error(name, format!("is missing, expected {}", calls.join(" or ")));
             return None;
         };
-        let section = self.part(name, kinds, value)?;
+        let section = self.subsection(name, kinds, value)?;
         let value = read(&section);
         section.done();
         Some(value)
     }
 
-    /// A list of parts of one kind.
+    /// A list of sections of one kind.
     pub fn parts<T>(&self, name: &str, kind: &str, mut read: impl FnMut(&Section) -> T) -> Vec<T> {
         let Some(value) = self.find(name) else { return Vec::new() };
         let Some(list) = value.as_array() else {
-            self.error(name, format!("expected a list of {kind}(), found {}", shown(value)));
+            self.error(name, format!("expected a list of {kind}(), found {}", render(value)));
             return Vec::new();
         };
-        let mut parts = Vec::new();
-        for section in list.iter().filter_map(|value| self.part(name, &[kind], value)) {
-            parts.push(read(&section));
+        let mut sections = Vec::new();
+        for section in list.iter().filter_map(|value| self.subsection(name, &[kind], value)) {
+            sections.push(read(&section));
             section.done();
         }
-        parts
+        sections
     }
 
-    /// Names that nobody took are not known; the nearest known one is named.
+    /// Reports settings that were never read as unknown, with the closest known name.
     pub fn done(&self) {
         let known = self.known.borrow();
         for name in self.map.keys().filter(|name| !name.starts_with('$') && !known.contains(*name)) {
-            let near = known.iter().map(|k| (strsim::damerau_levenshtein(k, name), k)).min();
-            let hint = near.filter(|near| near.0 <= 2).map(|near| format!(", is \"{}\" meant?", near.1));
+            let closest = known.iter().map(|k| (strsim::damerau_levenshtein(k, name), k)).min();
+            let hint = closest
+                .filter(|closest| closest.0 <= 2)
+                .map(|closest| format!(", is \"{}\" meant?", closest.1));
             let names: Vec<&str> = known.iter().map(String::as_str).collect();
             let rest = hint.unwrap_or_else(|| format!(", known are {}", names.join(", ")));
             self.error(name, format!("there is no such setting{rest}"));
@@ -302,7 +304,7 @@
     }
 }
 
-fn shown(value: &Json) -> String {
+fn render(value: &Json) -> String {
     if let Some(kind) = value.get("$kind").and_then(Json::as_str) {
         return format!("{kind}()");
     }
--- a/crates/settings/src/script.rs
+++ b/crates/settings/src/script.rs
@@ -1,4 +1,4 @@
-//! Runs a script and gives the value it ends with, each part with its place in the file.
+//! Runs a script and returns its final value, with the source location of each section.
 
 use crate::read::{Fault, Faults, Section};
 use serde_json::{Map, Value as Json};
@@ -9,7 +9,7 @@
 use starlark::values::Value;
 use std::cell::RefCell;
 
-/// Every kind of part a script may make. A first argument without a name is the part's `name`.
+/// The kinds of sections, each a function in the script. A positional argument is the section's `name`.
 const KINDS: &[&str] = &[
     "service",
     "control_machine",
@@ -37,18 +37,18 @@
     "trouble",
 ];
 
-/// Steps that a script may take: enough for any settings, and an end for a loop that has none.
-const MOST_TICKS: u64 = 50_000_000;
+/// Maximum evaluation steps: enough for any settings, and a bound for infinite loops.
+const MAX_TICKS: u64 = 50_000_000;
 
 #[starlark_module]
-fn makers(builder: &mut GlobalsBuilder) {
+fn constructors(builder: &mut GlobalsBuilder) {
     fn _make<'v>(
         #[starlark(require = pos)] kind: &str,
         #[starlark(require = pos)] args: Value<'v>,
         #[starlark(require = pos)] named: Value<'v>,
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<Value<'v>> {
-        let mut part = match named.to_json_value()? {
+        let mut section = match named.to_json_value()? {
             Json::Object(named) => named,
             _ => Map::new(),
         };
@@ -57,30 +57,30 @@
                 anyhow::bail!("{kind}(): one argument without a name at most, its name");
             }
             if let Some(name) = args.into_iter().next() {
-                part.insert("name".into(), name);
+                section.insert("name".into(), name);
             }
         }
-        // The frame below this one is the script's own call.
+        // The next frame of the call stack is the call in the script.
         if let Some(span) = eval.call_stack_nth_location(1) {
             let text = span.source_span().to_string();
             let begin = span.resolve_span().begin;
             let file = span.filename();
             let at = |line: usize, column: usize| format!("{file}:{}:{}", line + 1, column + 1);
-            for name in part.keys().cloned().collect::<Vec<_>>() {
-                if let Some((line, column)) = place(&text, &name) {
+            for name in section.keys().cloned().collect::<Vec<_>>() {
+                if let Some((line, column)) = argument_position(&text, &name) {
                     let column = if line == 0 { begin.column + column } else { column };
-                    part.insert(format!("$at {name}"), Json::from(at(begin.line + line, column)));
+                    section.insert(format!("$at {name}"), Json::from(at(begin.line + line, column)));
                 }
             }
-            part.insert("$at".into(), Json::from(at(begin.line, begin.column)));
+            section.insert("$at".into(), Json::from(at(begin.line, begin.column)));
         }
-        part.insert("$kind".into(), Json::from(kind));
-        Ok(eval.heap().alloc(Json::Object(part)))
+        section.insert("$kind".into(), Json::from(kind));
+        Ok(eval.heap().alloc(Json::Object(section)))
     }
 }
 
-/// Line and column of a named argument within the text of a call, outside of the calls nested in it.
-fn place(text: &str, name: &str) -> Option<(usize, usize)> {
+/// Line and column of a named argument within the text of a call, ignoring nested calls.
+fn argument_position(text: &str, name: &str) -> Option<(usize, usize)> {
     let (mut depth, mut line, mut from, mut quoted) = (0, 0, 0, None);
     for (at, c) in text.char_indices() {
         match (c, quoted) {
@@ -104,7 +104,7 @@
     None
 }
 
-/// What a script ended with.
+/// The final value of a script.
 pub struct Script {
     file: String,
     value: Json,
@@ -117,14 +117,14 @@
         .map(|kind| format!("def {kind}(*args, **named):\n    return _make(\"{kind}\", args, named)\n"))
         .collect();
     let ast = AstModule::parse("prelude", text, &Dialect::Extended)?;
-    let globals = GlobalsBuilder::extended_by(&[LibraryExtension::Json]).with(makers).build();
+    let globals = GlobalsBuilder::extended_by(&[LibraryExtension::Json]).with(constructors).build();
     Module::with_temp_heap(|module| {
         Evaluator::new(&module).eval_module(ast, &globals)?;
         Ok(module.freeze()?)
     })
 }
 
-fn fault(file: &str, e: &starlark::Error) -> Faults {
+fn to_setting_errors(file: &str, e: &starlark::Error) -> Faults {
     let at = match e.span() {
         Some(span) => {
             let begin = span.resolve_span().begin;
@@ -136,35 +136,35 @@
     Faults(vec![Fault { at, what }])
 }
 
-/// Runs a script; `file` is how it is called in messages.
+/// Runs a script; `file` is its name in error messages.
 pub fn run(file: &str, text: &str) -> Result<Script, Faults> {
-    let told = |e: starlark::Error| fault(file, &e);
-    let prelude = prelude().map_err(told)?;
-    let ast = AstModule::parse(file, text.to_string(), &Dialect::Extended).map_err(told)?;
+    let to_errors = |e: starlark::Error| to_setting_errors(file, &e);
+    let prelude = prelude().map_err(to_errors)?;
+    let ast = AstModule::parse(file, text.to_string(), &Dialect::Extended).map_err(to_errors)?;
     let globals = GlobalsBuilder::extended_by(&[LibraryExtension::Print]).build();
     let value = Module::with_temp_heap(|module| {
         module.import_public_symbols(&prelude);
         let mut eval = Evaluator::new(&module);
-        eval.set_max_tick_count(MOST_TICKS)?;
+        eval.set_max_tick_count(MAX_TICKS)?;
         Ok(eval.eval_module(ast, &globals)?.to_json_value()?)
     });
-    let value = value.map_err(told)?;
+    let value = value.map_err(to_errors)?;
     Ok(Script { file: file.into(), value, faults: RefCell::new(Vec::new()) })
 }
 
 impl Script {
-    /// The kind of the call the script ends with.
+    /// The kind of the script's final call.
     pub fn kind(&self) -> &str {
         self.value.get("$kind").and_then(Json::as_str).unwrap_or("")
     }
 
-    /// Reads the last call as this kind; `read` takes its settings one by one. All faults are told at once.
+    /// Reads the final call as a section of this kind; `read` reads its settings. Reports all errors at once.
     pub fn as_kind<T>(&self, kind: &str, read: impl FnOnce(&Section) -> T) -> Result<T, Faults> {
-        let wrong = |what: String| Faults(vec![Fault { at: format!("{}:1:1", self.file), what }]);
+        let error = |what: String| Faults(vec![Fault { at: format!("{}:1:1", self.file), what }]);
         let Some(map) = self.value.as_object().filter(|_| self.kind() == kind) else {
             let found =
                 if self.kind().is_empty() { "something else".into() } else { format!("{}()", self.kind()) };
-            return Err(wrong(format!("the script must end with a call of {kind}(), it ends with {found}")));
+            return Err(error(format!("the script must end with a call of {kind}(), it ends with {found}")));
         };
         let section = Section::new(map, &self.faults);
         let value = read(&section);
--- a/crates/settings/tests/faults.rs
+++ b/crates/settings/tests/faults.rs
@@ -1,4 +1,4 @@
-//! What is said of wrong settings: place, setting, what was expected.
+//! Error messages for invalid settings: location, setting, expected value.
 
 use pewtergap_settings::{control_file, proxy_file, run, service_file};
 
@@ -28,33 +28,33 @@
 }
 
 #[test]
-fn each_fault_names_its_place_the_setting_and_what_was_expected() {
+fn errors_name_the_location_the_setting_and_the_expected_value() {
     let mut trace = format!("{}\n", service(GOOD));
-    let mut say = |from: &str, to: &str| {
+    let mut replace = |from: &str, to: &str| {
         assert!(GOOD.contains(from), "{from}");
         trace += &format!("--- {to}\n{}\n", service(&GOOD.replace(from, to)));
     };
-    say("lines_per_s = 2000", "lines_per_sec = 2000");
-    say("time_limit = \"2s\"", "time_limit = 2");
-    say("drain_grace = \"2s\"", "drain_grace = \"2 parsecs\"");
-    say("slo_time = \"1s\"", "slo_time = \"5s\"");
-    say("importance = 3", "retries = \"once\"");
-    say("importance = 3", "repeats = \"keyed\"");
-    say("\"order\"", "\"search\"");
-    say("lines_per_s = 2000", "lines_per_s = 10");
-    say("most_waiting = 4000", "most_waiting = 20");
-    say("list = list_watch(address = \"127.0.0.1:7000\")", "list = \"servers.json\"");
-    say("zones = ZONES", "zones = ZONE");
-    say("fleet = fleet(proxies = 8, planners = 2),", "");
-    say("service(", "proxy(");
-    say("name = \"planner-a\"", "name = \"../a\", nmae = 3");
-    say("ZONES = [", "ZONES = [for");
-    say("ZONES = [\"north\", \"south\"]", "def f(n):\n    f(n)\nf(1)\nZONES = []");
+    replace("lines_per_s = 2000", "lines_per_sec = 2000");
+    replace("time_limit = \"2s\"", "time_limit = 2");
+    replace("drain_grace = \"2s\"", "drain_grace = \"2 parsecs\"");
+    replace("slo_time = \"1s\"", "slo_time = \"5s\"");
+    replace("importance = 3", "retries = \"once\"");
+    replace("importance = 3", "repeats = \"keyed\"");
+    replace("\"order\"", "\"search\"");
+    replace("lines_per_s = 2000", "lines_per_s = 10");
+    replace("most_waiting = 4000", "most_waiting = 20");
+    replace("list = list_watch(address = \"127.0.0.1:7000\")", "list = \"servers.json\"");
+    replace("zones = ZONES", "zones = ZONE");
+    replace("fleet = fleet(proxies = 8, planners = 2),", "");
+    replace("service(", "proxy(");
+    replace("name = \"planner-a\"", "name = \"../a\", nmae = 3");
+    replace("ZONES = [", "ZONES = [for");
+    replace("ZONES = [\"north\", \"south\"]", "def f(n):\n    f(n)\nf(1)\nZONES = []");
     insta::assert_snapshot!(trace);
 }
 
 #[test]
-fn a_proxy_tries_nothing_twice_that_must_not_run_twice() {
+fn a_proxy_cannot_retry_mutating_calls_after_any_failure() {
     let text = r#"
 proxy(
     name = "p1", zone = "north", listen = "127.0.0.1:0", planners = ["127.0.0.1:7100", "localhost"],
@@ -62,9 +62,9 @@
     standing = ["127.0.0.1:8001"], shunning = shunning(after = -1),
 )
 "#;
-    let told =
+    let errors =
         run("proxy.star", text).and_then(|script| proxy_file(&script)).err().map(|faults| faults.to_string());
-    insta::assert_snapshot!(told.unwrap_or_default());
+    insta::assert_snapshot!(errors.unwrap_or_default());
 }
 
 const MACHINE: &str = r#"
@@ -80,15 +80,15 @@
 fn machine(text: &str) -> String {
     match run("machine.star", text).and_then(|script| control_file(&script)) {
         Ok(file) => {
-            let (post, terms) = (&file.config.member, &file.config.watch_config);
+            let (member, watch_config) = (&file.config.member, &file.config.watch_config);
             format!(
                 "fine: {}, {} vote, {} observe; {} watches, {} snapshots, each {}",
-                post.name,
-                post.founders.len(),
-                post.observers.len(),
-                terms.max_watches,
-                terms.max_snapshots,
-                terms.batch_interval
+                member.name,
+                member.founders.len(),
+                member.observers.len(),
+                watch_config.max_watches,
+                watch_config.max_snapshots,
+                watch_config.batch_interval
             )
         }
         Err(faults) => faults.to_string(),
@@ -96,31 +96,31 @@
 }
 
 #[test]
-fn a_control_machine_knows_its_place_and_its_bounds() {
+fn control_machine_settings_are_validated() {
     let mut trace = format!("{}\n", machine(MACHINE));
-    let mut say = |from: &str, to: &str| {
+    let mut replace = |from: &str, to: &str| {
         assert!(MACHINE.contains(from), "{from}");
         trace += &format!("--- {to}\n{}\n", machine(&MACHINE.replace(from, to)));
     };
-    say("name = \"c6\"", "name = \"c9\"");
-    say("name = \"c6\"", "name = \"c/6\"");
-    say("member(\"c6\"", "member(\"c5\"");
+    replace("name = \"c6\"", "name = \"c9\"");
+    replace("name = \"c6\"", "name = \"c/6\"");
+    replace("member(\"c6\"", "member(\"c5\"");
     let many = "observers = [member(\"c%d\" % n, address = \"10.0.1.%d:1\" % n) for n in range(6, 40)]";
-    say("observers = [member(\"c6\", address = \"10.0.0.6:7102\")]", many);
-    say("members = VOTERS, ", "");
-    say("members = VOTERS", "format = 3, members = VOTERS");
-    say("range(1, 6)", "range(1, 5)");
-    say("watches(listen = \"127.0.0.1:0\", ", "watches(");
-    say("most = 800", "most = 20000");
-    say("snapshots = 32", "snapshots = 900");
-    say("pace = \"50ms\"", "pace = \"1ms\"");
-    say("    watches = watches(", "    watch = watches(");
-    say("listen = \"127.0.0.1:0\", members", "members");
+    replace("observers = [member(\"c6\", address = \"10.0.0.6:7102\")]", many);
+    replace("members = VOTERS, ", "");
+    replace("members = VOTERS", "format = 3, members = VOTERS");
+    replace("range(1, 6)", "range(1, 5)");
+    replace("watches(listen = \"127.0.0.1:0\", ", "watches(");
+    replace("most = 800", "most = 20000");
+    replace("snapshots = 32", "snapshots = 900");
+    replace("pace = \"50ms\"", "pace = \"1ms\"");
+    replace("    watches = watches(", "    watch = watches(");
+    replace("listen = \"127.0.0.1:0\", members", "members");
     insta::assert_snapshot!(trace);
 }
 
 #[test]
-fn a_planner_that_watches_is_no_member_and_knows_whom_to_watch() {
+fn a_watching_planner_is_not_a_member_and_needs_machines() {
     let watch =
         "watch = watch(machines = [machine(\"c1\", address = \"10.0.0.1:7103\")]),\n    fleet = fleet(";
     let with = |from: &str, to: &str| {
