--- a/crates/http/tests/messages.rs
+++ b/crates/http/tests/messages.rs
@@ -1,4 +1,4 @@
-//! Messages however they are cut, and what is refused.
+//! Parsing of messages split at arbitrary points, and rejection of invalid ones.
 
 use pewtergap_http::*;
 
@@ -10,38 +10,38 @@
         loop {
             match reader.next_part() {
                 Ok(Some(Part::Head(head))) => {
-                    trace += &format!("{:?} keep {}; ", head.first, head.keep_alive)
+                    trace += &format!("{:?} keep_alive {}; ", head.first, head.keep_alive)
                 }
                 Ok(Some(Part::Data(data))) => trace += &String::from_utf8_lossy(&data),
                 Ok(Some(Part::End)) => trace += ". ",
                 Ok(None) => break,
-                Err(wrong) => return format!("{trace}{} {wrong}", wrong.status),
+                Err(error) => return format!("{trace}{} {error}", error.status),
             }
         }
     }
     match reader.close() {
         Ok(Some(_)) => trace + "closed.",
         Ok(None) => trace,
-        Err(wrong) => format!("{trace}cut: {wrong}"),
+        Err(error) => format!("{trace}truncated: {error}"),
     }
 }
 
-const TWO: &[u8] = b"POST /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3;x=1\r\nabc\r\n2\r\nde\r\n0\r\nT: 1\r\n\r\n\
+const TWO_REQUESTS: &[u8] = b"POST /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3;x=1\r\nabc\r\n2\r\nde\r\n0\r\nT: 1\r\n\r\n\
 GET /b HTTP/1.1\r\nConnection: close\r\n\r\n";
 
 #[test]
-fn pipelined_messages_come_whole_however_they_are_cut() {
-    let whole = read(Side::Requests, &[TWO]);
-    for at in 1..TWO.len() {
-        assert_eq!(read(Side::Requests, &[&TWO[..at], &TWO[at..]]), whole, "cut at {at}");
+fn pipelined_messages_are_parsed_whole_however_they_are_split() {
+    let whole = read(Side::Requests, &[TWO_REQUESTS]);
+    for at in 1..TWO_REQUESTS.len() {
+        assert_eq!(read(Side::Requests, &[&TWO_REQUESTS[..at], &TWO_REQUESTS[at..]]), whole, "split at {at}");
     }
-    let bytes: Vec<&[u8]> = TWO.chunks(1).collect();
+    let bytes: Vec<&[u8]> = TWO_REQUESTS.chunks(1).collect();
     assert_eq!(read(Side::Requests, &bytes), whole);
-    assert!(whole.contains("; abcde. ") && whole.ends_with("keep false; . "), "{whole}");
+    assert!(whole.contains("; abcde. ") && whole.ends_with("keep_alive false; . "), "{whole}");
 }
 
 #[test]
-fn what_two_readers_could_take_differently_is_refused() {
+fn ambiguous_and_invalid_messages_are_rejected() {
     let cases: &[(Side, &[u8])] = &[
         (Side::Requests, b"POST / HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n"),
         (Side::Requests, b"POST / HTTP/1.1\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\n"),
@@ -67,22 +67,22 @@
 }
 
 #[test]
-fn damaged_bytes_never_panic_nor_pile_up() {
+fn damaged_bytes_never_panic() {
     let mut rng = fastrand::Rng::with_seed(3);
-    let mut refused = 0;
+    let mut rejected = 0;
     for _ in 0..20_000 {
-        let mut bytes = TWO.to_vec();
+        let mut bytes = TWO_REQUESTS.to_vec();
         for _ in 0..rng.usize(1..4) {
             let at = rng.usize(0..bytes.len());
             bytes[at] = rng.u8(..);
         }
-        refused += usize::from(read(Side::Requests, &[&bytes]).contains("byte"));
+        rejected += usize::from(read(Side::Requests, &[&bytes]).contains("byte"));
     }
-    assert!(refused > 1000, "{refused}");
+    assert!(rejected > 1000, "{rejected}");
 }
 
 #[test]
-fn a_value_cannot_bring_a_header_of_its_own() {
+fn header_values_cannot_inject_headers() {
     let bytes = response(200, &[("x-id", "a\r\nset-cookie: b")], Some(b"hi"));
     insta::assert_snapshot!(String::from_utf8(bytes).unwrap().replace("\r\n", "|"));
 }
--- a/crates/protocol/tests/frames.rs
+++ b/crates/protocol/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Golden frames, and what cut, joined and random bytes lead to.
+//! Golden frames, and decoding of split, joined, damaged and random bytes.
 
 use pewtergap_protocol::load_report::LoadReport;
 use pewtergap_protocol::*;
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn golden_frames_stay_as_they_are() {
+fn encoded_frames_do_not_change() {
     let mut trace = String::new();
     for (what, bytes) in [
         ("hello", encode(&hello())),
@@ -48,26 +48,26 @@
 }
 
 #[test]
-fn frames_come_whole_however_the_bytes_are_cut() {
+fn frames_are_decoded_whole_however_the_bytes_are_split() {
     let bytes: Vec<u8> = [encode(&update()), encode(&update()), encode(&update())].concat();
-    for cut in 1..bytes.len() {
+    for piece_len in 1..bytes.len() {
         let mut frames = FrameReader::<PlannerMessage>::default();
         let mut count = 0;
-        for part in bytes.chunks(cut) {
+        for part in bytes.chunks(piece_len) {
             frames.push(part);
             while let Some(message) = frames.next_message().unwrap() {
                 assert_eq!(message, update());
                 count += 1;
             }
         }
-        assert_eq!((count, frames.buffered()), (3, 0), "cut at {cut}");
+        assert_eq!((count, frames.buffered()), (3, 0), "pieces of {piece_len} bytes");
     }
 }
 
 #[test]
-fn refusals_say_where_and_what() {
+fn errors_name_the_offset_and_the_reason() {
     let mut trace = String::new();
-    let mut say = |bytes: &[u8]| {
+    let mut record = |bytes: &[u8]| {
         let mut frames = FrameReader::<PlannerMessage>::default();
         frames.push(&encode(&update()));
         frames.push(bytes);
@@ -75,33 +75,33 @@
         while let Ok(Some(_)) = outcome {
             outcome = frames.next_message();
         }
-        trace += &format!("{}\n", outcome.map_or_else(|wrong| wrong.to_string(), |_| "waits".into()));
+        trace += &format!("{}\n", outcome.map_or_else(|error| error.to_string(), |_| "incomplete".into()));
     };
-    say(&[0xff, 0xff, 0xff, 0xff, 0]);
-    say(&[0, 0, 0, 0]);
-    say(&[0, 0, 0, 2, 0x0f, 0x01]);
-    say(&[0, 0, 1]);
-    let mut wrong = |edit: fn(&mut Update)| {
+    record(&[0xff, 0xff, 0xff, 0xff, 0]);
+    record(&[0, 0, 0, 0]);
+    record(&[0, 0, 0, 2, 0x0f, 0x01]);
+    record(&[0, 0, 1]);
+    let mut record_invalid = |edit: fn(&mut Update)| {
         let mut message = update();
         if let Some(planner_message::Kind::Update(update)) = &mut message.kind {
             edit(update);
         }
-        say(&encode(&message));
+        record(&encode(&message));
     };
-    wrong(|update| update.nonce = 0);
-    wrong(|update| update.tables[0].to = 6);
-    wrong(|update| update.tables[0].set[0].weight = f64::NAN);
-    wrong(|update| update.tables[0].set[0].server = "x".repeat(300));
-    wrong(|update| update.tables[0].gates[0].level = -1.0);
-    wrong(|update| update.tables[0].whole = true);
-    wrong(|update| update.binds = vec![Binding::default(); MAX_TABLES + 1]);
+    record_invalid(|update| update.nonce = 0);
+    record_invalid(|update| update.tables[0].to = 6);
+    record_invalid(|update| update.tables[0].set[0].weight = f64::NAN);
+    record_invalid(|update| update.tables[0].set[0].server = "x".repeat(300));
+    record_invalid(|update| update.tables[0].gates[0].level = -1.0);
+    record_invalid(|update| update.tables[0].whole = true);
+    record_invalid(|update| update.binds = vec![Binding::default(); MAX_TABLES + 1]);
     insta::assert_snapshot!(trace);
 }
 
 #[test]
-fn random_and_damaged_bytes_give_errors_and_never_more_memory_than_was_pushed() {
+fn damaged_bytes_give_errors_and_buffer_no_more_than_was_pushed() {
     let mut rng = fastrand::Rng::with_seed(7);
-    let (mut taken, mut refused) = (0, 0);
+    let (mut decoded, mut rejected) = (0, 0);
     for _ in 0..20_000 {
         let mut bytes = encode(&update());
         for _ in 0..rng.usize(1..4) {
@@ -117,20 +117,20 @@
             frames.push(part);
             assert!(frames.buffered() <= bytes.len());
             match frames.next_message() {
-                Ok(Some(_)) => taken += 1,
+                Ok(Some(_)) => decoded += 1,
                 Ok(None) => {}
                 Err(_) => {
-                    refused += 1;
+                    rejected += 1;
                     break;
                 }
             }
         }
     }
-    assert!(taken > 100 && refused > 1000, "{taken} taken, {refused} refused");
+    assert!(decoded > 100 && rejected > 1000, "{decoded} decoded, {rejected} rejected");
 }
 
 #[test]
-fn load_reports_are_read_leniently() {
+fn load_reports_are_parsed_leniently() {
     let mut trace = String::new();
     for text in [
         "TEXT cpu_utilization=0.3,mem_utilization=0.8,named_metrics.in_hand=4",
