--- a/crates/http/src/read.rs
+++ b/crates/http/src/read.rs
@@ -202,8 +202,8 @@
         }
     }
 
-    fn error(&self, status: u16, what: &str) -> ParseError {
-        ParseError { offset: self.consumed, reason: what.into(), status }
+    fn error(&self, status: u16, reason: &str) -> ParseError {
+        ParseError { offset: self.consumed, reason: reason.into(), status }
     }
 
     fn advance(&mut self, count: usize) {
@@ -281,8 +281,8 @@
         })?;
         let httparse::Status::Complete(size) = status else {
             let full = rest.len() >= self.limits.head;
-            let what = format!("a head of more than {} bytes", self.limits.head);
-            return if full { Err(self.error(431, &what)) } else { Ok(None) };
+            let reason = format!("a head of more than {} bytes", self.limits.head);
+            return if full { Err(self.error(431, &reason)) } else { Ok(None) };
         };
         let mut head = Head { first, headers, keep_alive: false, length: None };
         head.keep_alive = is_keep_alive(&head, version);
--- a/crates/proxy/src/multi_worker.rs
+++ b/crates/proxy/src/multi_worker.rs
@@ -204,16 +204,16 @@
             Input::TimerFired { timer: timer::HOUSEKEEPING } => {
                 out.set_timer(timer::HOUSEKEEPING, now + HOUSEKEEPING);
                 self.inner.close_idle(now, out);
-                let (sums, arrivals) = self.inner.take_counters();
-                self.shared.add_counters(self.at, sums, &arrivals);
+                let (stats, arrivals) = self.inner.take_counters();
+                self.shared.add_counters(self.at, stats, &arrivals);
             }
             Input::TimerFired { timer } => self.inner.timer_fired(now, timer, out),
             _ => {}
         }
         self.shared.record_activity(self.at, now, self.accepted, self.inner.clients());
         if self.stopping && self.inner.idle() {
-            let (sums, arrivals) = self.inner.take_counters();
-            self.shared.add_counters(self.at, sums, &arrivals);
+            let (stats, arrivals) = self.inner.take_counters();
+            self.shared.add_counters(self.at, stats, &arrivals);
             self.shared.set_done(self.at);
             out.push(Effect::Notify { reactor: ACCEPTOR_ID });
             out.push(Effect::Exit { code: 0 });
--- a/crates/proxy/src/servers.rs
+++ b/crates/proxy/src/servers.rs
@@ -32,23 +32,23 @@
 
 #[derive(Debug, Default)]
 pub struct Servers {
-    known: HashMap<String, ServerEntry>,
+    servers: HashMap<String, ServerEntry>,
 }
 
 impl Servers {
     /// Takes the most recently used idle connection, so that the others become old enough to be closed.
     pub fn take_idle(&mut self, server: &str) -> Option<Link> {
-        self.known.get_mut(server)?.idle.pop().map(|idle| idle.0)
+        self.servers.get_mut(server)?.idle.pop().map(|idle| idle.0)
     }
 
     pub fn put_idle(&mut self, server: &str, link: Link, now: Moment) {
-        self.known.entry(server.into()).or_default().idle.push((link, now));
+        self.servers.entry(server.into()).or_default().idle.push((link, now));
     }
 
     /// Removes a closed connection from the idle ones; returns whether it was one.
     pub fn remove_idle(&mut self, link: Link) -> bool {
         let mut found = false;
-        for server in self.known.values_mut() {
+        for server in self.servers.values_mut() {
             let before = server.idle.len();
             server.idle.retain(|idle| idle.0 != link);
             found |= before != server.idle.len();
@@ -65,7 +65,7 @@
         is_in_tables: impl Fn(&str) -> bool,
     ) -> Vec<Link> {
         let mut expired = Vec::new();
-        for (name, server) in &mut self.known {
+        for (name, server) in &mut self.servers {
             let in_tables = is_in_tables(name);
             server.idle.retain(|(link, since)| {
                 let keep = in_tables && now.since(*since) < keep_alive;
@@ -75,14 +75,14 @@
                 keep
             });
         }
-        self.known.retain(|name, server| {
+        self.servers.retain(|name, server| {
             is_in_tables(name) || !server.idle.is_empty() || server.counters.tries > 0
         });
         expired
     }
 
     pub fn is_ejected(&self, server: &str, now: Moment) -> bool {
-        self.known.get(server).and_then(|s| s.ejected_until).is_some_and(|until| until > now)
+        self.servers.get(server).and_then(|s| s.ejected_until).is_some_and(|until| until > now)
     }
 
     /// Records a try. After `max_failures` consecutive failures (0 disables it) the server is ejected for
@@ -95,26 +95,26 @@
         max_failures: u32,
         ejection_time: Span,
     ) -> bool {
-        let known = self.known.entry(server.into()).or_default();
-        known.counters.tries += 1;
+        let entry = self.servers.entry(server.into()).or_default();
+        entry.counters.tries += 1;
         match outcome {
             TryOutcome::Success { latency, report } => {
-                known.consecutive_failures = 0;
-                known.counters.latency = known.counters.latency + latency;
-                let before = known.counters.report;
-                known.counters.report = LoadReport {
+                entry.consecutive_failures = 0;
+                entry.counters.latency = entry.counters.latency + latency;
+                let before = entry.counters.report;
+                entry.counters.report = LoadReport {
                     util: report.util.or(before.util),
                     in_flight: report.in_flight.or(before.in_flight),
                 };
                 false
             }
             TryOutcome::Failure => {
-                known.consecutive_failures += 1;
-                known.counters.dropped += 1;
-                let eject = max_failures > 0 && known.consecutive_failures >= max_failures;
+                entry.consecutive_failures += 1;
+                entry.counters.dropped += 1;
+                let eject = max_failures > 0 && entry.consecutive_failures >= max_failures;
                 if eject {
-                    known.consecutive_failures = 0;
-                    known.ejected_until = Some(now + ejection_time);
+                    entry.consecutive_failures = 0;
+                    entry.ejected_until = Some(now + ejection_time);
                 }
                 eject
             }
@@ -124,15 +124,15 @@
     /// Takes the statistics since the last call.
     pub fn take_stats(&mut self) -> Vec<ServerStatsRow> {
         let mut rows: Vec<ServerStatsRow> = Vec::new();
-        for (name, server) in self.known.iter_mut().filter(|known| known.1.counters.tries > 0) {
+        for (name, server) in self.servers.iter_mut().filter(|entry| entry.1.counters.tries > 0) {
             let Counters { tries, dropped, latency, report } = std::mem::take(&mut server.counters);
-            let mean_us = latency.0 / 1_000 / (tries - dropped).max(1);
+            let mean_latency_us = latency.0 / 1_000 / (tries - dropped).max(1);
             let (util, in_hand) = (report.util, report.in_flight);
             rows.push(ServerStatsRow {
                 server: name.clone(),
                 tries,
                 dropped,
-                mean_latency_us: mean_us,
+                mean_latency_us,
                 util,
                 in_flight: in_hand,
             });
--- a/crates/proxy/src/shared_state.rs
+++ b/crates/proxy/src/shared_state.rs
@@ -34,7 +34,7 @@
 
 #[derive(Default)]
 struct Counters {
-    sums: BTreeMap<String, ServerStatsRow>,
+    stats: BTreeMap<String, ServerStatsRow>,
     arrivals: Vec<ArrivalCount>,
 }
 
@@ -85,12 +85,12 @@
 
     /// Takes the counters of all workers and merges them: tries are added, latencies weighted by successful tries.
     pub fn take_counters(&self, routes: usize) -> (Vec<ServerStatsRow>, Vec<ArrivalCount>) {
-        let mut all = Counters { sums: BTreeMap::new(), arrivals: vec![ArrivalCount::default(); routes] };
+        let mut all = Counters { stats: BTreeMap::new(), arrivals: vec![ArrivalCount::default(); routes] };
         for slot in &self.slots {
             let counters = std::mem::take(&mut *lock(&slot.counters));
-            all.add(counters.sums.into_values(), &counters.arrivals);
+            all.add(counters.stats.into_values(), &counters.arrivals);
         }
-        (all.sums.into_values().collect(), all.arrivals)
+        (all.stats.into_values().collect(), all.arrivals)
     }
 
     pub fn stop(&self) {
@@ -118,8 +118,8 @@
         slot.clients.store(clients as u64, Ordering::Release);
     }
 
-    pub fn add_counters(&self, worker: usize, sums: Vec<ServerStatsRow>, arrivals: &[ArrivalCount]) {
-        lock(&self.slots[worker].counters).add(sums.into_iter(), arrivals);
+    pub fn add_counters(&self, worker: usize, stats: Vec<ServerStatsRow>, arrivals: &[ArrivalCount]) {
+        lock(&self.slots[worker].counters).add(stats.into_iter(), arrivals);
     }
 
     pub fn set_done(&self, worker: usize) {
@@ -128,21 +128,21 @@
 }
 
 impl Counters {
-    fn add(&mut self, sums: impl Iterator<Item = ServerStatsRow>, arrivals: &[ArrivalCount]) {
-        for sum in sums {
-            match self.sums.get_mut(&sum.server) {
+    fn add(&mut self, stats: impl Iterator<Item = ServerStatsRow>, arrivals: &[ArrivalCount]) {
+        for row in stats {
+            match self.stats.get_mut(&row.server) {
                 None => {
-                    self.sums.insert(sum.server.clone(), sum);
+                    self.stats.insert(row.server.clone(), row);
                 }
                 Some(known) => {
-                    let successes = |sum: &ServerStatsRow| sum.tries - sum.dropped;
+                    let successes = |row: &ServerStatsRow| row.tries - row.dropped;
                     let total_us =
-                        known.mean_latency_us * successes(known) + sum.mean_latency_us * successes(&sum);
-                    known.tries += sum.tries;
-                    known.dropped += sum.dropped;
+                        known.mean_latency_us * successes(known) + row.mean_latency_us * successes(&row);
+                    known.tries += row.tries;
+                    known.dropped += row.dropped;
                     known.mean_latency_us = total_us / successes(known).max(1);
-                    known.util = sum.util.or(known.util);
-                    known.in_flight = sum.in_flight.or(known.in_flight);
+                    known.util = row.util.or(known.util);
+                    known.in_flight = row.in_flight.or(known.in_flight);
                 }
             }
         }
--- a/crates/proxy/src/tables.rs
+++ b/crates/proxy/src/tables.rs
@@ -61,14 +61,14 @@
 
     /// The tables and versions listed in `Hello`.
     pub fn held_versions(&self) -> Vec<HeldTable> {
-        let ours = self.tables.iter().filter(|table| *table.0 != INITIAL_TABLE);
+        let received = self.tables.iter().filter(|table| *table.0 != INITIAL_TABLE);
         let held = |(number, table): (&u32, &Table)| HeldTable {
             planner: self.sender.planner.clone(),
             epoch: self.sender.epoch,
             table: *number,
             version: table.version,
         };
-        ours.map(held).collect()
+        received.map(held).collect()
     }
 
     /// A planner has accepted the proxy. Its first binding replaces the tables of another planner, or of an earlier
--- a/crates/proxy/src/worker.rs
+++ b/crates/proxy/src/worker.rs
@@ -328,10 +328,10 @@
         retry_decision(call.resend, safety, failure, call.tries) == RetryDecision::Retry
     }
 
-    fn record_try(&mut self, server: &str, end: TryOutcome, now: Moment, out: &mut Outbox) {
+    fn record_try(&mut self, server: &str, outcome: TryOutcome, now: Moment, out: &mut Outbox) {
         if self.servers.record_try(
             server,
-            end,
+            outcome,
             now,
             self.ejection.consecutive_failures,
             self.ejection.ejection_time,
@@ -444,13 +444,13 @@
                 } else {
                     out.finish(call.link);
                 }
-                let end = if call.status < 500 {
+                let outcome = if call.status < 500 {
                     TryOutcome::Success { latency: now.since(call.try_started), report: call.report }
                 } else {
                     self.arrivals[call.route].dropped += 1;
                     TryOutcome::Failure
                 };
-                self.record_try(&call.server, end, now, out);
+                self.record_try(&call.server, outcome, now, out);
                 let keep_alive = self.clients.get(&call.client).is_some_and(|client| client.keep_alive);
                 self.finish_response(call.client, keep_alive, out);
                 self.resume_client(now, call.client, out);
