--- a/crates/capacity/src/bounds.rs
+++ b/crates/capacity/src/bounds.rs
@@ -1,38 +1,39 @@
-//! Bounds that stand in the program, against what the target would put in them.
+//! Fixed bounds of the program, compared with what the target requires of them.
 
 use crate::model::Role;
-use crate::size::{Pair, Size};
+use crate::target::{Pair, Target};
 use serde::Serialize;
 
-/// One bound. The tests hold these figures against the program's own.
+/// One bound. The tests compare these numbers with the constants of the program.
 #[derive(Clone, Debug, Serialize)]
 pub struct Bound {
     pub name: &'static str,
     pub role: Role,
     pub most: f64,
-    /// Where it stands.
+    /// Where it is defined.
     pub source: &'static str,
-    /// What the target would put in, at both values of the parameters.
+    /// What the target requires, at both values of the parameter.
     pub needs: Pair,
-    /// The parameter that it depends on; empty if it is the target's own number.
+    /// The parameter that `needs` depends on; empty if it depends on none.
     pub parameter: &'static str,
     pub carried_by: &'static str,
 }
 
 impl Bound {
-    /// How often what is needed goes into the bound; without end where there is no place at all.
+    /// Need divided by bound; infinite if the bound is 0.
     pub fn factors(&self) -> [f64; 2] {
         self.needs.0.map(|needs| if self.most > 0.0 { needs / self.most } else { f64::INFINITY })
     }
 }
 
-const SCOPE: &str = "services_a_planner";
+const SERVICES_PER_PLANNER: &str = "services_a_planner";
 
-pub fn bounds(size: &Size) -> Vec<Bound> {
-    let services = size.pair(SCOPE).0;
-    let whole = |needs: f64| (Pair([needs, needs]), "");
-    // What belongs to the services that one planner stands before, of so many in all.
-    let scoped = |all: f64| (Pair(services.map(|services| services * all / size.services)), SCOPE);
+pub fn bounds(target: &Target) -> Vec<Bound> {
+    let services = target.pair(SERVICES_PER_PLANNER).0;
+    let fixed = |needs: f64| (Pair([needs, needs]), "");
+    // The share of the services of one planner, out of so many in total.
+    let per_planner =
+        |all: f64| (Pair(services.map(|services| services * all / target.services)), SERVICES_PER_PLANNER);
     let bound = |role, name, most, source, (needs, parameter): (Pair, &'static str), carried_by| Bound {
         name,
         role,
@@ -49,7 +50,7 @@
             "members of the record, each planner one",
             7.0,
             "member: MAX_MEMBERS",
-            whole(size.planners),
+            fixed(target.planners),
             "tier between record and planners: few vote, the others watch",
         ),
         bound(
@@ -57,7 +58,7 @@
             "orders in force, those of a day",
             10_000.0,
             "record: MAX_ORDERS",
-            whole(size.changes_per_day),
+            fixed(target.changes_per_day),
             "the record's table",
         ),
         bound(
@@ -65,7 +66,7 @@
             "ids remembered for 15 minutes, all of them the worst second's",
             100_000.0,
             "record: MAX_IDS",
-            whole(size.changes_burst * 900.0),
+            fixed(target.changes_burst * 900.0),
             "the record's table; beyond it orders are refused until ids are forgotten",
         ),
         bound(
@@ -73,7 +74,7 @@
             "budgets in parts, one for each service",
             16.0,
             "record: MAX_BUDGETS",
-            whole(size.services),
+            fixed(target.services),
             "none: parts move as the record's commands",
         ),
         bound(
@@ -81,7 +82,7 @@
             "planners known by gossip",
             256.0,
             "gossip: MAX_MEMBERS",
-            whole(size.planners),
+            fixed(target.planners),
             "none for all; the tier's roster for who is heard",
         ),
         bound(
@@ -89,7 +90,7 @@
             "routes in the settings, of one planner before all services",
             60.0,
             "settings: routes",
-            whole(size.routes),
+            fixed(target.routes),
             "settings by scope: a planner has its own services' routes",
         ),
         bound(
@@ -97,7 +98,7 @@
             "routes in the settings, its services' own",
             60.0,
             "settings: routes",
-            scoped(size.routes),
+            per_planner(target.routes),
             "settings by scope",
         ),
         bound(
@@ -105,7 +106,7 @@
             "services that it tells apart",
             1.0,
             "settings: one list, one pool of servers",
-            (Pair(services), SCOPE),
+            (Pair(services), SERVICES_PER_PLANNER),
             "none: one process a service",
         ),
         bound(
@@ -113,7 +114,7 @@
             "tenants in the settings",
             0.0,
             "settings: no such field",
-            scoped(size.tenants),
+            per_planner(target.tenants),
             "none: the settings have no notion of a tenant",
         ),
         bound(
@@ -121,7 +122,7 @@
             "figures it shares, one for each server listed",
             1_024.0,
             "counts: MAX_KEYS",
-            whole(size.servers),
+            fixed(target.servers),
             "none: sharing is not scoped",
         ),
         bound(
@@ -129,7 +130,7 @@
             "routes of a proxy, its planner's services' own",
             64.0,
             "protocol: MAX_ROUTES",
-            scoped(size.routes),
+            per_planner(target.routes),
             "the main protocol",
         ),
         bound(
@@ -137,7 +138,7 @@
             "lines of one table, all servers",
             65_536.0,
             "protocol: MAX_LINES",
-            whole(size.servers),
+            fixed(target.servers),
             "the main protocol",
         ),
         bound(
@@ -145,7 +146,7 @@
             "duties, one slice of probes for each service and three more",
             1_024.0,
             "duty: MAX_DUTIES",
-            whole(size.services + 3.0),
+            fixed(target.services + 3.0),
             "the record's leases; none by scope yet",
         ),
     ]
--- a/crates/capacity/src/fit.rs
+++ b/crates/capacity/src/fit.rs
@@ -1,38 +1,43 @@
-//! A line through measured points.
+//! Linear regression through measured points.
 
-/// The line `base + rise * x` that has the least sum of squared distances in y to the points it was made from.
+/// The least-squares line `intercept + gradient * x`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fit {
-    pub base: f64,
-    pub rise: f64,
-    /// Root of the mean squared distance of the points from the line, in y's unit.
+    pub intercept: f64,
+    pub gradient: f64,
+    /// Root mean square error, in the unit of y.
     pub residual: f64,
-    /// The largest distance of a point from the line, as a part of the largest measured y; 0 if all y are.
-    pub worst: f64,
+    /// Largest error of a point, as a fraction of the largest measured y; 0 if every y is 0.
+    pub max_relative_error: f64,
 }
 
 impl Fit {
-    /// What the line says at `x`; a line that falls below zero says zero, as nothing measured here can be less.
-    pub fn at(&self, x: f64) -> f64 {
-        (self.base + self.rise * x).max(0.0)
+    /// The value of the line at `x`, but no less than 0: no measured quantity can be negative.
+    pub fn evaluate(&self, x: f64) -> f64 {
+        (self.intercept + self.gradient * x).max(0.0)
     }
 }
 
-/// Least squares; `None` for fewer than two sizes, through which no line goes.
+/// Fits a line by least squares; `None` with fewer than two distinct sizes.
 pub fn fit(points: &[[f64; 2]]) -> Option<Fit> {
     let count = points.len() as f64;
-    let mean = |of: usize| points.iter().map(|point| point[of]).sum::<f64>() / count;
-    // Distances from the means: sums of large squares would lose the small ones.
-    let (x, y) = (mean(0), mean(1));
-    let wide = points.iter().map(|point| (point[0] - x).powi(2)).sum::<f64>();
-    if points.len() < 2 || wide <= 0.0 {
+    let mean = |axis: usize| points.iter().map(|point| point[axis]).sum::<f64>() / count;
+    // Uses deviations from the means, since sums of large squares lose the precision of small differences.
+    let (mean_x, mean_y) = (mean(0), mean(1));
+    let spread = points.iter().map(|point| (point[0] - mean_x).powi(2)).sum::<f64>();
+    if points.len() < 2 || spread <= 0.0 {
         return None;
     }
-    let rise = points.iter().map(|point| (point[0] - x) * (point[1] - y)).sum::<f64>() / wide;
-    let base = y - rise * x;
-    let off = |point: &[f64; 2]| (point[1] - base - rise * point[0]).abs();
-    let residual = (points.iter().map(|point| off(point).powi(2)).sum::<f64>() / count).sqrt();
-    let most = points.iter().map(|point| point[1]).fold(0.0, f64::max);
-    let worst = points.iter().map(off).fold(0.0, f64::max);
-    Some(Fit { base, rise, residual, worst: if most > 0.0 { worst / most } else { 0.0 } })
+    let gradient = points.iter().map(|point| (point[0] - mean_x) * (point[1] - mean_y)).sum::<f64>() / spread;
+    let intercept = mean_y - gradient * mean_x;
+    let deviation = |point: &[f64; 2]| (point[1] - intercept - gradient * point[0]).abs();
+    let residual = (points.iter().map(|point| deviation(point).powi(2)).sum::<f64>() / count).sqrt();
+    let max_y = points.iter().map(|point| point[1]).fold(0.0, f64::max);
+    let max_error = points.iter().map(deviation).fold(0.0, f64::max);
+    Some(Fit {
+        intercept,
+        gradient,
+        residual,
+        max_relative_error: if max_y > 0.0 { max_error / max_y } else { 0.0 },
+    })
 }
--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -1,32 +1,33 @@
-//! What each role of a fleet needs at a stated size, against its budget: worked out from measured points.
+//! Capacity model: the resources that each role needs at a target fleet size, compared with its budget.
 //!
-//! Text in, tables out: [`Size`] is the fleet, its rates and budgets, [`Slopes`] what was measured, [`work_out`] puts them
-//! together, [`page`] writes the tables of docs/CAPACITY.md. A figure is measured, reckoned from slopes, or assumed
-//! ([`Kind`]); it cannot be made otherwise, since every amount begins as a slope's or a parameter's ([`worked::Worked`]).
+//! The model does no I/O. [`Target`] describes the fleet, its rates and budgets, [`Slopes`] holds the measurements,
+//! [`build_report`] combines them and [`page`] renders the tables of docs/CAPACITY.md. Every figure is measured, derived
+//! from slopes, or assumed ([`Kind`]). The kind cannot be misstated, because every value starts as a slope's or a
+//! parameter's ([`estimate::Estimate`]).
 #![forbid(unsafe_code)]
 
 mod bounds;
+mod estimate;
 mod fit;
+mod format;
 mod model;
 pub mod page;
-mod read;
 mod roles;
-mod size;
 mod slopes;
-mod worked;
-mod write;
+mod target;
+mod toml_reader;
 
 pub use bounds::{bounds, Bound};
+pub use estimate::Kind;
 pub use fit::{fit, Fit};
-pub use model::{work_out, Book, Figure, Over, Quantity, Role, Situation};
-pub use read::{Wrong, Wrongs};
-pub use size::{Pair, Size, PARAMETERS};
-pub use slopes::{Slope, Slopes, Spec, SPECS};
-pub use worked::Kind;
+pub use model::{build_report, Figure, Overrun, Quantity, Report, Role, Situation};
+pub use slopes::{Slope, SlopeSpec, Slopes, SLOPE_SPECS};
+pub use target::{Pair, Target, PARAMETERS};
+pub use toml_reader::{FileError, FileErrors};
 
-/// The users' target as the repository has it, and the name by which faults in it are told.
-pub const TARGET: (&str, &str) =
+/// The target file of this repository: its name in error messages, and its text.
+pub const TARGET_FILE: (&str, &str) =
     ("docs/capacity/target.toml", include_str!("../../../docs/capacity/target.toml"));
-/// The measured points as the repository has them.
-pub const MEASURED: (&str, &str) =
+/// The measured slopes of this repository: the file's name in error messages, and its text.
+pub const SLOPES_FILE: (&str, &str) =
     ("docs/capacity/slopes.toml", include_str!("../../../docs/capacity/slopes.toml"));
--- a/crates/capacity/src/model.rs
+++ b/crates/capacity/src/model.rs
@@ -1,9 +1,9 @@
-//! Sizes and slopes put together: a figure for each role, situation, part and quantity.
+//! Combines target and slopes into a figure for each role, situation, part and quantity.
 
 use crate::bounds::{bounds, Bound};
-use crate::size::{Pair, Size};
+use crate::estimate::{Estimate, Kind};
 use crate::slopes::Slopes;
-use crate::worked::{Kind, Worked};
+use crate::target::{Pair, Target};
 use serde::Serialize;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
@@ -36,7 +36,7 @@
 pub enum Situation {
     Rest,
     Day,
-    /// The ordinary day's worst second.
+    /// The busiest second of an ordinary day.
     Burst,
     Release,
     Rack,
@@ -80,7 +80,7 @@
     Memory,
     Descriptors,
     Time,
-    /// Of what can be had.
+    /// Fraction of what is available.
     Part,
     Cores,
 }
@@ -101,76 +101,77 @@
     }
 }
 
-/// One line of a role's table. Pairs are at the first and the second values of the parameters.
+/// One row of a role's table. A pair holds the values at the first and second values of the parameters.
 #[derive(Clone, Debug, Serialize)]
 pub struct Figure {
     pub role: Role,
     pub situation: Situation,
-    /// Of what.
+    /// The part of the system that the figure is about.
     pub part: &'static str,
     pub quantity: Quantity,
-    /// `None` while a slope that it needs has no points.
+    /// `None` while a required slope has too few points.
     pub at: Option<Pair>,
     pub kind: Kind,
-    /// How far beyond the largest measured size a line was followed for it, in such sizes; 1 within.
+    /// Largest extrapolation of a line for it, as a multiple of the largest measured size; 1 within the measured range.
     pub beyond: f64,
-    /// Slopes that it waits for.
+    /// Required slopes with too few points.
     pub waits_for: Vec<String>,
     pub budget: Option<Pair>,
-    /// The mechanism that carries it.
+    /// The mechanism that carries this load.
     pub carried_by: &'static str,
 }
 
 impl Figure {
-    /// How often it fits its budget, at the worse of both values.
+    /// Budget divided by figure, at the worse of both values.
     pub fn headroom(&self) -> Option<f64> {
         let (at, budget) = (self.at?.0, self.budget?.0);
         Some((budget[0] / at[0]).min(budget[1] / at[1]))
     }
 
-    /// How often it passes its budget, at both values.
+    /// Figure divided by budget, at both values.
     pub fn factors(&self) -> Option<[f64; 2]> {
         let (at, budget) = (self.at?.0, self.budget?.0);
         Some([at[0] / budget[0], at[1] / budget[1]])
     }
 }
 
-/// What is over its budget or bound.
+/// A figure over its budget, or a bound that the target exceeds, with the factors.
 #[derive(Clone, Debug, Serialize)]
-pub enum Over {
+pub enum Overrun {
     Figure(Box<Figure>, [f64; 2]),
     Bound(Bound, [f64; 2]),
 }
 
-impl Over {
+impl Overrun {
     pub fn factors(&self) -> [f64; 2] {
         match self {
-            Over::Figure(_, factors) | Over::Bound(_, factors) => *factors,
+            Overrun::Figure(_, factors) | Overrun::Bound(_, factors) => *factors,
         }
     }
 
-    pub fn worst(&self) -> f64 {
+    pub fn max_factor(&self) -> f64 {
         self.factors().into_iter().fold(0.0, f64::max)
     }
 }
 
-/// Everything that the page's tables say.
+/// The content of all tables.
 #[derive(Clone, Debug, Serialize)]
-pub struct Book {
-    pub size: Size,
+pub struct Report {
+    #[serde(rename = "size")]
+    pub target: Target,
     pub slopes: Slopes,
     pub figures: Vec<Figure>,
     pub bounds: Vec<Bound>,
     /// Worst first.
-    pub over: Vec<Over>,
+    pub over: Vec<Overrun>,
 }
 
-/// The same figures at one of the two values of each parameter.
-pub(crate) struct Sheet<'a> {
-    pub size: &'a Size,
+/// Collects the figures at one of the two values of each parameter.
+pub(crate) struct Worksheet<'a> {
+    pub target: &'a Target,
     pub slopes: &'a Slopes,
-    /// Which value each parameter has: the first or the second.
-    which: &'a dyn Fn(&str) -> usize,
+    /// Selects the value of each parameter: 0 for the first, 1 for the second.
+    choose: &'a dyn Fn(&str) -> usize,
     role: Role,
     rows: Vec<Row>,
 }
@@ -180,115 +181,122 @@
     situation: Situation,
     part: &'static str,
     quantity: Quantity,
-    came: Worked,
+    estimate: Estimate,
     budget: Option<f64>,
     carried_by: &'static str,
 }
 
-impl<'a> Sheet<'a> {
-    pub fn new(size: &'a Size, slopes: &'a Slopes, which: &'a dyn Fn(&str) -> usize) -> Sheet<'a> {
-        Sheet { size, slopes, which, role: Role::Voter, rows: Vec::new() }
+impl<'a> Worksheet<'a> {
+    pub fn new(target: &'a Target, slopes: &'a Slopes, choose: &'a dyn Fn(&str) -> usize) -> Worksheet<'a> {
+        Worksheet { target, slopes, choose, role: Role::Voter, rows: Vec::new() }
     }
 
-    pub fn of(&mut self, role: Role) {
+    pub fn set_role(&mut self, role: Role) {
         self.role = role;
     }
 
-    /// A parameter at the value that this sheet has.
-    pub fn open(&self, name: &str) -> Worked {
-        self.size.open(name, (self.which)(name))
+    /// A parameter at its selected value.
+    pub fn parameter(&self, name: &str) -> Estimate {
+        self.target.parameter(name, (self.choose)(name))
     }
 
-    /// The bare value, for budgets.
-    pub fn value(&self, name: &str) -> f64 {
-        self.size.pair(name).0[(self.which)(name)]
+    /// The plain number, for budgets.
+    pub fn parameter_value(&self, name: &str) -> f64 {
+        self.target.pair(name).0[(self.choose)(name)]
     }
 
-    pub fn at(&self, slope: &str, x: f64) -> Worked {
-        self.slopes.at(slope, x)
+    pub fn value_at(&self, slope: &str, x: f64) -> Estimate {
+        self.slopes.value_at(slope, x)
     }
 
-    pub fn through(&self, slope: &str, x: Worked) -> Worked {
-        self.slopes.through(slope, x)
+    pub fn project(&self, slope: &str, x: Estimate) -> Estimate {
+        self.slopes.project(slope, x)
     }
 
-    pub fn each(&self, slope: &str) -> Worked {
-        self.slopes.each(slope)
+    pub fn unit_cost(&self, slope: &str) -> Estimate {
+        self.slopes.unit_cost(slope)
     }
 
-    /// A line of the role at hand.
-    pub fn put(
+    /// Adds a row for the current role.
+    pub fn add(
         &mut self,
         situation: Situation,
         part: &'static str,
         quantity: Quantity,
-        came: Worked,
+        estimate: Estimate,
         budget: Option<f64>,
         carried_by: &'static str,
     ) {
-        self.rows.push(Row { role: self.role, situation, part, quantity, came, budget, carried_by });
+        self.rows.push(Row { role: self.role, situation, part, quantity, estimate, budget, carried_by });
     }
 }
 
-fn sheet(size: &Size, slopes: &Slopes, which: &dyn Fn(&str) -> usize) -> Vec<Row> {
-    let mut sheet = Sheet::new(size, slopes, which);
-    crate::roles::all(&mut sheet);
+fn fill_worksheet(target: &Target, slopes: &Slopes, choose: &dyn Fn(&str) -> usize) -> Vec<Row> {
+    let mut sheet = Worksheet::new(target, slopes, choose);
+    crate::roles::add_all(&mut sheet);
     let mut rows = sheet.rows;
     rows.sort_by_key(|row| (row.role, row.situation));
     rows
 }
 
-/// What the parameter alone does, gone from its first value to its second: the figure that it moves most, and by what
-/// factor. `None` if it moves no figure, but a budget.
-pub(crate) fn moves_most(
-    size: &Size,
+/// The figure that changes most, and by which factor, if this parameter alone goes from its first to its second value.
+/// `None` if it changes only budgets.
+pub(crate) fn largest_effect(
+    target: &Target,
     slopes: &Slopes,
     name: &str,
 ) -> Option<(Role, &'static str, Quantity, f64)> {
-    let first = sheet(size, slopes, &|_| 0);
-    let moved = sheet(size, slopes, &|other| usize::from(other == name));
-    let mut most: Option<(f64, &Row)> = None;
-    for (before, after) in first.iter().zip(&moved) {
-        let (Some(from), Some(to)) = (before.came.amount(), after.came.amount()) else { continue };
+    let first = fill_worksheet(target, slopes, &|_| 0);
+    let changed = fill_worksheet(target, slopes, &|other| usize::from(other == name));
+    let mut largest: Option<(f64, &Row)> = None;
+    for (before, after) in first.iter().zip(&changed) {
+        let (Some(from), Some(to)) = (before.estimate.value(), after.estimate.value()) else { continue };
         if from <= 0.0 || to <= 0.0 || from == to {
             continue;
         }
-        let far = |factor: f64| factor.max(1.0 / factor);
-        if most.is_none_or(|most| far(to / from) > far(most.0) * 1.000_001) {
-            most = Some((to / from, before));
+        let magnitude = |factor: f64| factor.max(1.0 / factor);
+        if largest.is_none_or(|largest| magnitude(to / from) > magnitude(largest.0) * 1.000_001) {
+            largest = Some((to / from, before));
         }
     }
-    most.map(|(factor, row)| (row.role, row.part, row.quantity, factor))
+    largest.map(|(factor, row)| (row.role, row.part, row.quantity, factor))
 }
 
-/// All figures at both values of the parameters, all bounds, and what is over, worst first.
-pub fn work_out(size: Size, slopes: Slopes) -> Book {
-    let (first, second) = (sheet(&size, &slopes, &|_| 0), sheet(&size, &slopes, &|_| 1));
+/// Calculates all figures at both values of the parameters, all bounds, and the overruns, worst first.
+pub fn build_report(target: Target, slopes: Slopes) -> Report {
+    let (first, second) =
+        (fill_worksheet(&target, &slopes, &|_| 0), fill_worksheet(&target, &slopes, &|_| 1));
     let figures: Vec<Figure> =
-        first.into_iter().zip(second).map(|(first, second)| both(first, second)).collect();
-    let bounds = bounds(&size);
-    let mut over: Vec<Over> = figures
+        first.into_iter().zip(second).map(|(first, second)| merge_rows(first, second)).collect();
+    let bounds = bounds(&target);
+    let mut over: Vec<Overrun> = figures
         .iter()
-        .filter_map(|figure| Some(Over::Figure(Box::new(figure.clone()), figure.factors()?)))
-        .chain(bounds.iter().map(|bound| Over::Bound(bound.clone(), bound.factors())))
-        .filter(|over| over.worst() > 1.0)
+        .filter_map(|figure| Some(Overrun::Figure(Box::new(figure.clone()), figure.factors()?)))
+        .chain(bounds.iter().map(|bound| Overrun::Bound(bound.clone(), bound.factors())))
+        .filter(|over| over.max_factor() > 1.0)
         .collect();
-    over.sort_by(|a, b| b.worst().total_cmp(&a.worst()));
-    Book { size, slopes, figures, bounds, over }
+    over.sort_by(|a, b| b.max_factor().total_cmp(&a.max_factor()));
+    Report { target, slopes, figures, bounds, over }
 }
 
-fn both(first: Row, second: Row) -> Figure {
-    let at = first.came.amount().zip(second.came.amount()).map(|(first, second)| Pair([first, second]));
-    let mut waits_for = first.came.without();
-    waits_for.extend(second.came.without().into_iter().filter(|slope| !first.came.without().contains(slope)));
+fn merge_rows(first: Row, second: Row) -> Figure {
+    let at = first.estimate.value().zip(second.estimate.value()).map(|(first, second)| Pair([first, second]));
+    let mut waits_for = first.estimate.missing_slopes();
+    waits_for.extend(
+        second
+            .estimate
+            .missing_slopes()
+            .into_iter()
+            .filter(|slope| !first.estimate.missing_slopes().contains(slope)),
+    );
     Figure {
         role: first.role,
         situation: first.situation,
         part: first.part,
         quantity: first.quantity,
         at,
-        kind: first.came.kind(),
-        beyond: first.came.beyond().max(second.came.beyond()),
+        kind: first.estimate.kind(),
+        beyond: first.estimate.extrapolation().max(second.estimate.extrapolation()),
         waits_for,
         budget: first.budget.zip(second.budget).map(|(first, second)| Pair([first, second])),
         carried_by: first.carried_by,
--- a/crates/capacity/src/page.rs
+++ b/crates/capacity/src/page.rs
@@ -1,35 +1,37 @@
-//! The tables of docs/CAPACITY.md, and the page with its tables renewed.
+//! Renders the tables of docs/CAPACITY.md and updates them in the page.
 
-use crate::model::{moves_most, Book, Figure, Over, Role, Situation};
-use crate::size::{Pair, PARAMETERS};
+use crate::estimate::Kind;
+use crate::format::{format_exact, format_factors, format_in_unit, format_number, format_quantity};
+use crate::model::{largest_effect, Figure, Overrun, Report, Role, Situation};
 use crate::slopes::{Run, Slope};
-use crate::worked::Kind;
-use crate::write::{amount, factors, in_unit, number, whole};
+use crate::target::{Pair, PARAMETERS};
 
-/// A block of the page: its name between the marks, and what stands there.
+/// A generated block of the page: the name in its markers, and its text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Section {
     pub name: &'static str,
     pub text: String,
 }
 
-/// All blocks, in the page's order.
-pub fn sections(book: &Book) -> Vec<Section> {
-    let runs = runs(book);
-    let mut all =
-        vec![Section { name: "over", text: over(book, &runs) }, Section { name: "waits", text: waits(book) }];
+/// All generated blocks, in the order of the page.
+pub fn sections(report: &Report) -> Vec<Section> {
+    let runs = runs(report);
+    let mut all = vec![
+        Section { name: "over", text: overruns(report, &runs) },
+        Section { name: "waits", text: pending(report) },
+    ];
     for role in Role::ALL {
-        all.push(Section { name: mark(role), text: role_table(book, role, &runs) });
+        all.push(Section { name: marker_name(role), text: role_table(report, role, &runs) });
     }
-    all.push(Section { name: "bounds", text: bounds(book) });
-    all.push(Section { name: "parameters", text: parameters(book) });
-    all.push(Section { name: "path", text: path(book) });
-    all.push(Section { name: "slopes", text: slopes(book, &runs) });
+    all.push(Section { name: "bounds", text: bounds(report) });
+    all.push(Section { name: "parameters", text: parameters(report) });
+    all.push(Section { name: "path", text: data_path(report) });
+    all.push(Section { name: "slopes", text: slopes(report, &runs) });
     all.push(Section { name: "runs", text: run_table(&runs) });
     all
 }
 
-fn mark(role: Role) -> &'static str {
+fn marker_name(role: Role) -> &'static str {
     match role {
         Role::Voter => "voter",
         Role::ControlMachine => "control-machine",
@@ -40,16 +42,16 @@
     }
 }
 
-/// What the command prints.
-pub fn print(book: &Book) -> String {
-    let texts: Vec<String> = sections(book).into_iter().map(|section| section.text).collect();
+/// The output of the command.
+pub fn render(report: &Report) -> String {
+    let texts: Vec<String> = sections(report).into_iter().map(|section| section.text).collect();
     texts.join("\n")
 }
 
-/// The page with its tables as the book has them; an error for a mark that is missing or there twice.
-pub fn renew(page: &str, book: &Book) -> Result<String, String> {
+/// The page with its tables taken from the report. Fails if a marker is missing, duplicated or out of order.
+pub fn update_page(page: &str, report: &Report) -> Result<String, String> {
     let (mut rest, mut text) = (page, String::new());
-    for section in sections(book) {
+    for section in sections(report) {
         let (begin, end) =
             (format!("<!-- table: {} -->\n", section.name), format!("<!-- end: {} -->\n", section.name));
         if page.matches(&begin).count() != 1 || page.matches(&end).count() != 1 {
@@ -67,18 +69,18 @@
     Ok(text + rest)
 }
 
-fn table(head: &[&str], rows: Vec<Vec<String>>) -> String {
+fn table(header: &[&str], rows: Vec<Vec<String>>) -> String {
     let line = |cells: Vec<String>| format!("| {} |\n", cells.join(" | "));
-    let mut text = line(head.iter().map(ToString::to_string).collect());
-    text += &format!("|{}\n", " --- |".repeat(head.len()));
+    let mut text = line(header.iter().map(ToString::to_string).collect());
+    text += &format!("|{}\n", " --- |".repeat(header.len()));
     rows.into_iter().for_each(|row| text += &line(row));
     text
 }
 
-/// Runs by number, each once.
-fn runs(book: &Book) -> Vec<Run> {
+/// All distinct runs. A run's number is its position, counted from 1.
+fn runs(report: &Report) -> Vec<Run> {
     let mut all: Vec<Run> = Vec::new();
-    for slope in book.slopes.0.iter().filter(|slope| !slope.points.is_empty()) {
+    for slope in report.slopes.0.iter().filter(|slope| !slope.points.is_empty()) {
         if !all.contains(&slope.run) {
             all.push(slope.run.clone());
         }
@@ -87,22 +89,22 @@
 }
 
 fn run_of(slope: &Slope, runs: &[Run]) -> String {
-    runs.iter().position(|run| *run == slope.run).map_or("-".into(), |at| (at + 1).to_string())
+    runs.iter().position(|run| *run == slope.run).map_or("-".into(), |index| (index + 1).to_string())
 }
 
-fn kind(book: &Book, figure: &Figure, runs: &[Run]) -> String {
-    let kind = kind_alone(book, figure, runs);
+fn format_kind_and_extrapolation(report: &Report, figure: &Figure, runs: &[Run]) -> String {
+    let kind = format_kind(report, figure, runs);
     if figure.beyond > 1.05 {
-        format!("{kind} (at {} x its largest size)", number(figure.beyond))
+        format!("{kind} (at {} x its largest size)", format_number(figure.beyond))
     } else {
         kind
     }
 }
 
-fn kind_alone(book: &Book, figure: &Figure, runs: &[Run]) -> String {
+fn format_kind(report: &Report, figure: &Figure, runs: &[Run]) -> String {
     match &figure.kind {
         Kind::Measured { slope, .. } => {
-            let run = book.slopes.get(slope).map_or("-".into(), |slope| run_of(slope, runs));
+            let run = report.slopes.get(slope).map_or("-".into(), |slope| run_of(slope, runs));
             format!("measured: {slope}, run {run}")
         }
         Kind::Reckoned { slopes } => format!("reckoned: {}", slopes.join(", ")),
@@ -115,46 +117,46 @@
     }
 }
 
-fn pair(figure: &Figure, pair: Pair) -> (String, String) {
-    let [first, second] = pair.0.map(|value| amount(figure.quantity, value));
+fn format_pair(figure: &Figure, pair: Pair) -> (String, String) {
+    let [first, second] = pair.0.map(|value| format_quantity(figure.quantity, value));
     let second = if first == second { "same".into() } else { second };
     (first, second)
 }
 
-fn both(figure: &Figure, both: Pair) -> String {
-    match pair(figure, both) {
+fn format_pair_cell(figure: &Figure, values: Pair) -> String {
+    match format_pair(figure, values) {
         (first, second) if second == "same" => first,
         (first, second) => format!("{first}; {second}"),
     }
 }
 
-fn over(book: &Book, runs: &[Run]) -> String {
-    let row = |over: &Over| match over {
-        Over::Figure(figure, by) => vec![
-            factors(*by),
+fn overruns(report: &Report, runs: &[Run]) -> String {
+    let row = |overrun: &Overrun| match overrun {
+        Overrun::Figure(figure, factors) => vec![
+            format_factors(*factors),
             figure.role.name().into(),
             format!("{}: {}, {}", figure.situation.name(), figure.part, figure.quantity.name()),
-            figure.at.map(|at| both(figure, at)).unwrap_or_default(),
-            figure.budget.map(|budget| both(figure, budget)).unwrap_or_default(),
-            kind(book, figure, runs),
+            figure.at.map(|at| format_pair_cell(figure, at)).unwrap_or_default(),
+            figure.budget.map(|budget| format_pair_cell(figure, budget)).unwrap_or_default(),
+            format_kind_and_extrapolation(report, figure, runs),
             figure.carried_by.into(),
         ],
-        Over::Bound(bound, by) => vec![
-            factors(*by),
+        Overrun::Bound(bound, factors) => vec![
+            format_factors(*factors),
             bound.role.name().into(),
             format!("bound: {}", bound.name),
-            needs(bound.needs),
-            whole(bound.most),
-            format!("{}{}", bound.source, assumed(bound.parameter)),
+            format_needs(bound.needs),
+            format_exact(bound.most),
+            format!("{}{}", bound.source, assumed_suffix(bound.parameter)),
             bound.carried_by.into(),
         ],
     };
-    let rows = book.over.iter().map(row).collect();
-    let head = ["over by", "role", "what", "figure", "budget or bound", "kind", "carried by"];
-    format!("### Over its budget, worst first\n\n{}", table(&head, rows))
+    let rows = report.over.iter().map(row).collect();
+    let header = ["over by", "role", "what", "figure", "budget or bound", "kind", "carried by"];
+    format!("### Over its budget, worst first\n\n{}", table(&header, rows))
 }
 
-fn assumed(parameter: &str) -> String {
+fn assumed_suffix(parameter: &str) -> String {
     if parameter.is_empty() {
         String::new()
     } else {
@@ -162,17 +164,17 @@
     }
 }
 
-fn needs(needs: Pair) -> String {
-    match needs.0.map(number) {
-        [first, second] if first == second => whole(needs.0[0]),
+fn format_needs(needs: Pair) -> String {
+    match needs.0.map(format_number) {
+        [first, second] if first == second => format_exact(needs.0[0]),
         [first, second] => format!("{first}; {second}"),
     }
 }
 
-fn waits(book: &Book) -> String {
+fn pending(report: &Report) -> String {
     let mut rows = Vec::new();
-    for slope in &book.slopes.0 {
-        let waiting = book.figures.iter().filter(|figure| figure.waits_for.contains(&slope.name)).count();
+    for slope in &report.slopes.0 {
+        let waiting = report.figures.iter().filter(|figure| figure.waits_for.contains(&slope.name)).count();
         if waiting > 0 {
             let what = slope.spec().map_or("", |spec| spec.what);
             let points = slope.points.len().to_string();
@@ -187,27 +189,28 @@
     format!("### Without a figure yet\n\n{text}")
 }
 
-fn role_table(book: &Book, role: Role, runs: &[Run]) -> String {
-    let figures: Vec<&Figure> = book.figures.iter().filter(|figure| figure.role == role).collect();
+fn role_table(report: &Report, role: Role, runs: &[Run]) -> String {
+    let figures: Vec<&Figure> = report.figures.iter().filter(|figure| figure.role == role).collect();
     let mut rows = Vec::new();
-    let mut same: Vec<&str> = Vec::new();
+    let mut unlisted: Vec<&str> = Vec::new();
     for situation in Situation::ALL {
-        let of_it: Vec<&&Figure> = figures.iter().filter(|figure| figure.situation == situation).collect();
-        if of_it.is_empty() {
-            same.push(situation.name());
+        let in_situation: Vec<&&Figure> =
+            figures.iter().filter(|figure| figure.situation == situation).collect();
+        if in_situation.is_empty() {
+            unlisted.push(situation.name());
         }
-        for figure in of_it {
+        for figure in in_situation {
             let (first, second) = match figure.at {
-                Some(at) => pair(figure, at),
+                Some(at) => format_pair(figure, at),
                 None => ("no figure yet".into(), String::new()),
             };
             let kind = match figure.at {
-                Some(_) => kind(book, figure, runs),
+                Some(_) => format_kind_and_extrapolation(report, figure, runs),
                 None => format!("waits for {}", figure.waits_for.join(", ")),
             };
             let headroom = match figure.headroom() {
-                Some(room) if !room.is_finite() => "all".into(),
-                Some(room) => format!("{} x", number(room)),
+                Some(headroom) if !headroom.is_finite() => "all".into(),
+                Some(headroom) => format!("{} x", format_number(headroom)),
                 None => "-".into(),
             };
             rows.push(vec![
@@ -216,91 +219,91 @@
                 figure.quantity.name().into(),
                 first,
                 second,
-                figure.budget.map_or("-".into(), |budget| both(figure, budget)),
+                figure.budget.map_or("-".into(), |budget| format_pair_cell(figure, budget)),
                 headroom,
                 kind,
                 figure.carried_by.into(),
             ]);
         }
     }
-    let head =
+    let header =
         ["situation", "of what", "quantity", "first", "second", "budget", "headroom", "kind", "carried by"];
-    let same = if same.is_empty() {
+    let unlisted = if unlisted.is_empty() {
         String::new()
     } else {
-        format!("\nNothing of its own, as at rest: {}.\n", same.join("; "))
+        format!("\nNothing of its own, as at rest: {}.\n", unlisted.join("; "))
     };
-    format!("### {}\n\n{}{same}", role.name(), table(&head, rows))
+    format!("### {}\n\n{}{unlisted}", role.name(), table(&header, rows))
 }
 
-fn bounds(book: &Book) -> String {
+fn bounds(report: &Report) -> String {
     let row = |bound: &crate::Bound| {
-        let by = factors(bound.factors());
+        let factors = format_factors(bound.factors());
         vec![
             bound.role.name().into(),
             bound.name.into(),
-            whole(bound.most),
+            format_exact(bound.most),
             bound.source.into(),
-            needs(bound.needs) + &assumed(bound.parameter),
-            by,
+            format_needs(bound.needs) + &assumed_suffix(bound.parameter),
+            factors,
             bound.carried_by.into(),
         ]
     };
-    let rows = book.bounds.iter().map(row).collect();
-    let head = ["role", "of what", "bound", "where", "the target puts in", "of the bound", "carried by"];
-    format!("### Bounds in the program\n\n{}", table(&head, rows))
+    let rows = report.bounds.iter().map(row).collect();
+    let header = ["role", "of what", "bound", "where", "the target puts in", "of the bound", "carried by"];
+    format!("### Bounds in the program\n\n{}", table(&header, rows))
 }
 
-fn parameters(book: &Book) -> String {
-    let row = |open: &crate::size::Open| {
-        let [first, second] = book.size.pair(open.name).0.map(whole);
-        let moves = moves_most(&book.size, &book.slopes, open.name);
-        let moves = moves.map_or("budgets alone".into(), |(role, part, quantity, by)| {
-            format!("{}: {part}, {}, by {} x", role.name(), quantity.name(), number(by))
+fn parameters(report: &Report) -> String {
+    let row = |parameter: &crate::target::Parameter| {
+        let [first, second] = report.target.pair(parameter.name).0.map(format_exact);
+        let effect = largest_effect(&report.target, &report.slopes, parameter.name);
+        let effect = effect.map_or("budgets alone".into(), |(role, part, quantity, factor)| {
+            format!("{}: {part}, {}, by {} x", role.name(), quantity.name(), format_number(factor))
         });
-        vec![open.name.into(), open.what.into(), first, second, moves]
+        vec![parameter.name.into(), parameter.what.into(), first, second, effect]
     };
     let rows = PARAMETERS.iter().map(row).collect();
-    let head = ["parameter", "what", "first", "second", "moves most, from first to second"];
-    format!("### What the target leaves open\n\n{}", table(&head, rows))
+    let header = ["parameter", "what", "first", "second", "moves most, from first to second"];
+    format!("### What the target leaves open\n\n{}", table(&header, rows))
 }
 
-/// What was measured on the data path, rate by rate.
-fn path(book: &Book) -> String {
+/// The measurements of the data path by request rate.
+fn data_path(report: &Report) -> String {
     let names = ["proxy.added_p50", "proxy.added_p99", "proxy.core"];
-    let points = |name: &str| book.slopes.get(name).map(|slope| slope.points.clone()).unwrap_or_default();
+    let points = |name: &str| report.slopes.get(name).map(|slope| slope.points.clone()).unwrap_or_default();
     let at = |name: &str, rate: f64| {
         let found = points(name).into_iter().find(|point| point[0] == rate);
-        let unit = book.slopes.get(name).and_then(Slope::spec).map_or("", |spec| spec.unit);
-        found.map_or("-".into(), |point| in_unit(unit, point[1]))
+        let unit = report.slopes.get(name).and_then(Slope::spec).map_or("", |spec| spec.unit);
+        found.map_or("-".into(), |point| format_in_unit(unit, point[1]))
     };
     let row = |point: [f64; 2]| {
         let rate = point[0];
-        std::iter::once(whole(rate)).chain(names.iter().map(|name| at(name, rate))).collect()
+        std::iter::once(format_exact(rate)).chain(names.iter().map(|name| at(name, rate))).collect()
     };
     let rows = points(names[0]).into_iter().map(row).collect();
-    let head = ["requests a second", "added, p50", "added, p99", "the proxy's processor time"];
-    format!("### Time that one proxy adds, as measured\n\n{}", table(&head, rows))
+    let header = ["requests a second", "added, p50", "added, p99", "the proxy's processor time"];
+    format!("### Time that one proxy adds, as measured\n\n{}", table(&header, rows))
 }
 
-fn slopes(book: &Book, runs: &[Run]) -> String {
+fn slopes(report: &Report, runs: &[Run]) -> String {
     let mut rows = Vec::new();
-    for slope in &book.slopes.0 {
+    for slope in &report.slopes.0 {
         let (Some(spec), false) = (slope.spec(), slope.points.is_empty()) else { continue };
         let sizes = slope.points.iter().map(|point| point[0]);
-        let (least, most) = sizes.fold((f64::INFINITY, 0f64), |(least, most), x| (least.min(x), most.max(x)));
-        let (line, off) = match slope.fit() {
+        let (min, max) = sizes.fold((f64::INFINITY, 0f64), |(min, max), x| (min.min(x), max.max(x)));
+        let (line, error) = match slope.fit() {
             Some(fit) => (
                 format!(
                     "{} {} {} x",
-                    in_unit(spec.unit, fit.base),
-                    if fit.rise < 0.0 { "-" } else { "+" },
-                    in_unit(spec.unit, fit.rise.abs())
+                    format_in_unit(spec.unit, fit.intercept),
+                    if fit.gradient < 0.0 { "-" } else { "+" },
+                    format_in_unit(spec.unit, fit.gradient.abs())
                 ),
                 format!(
                     "{}, worst {}% of the largest",
-                    in_unit(spec.unit, fit.residual),
-                    number(fit.worst * 100.0)
+                    format_in_unit(spec.unit, fit.residual),
+                    format_number(fit.max_relative_error * 100.0)
                 ),
             ),
             None => ("one size: no line".into(), "-".into()),
@@ -313,20 +316,20 @@
                 slope.points.len(),
                 if slope.points.len() < 5 { "(under five)" } else { "points" }
             ),
-            format!("{} to {} {}", whole(least), whole(most), spec.x),
+            format!("{} to {} {}", format_exact(min), format_exact(max), spec.x),
             line,
-            off,
+            error,
             run_of(slope, runs),
         ]);
     }
-    let head = ["slope", "of what", "points", "measured at", "line", "residual", "run"];
-    format!("### Slopes\n\n{}", table(&head, rows))
+    let header = ["slope", "of what", "points", "measured at", "line", "residual", "run"];
+    format!("### Slopes\n\n{}", table(&header, rows))
 }
 
 fn run_table(runs: &[Run]) -> String {
-    let row = |(at, run): (usize, &Run)| {
+    let row = |(index, run): (usize, &Run)| {
         vec![
-            (at + 1).to_string(),
+            (index + 1).to_string(),
             format!("`{}`", run.command),
             run.date.clone(),
             run.build.clone(),
--- a/crates/capacity/src/roles.rs
+++ b/crates/capacity/src/roles.rs
@@ -1,15 +1,15 @@
-//! What each role has to do, line by line. A day's restarts and failures count as the list's servers altogether: how they
-//! spread over roles the target does not say, and this is the most that a planner can hear of.
+//! The figures of each role. All restarts and failures of a day are counted as those of listed servers: the target does not
+//! say how they are distributed over the roles, and this is the upper bound of what a planner is notified about.
 
-use crate::model::{Quantity::*, Role, Sheet, Situation::*};
-use crate::worked::Worked;
+use crate::estimate::Estimate;
+use crate::model::{Quantity::*, Role, Situation::*, Worksheet};
 
 const DAY_S: f64 = 86_400.0;
-const SCOPE: &str = "services_a_planner";
-/// Beyond these a planner tells nothing (`MAX_KEYS` of counts).
-const MOST_FIGURES: f64 = 1_024.0;
+const SERVICES_PER_PLANNER: &str = "services_a_planner";
+/// A planner shares no more figures than this (`MAX_KEYS` in the counts crate).
+const MAX_SHARED_FIGURES: f64 = 1_024.0;
 
-const LIST: &str = "list, whole at every planner";
+const LIST_WHOLE: &str = "list, whole at every planner";
 const LIST_SCOPED: &str = "none yet: a list by scope";
 const RECORD: &str = "agreement among the voters";
 const TIER: &str = "tier: watches at control machines";
@@ -21,7 +21,7 @@
 const PATH: &str = "proxy, one core";
 const DUTIES: &str = "leases of the record";
 
-pub(crate) fn all(sheet: &mut Sheet<'_>) {
+pub(crate) fn add_all(sheet: &mut Worksheet<'_>) {
     voter(sheet);
     control_machine(sheet);
     planner(sheet);
@@ -30,180 +30,198 @@
     operators(sheet);
 }
 
-/// Of all that is spread evenly over services, the part of those that one planner stands before.
-fn scoped(sheet: &Sheet<'_>, all: f64) -> Worked {
-    sheet.open(SCOPE) * (all / sheet.size.services)
+/// The share of one planner's services, out of a total that is spread evenly over all services.
+fn per_planner(sheet: &Worksheet<'_>, all: f64) -> Estimate {
+    sheet.parameter(SERVICES_PER_PLANNER) * (all / sheet.target.services)
 }
 
-/// Words of the list a second on the ordinary day.
-fn list_words(sheet: &Sheet<'_>) -> Worked {
-    let (restarts, failures) = (sheet.size.restarts_per_day, sheet.size.failures_per_day);
-    sheet.open("list_changes_a_restart") * ((restarts + failures) / DAY_S)
+/// Changes of the list per second on an ordinary day.
+fn list_changes_per_s(sheet: &Worksheet<'_>) -> Estimate {
+    let (restarts, failures) = (sheet.target.restarts_per_day, sheet.target.failures_per_day);
+    sheet.parameter("list_changes_a_restart") * ((restarts + failures) / DAY_S)
 }
 
-/// Watches that one control machine holds while some are out.
-fn watches(sheet: &Sheet<'_>) -> Worked {
-    sheet.size.planners / (sheet.open("machines_out") * -1.0 + sheet.size.machines)
+/// Watches per control machine while some machines are out.
+fn watches_per_machine(sheet: &Worksheet<'_>) -> Estimate {
+    sheet.target.planners / (sheet.parameter("machines_out") * -1.0 + sheet.target.machines)
 }
 
-/// Probes a second that a planner makes of so many servers, all in order: each every 2 s, 60 at most (the module's
-/// `PROBES_PER_S`).
-fn probes(servers: f64) -> f64 {
+/// Probes per second of one planner for so many healthy servers: each server every 2 s, at most 60 per second in total
+/// (`PROBES_PER_S` in the planner crate).
+fn probes_per_s(servers: f64) -> f64 {
     (servers / 2.0).min(60.0)
 }
 
-fn voter(sheet: &mut Sheet<'_>) {
-    sheet.of(Role::Voter);
-    let size = sheet.size;
-    let (memory, open) = (Some(sheet.value("machine_memory")), Some(sheet.value("descriptors")));
-    let day = size.changes_per_day / DAY_S;
+fn voter(sheet: &mut Worksheet<'_>) {
+    sheet.set_role(Role::Voter);
+    let target = sheet.target;
+    let (memory, descriptors) =
+        (Some(sheet.parameter_value("machine_memory")), Some(sheet.parameter_value("descriptors")));
+    let day = target.changes_per_day / DAY_S;
     let rest = [
-        ("a day's entries", State, sheet.at("record.disk", size.changes_per_day), None),
-        ("words to the other voters", Messages, sheet.at("record.messages", 0.0), None),
-        ("words to the other voters", Bytes, sheet.at("record.bytes", 0.0), None),
-        ("leader", Core, sheet.at("record.core", 0.0), Some(1.0)),
-        ("leader, a day's entries", Memory, sheet.at("record.memory", size.changes_per_day), memory),
-        ("voter", Descriptors, sheet.at("record.descriptors", size.voters), open),
+        ("a day's entries", State, sheet.value_at("record.disk", target.changes_per_day), None),
+        ("words to the other voters", Messages, sheet.value_at("record.messages", 0.0), None),
+        ("words to the other voters", Bytes, sheet.value_at("record.bytes", 0.0), None),
+        ("leader", Core, sheet.value_at("record.core", 0.0), Some(1.0)),
+        ("leader, a day's entries", Memory, sheet.value_at("record.memory", target.changes_per_day), memory),
+        ("voter", Descriptors, sheet.value_at("record.descriptors", target.voters), descriptors),
     ];
-    for (part, quantity, came, budget) in rest {
-        sheet.put(Rest, part, quantity, came, budget, RECORD);
+    for (part, quantity, estimate, budget) in rest {
+        sheet.add(Rest, part, quantity, estimate, budget, RECORD);
     }
-    for (situation, rate) in [(Day, day), (Burst, size.changes_burst)] {
-        sheet.put(situation, "changes", Messages, sheet.at("record.messages", rate), None, RECORD);
-        sheet.put(situation, "changes", Bytes, sheet.at("record.bytes", rate), None, RECORD);
-        sheet.put(situation, "changes", Core, sheet.at("record.core", rate), Some(1.0), RECORD);
+    for (situation, rate) in [(Day, day), (Burst, target.changes_burst)] {
+        sheet.add(situation, "changes", Messages, sheet.value_at("record.messages", rate), None, RECORD);
+        sheet.add(situation, "changes", Bytes, sheet.value_at("record.bytes", rate), None, RECORD);
+        sheet.add(situation, "changes", Core, sheet.value_at("record.core", rate), Some(1.0), RECORD);
     }
-    let part = size.changes_burst / sheet.at("record.rate", size.voters);
-    sheet.put(Burst, "orders, of those it can keep", Part, part, Some(1.0), RECORD);
+    let part = target.changes_burst / sheet.value_at("record.rate", target.voters);
+    sheet.add(Burst, "orders, of those it can keep", Part, part, Some(1.0), RECORD);
     for situation in [Rack, Zone, Region] {
-        let without = sheet.at("record.without_leader", size.voters);
-        sheet.put(situation, "without a leader, were it there", Time, without, Some(size.in_force_s), RECORD);
+        let without_leader = sheet.value_at("record.without_leader", target.voters);
+        sheet.add(
+            situation,
+            "without a leader, were it there",
+            Time,
+            without_leader,
+            Some(target.in_force_s),
+            RECORD,
+        );
     }
-    let missed = sheet.each("record.disk") * (day * size.cut_s) / size.in_force_s;
-    sheet.put(Healed, "a voter's entries of the hour", Bytes, missed, None, RECORD);
+    let missed = sheet.unit_cost("record.disk") * (day * target.cut_s) / target.in_force_s;
+    sheet.add(Healed, "a voter's entries of the hour", Bytes, missed, None, RECORD);
 }
 
-fn control_machine(sheet: &mut Sheet<'_>) {
-    sheet.of(Role::ControlMachine);
-    let size = sheet.size;
-    let (memory, open) = (Some(sheet.value("machine_memory")), Some(sheet.value("descriptors")));
-    let held = watches(sheet);
-    // What the planners that watch it may spend in all.
-    let bytes = Some(held.amount().unwrap_or(0.0) * size.planner_bytes_per_s);
+fn control_machine(sheet: &mut Worksheet<'_>) {
+    sheet.set_role(Role::ControlMachine);
+    let target = sheet.target;
+    let (memory, descriptors) =
+        (Some(sheet.parameter_value("machine_memory")), Some(sheet.parameter_value("descriptors")));
+    let watches = watches_per_machine(sheet);
+    // The sum of the budgets of the planners that watch this machine.
+    let bytes = Some(watches.value().unwrap_or(0.0) * target.planner_bytes_per_s);
     let rest = [
         (Messages, "tier.machine.messages", None),
         (Bytes, "tier.machine.bytes", bytes),
         (Core, "tier.machine.core", Some(1.0)),
         (Memory, "tier.machine.memory", memory),
-        (Descriptors, "tier.machine.descriptors", open),
+        (Descriptors, "tier.machine.descriptors", descriptors),
     ];
-    sheet.put(
+    sheet.add(
         Rest,
         "all changes of a day in force",
         State,
-        sheet.at("tier.snapshot", size.changes_per_day),
+        sheet.value_at("tier.snapshot", target.changes_per_day),
         None,
         TIER,
     );
     for (quantity, slope, budget) in rest {
-        sheet.put(Rest, "watches", quantity, sheet.through(slope, held.clone()), budget, TIER);
+        sheet.add(Rest, "watches", quantity, sheet.project(slope, watches.clone()), budget, TIER);
     }
-    let scope = scoped(sheet, 1.0);
-    let words = held.clone() * scope.clone() * sheet.open("change_bytes") * (size.changes_per_day / DAY_S);
-    sheet.put(Day, "changes to those whose scope has them", Bytes, words, bytes, TIER);
-    let words = held.clone() * scope.clone() * sheet.open("change_bytes") * size.changes_burst;
-    sheet.put(Burst, "changes to those whose scope has them", Bytes, words, bytes, TIER);
+    let scope = per_planner(sheet, 1.0);
+    let changes =
+        watches.clone() * scope.clone() * sheet.parameter("change_bytes") * (target.changes_per_day / DAY_S);
+    sheet.add(Day, "changes to those whose scope has them", Bytes, changes, bytes, TIER);
+    let changes = watches.clone() * scope.clone() * sheet.parameter("change_bytes") * target.changes_burst;
+    sheet.add(Burst, "changes to those whose scope has them", Bytes, changes, bytes, TIER);
     let burst = [(Bytes, "tier.machine.burst_bytes", bytes), (Core, "tier.machine.burst_core", Some(1.0))];
     for (quantity, slope, budget) in burst {
-        sheet.put(Burst, "watches", quantity, sheet.through(slope, held.clone()), budget, TIER);
+        sheet.add(Burst, "watches", quantity, sheet.project(slope, watches.clone()), budget, TIER);
     }
-    // Each tells each other whom it serves and what they have in force: one account with the watches.
+    // The machines tell each other which planners they serve and what those have in force, which shares the budget of the
+    // watches.
     let links = [
         (Rest, "tier.machine.bytes", "tier.machine.members_bytes"),
         (Burst, "tier.machine.burst_bytes", "tier.machine.members_burst"),
     ];
-    for (situation, watches, members) in links {
-        let both = sheet.through(watches, held.clone()) + sheet.through(members, held.clone());
-        sheet.put(situation, "watches and words to the other machines", Bytes, both, bytes, TIER);
+    for (situation, watch_slope, member_slope) in links {
+        let both = sheet.project(watch_slope, watches.clone()) + sheet.project(member_slope, watches.clone());
+        sheet.add(situation, "watches and words to the other machines", Bytes, both, bytes, TIER);
     }
-    let snapshot = sheet.through("tier.snapshot", scope * size.changes_per_day);
-    let anew = held.clone() / sheet.open("release_s");
-    sheet.put(Release, "watches anew", Messages, anew.clone(), None, TIER);
-    sheet.put(Release, "snapshots", Bytes, anew * snapshot.clone(), bytes, TIER);
+    let snapshot = sheet.project("tier.snapshot", scope * target.changes_per_day);
+    let reconnects = watches.clone() / sheet.parameter("release_s");
+    sheet.add(Release, "watches anew", Messages, reconnects.clone(), None, TIER);
+    sheet.add(Release, "snapshots", Bytes, reconnects * snapshot.clone(), bytes, TIER);
     for situation in [Rack, Zone, Region] {
-        let again = sheet.at("tier.watch_again", size.planners);
+        let recovery = sheet.value_at("tier.watch_again", target.planners);
         let part = "another machine's watches, were it there";
-        sheet.put(situation, part, Time, again, Some(size.in_force_s), TIER);
+        sheet.add(situation, part, Time, recovery, Some(target.in_force_s), TIER);
     }
-    let back = snapshot * (size.planners / size.regions) / size.in_force_s;
-    let each = back / (sheet.open("machines_out") * -1.0 + size.machines);
-    sheet.put(Healed, "a region's planners caught up", Bytes, each, bytes, TIER);
-    let healed = sheet.at("tier.healed", (size.planners / size.regions).round());
-    sheet.put(Healed, "a region's planners caught up", Time, healed, Some(size.in_force_s), TIER);
+    let resent = snapshot * (target.planners / target.regions) / target.in_force_s;
+    let each = resent / (sheet.parameter("machines_out") * -1.0 + target.machines);
+    sheet.add(Healed, "a region's planners caught up", Bytes, each, bytes, TIER);
+    let healed = sheet.value_at("tier.healed", (target.planners / target.regions).round());
+    sheet.add(Healed, "a region's planners caught up", Time, healed, Some(target.in_force_s), TIER);
 }
 
-fn planner(sheet: &mut Sheet<'_>) {
-    sheet.of(Role::Planner);
-    at_rest(sheet);
-    on_the_day(sheet);
-    released(sheet);
-    lost(sheet);
+fn planner(sheet: &mut Worksheet<'_>) {
+    sheet.set_role(Role::Planner);
+    planner_at_rest(sheet);
+    planner_by_day(sheet);
+    planner_at_release(sheet);
+    planner_after_loss(sheet);
 }
 
-fn at_rest(sheet: &mut Sheet<'_>) {
-    let size = sheet.size;
-    let (core, memory) = (Some(size.planner_core), Some(size.planner_memory));
-    let bytes = Some(size.planner_bytes_per_s);
-    let open = Some(sheet.value("descriptors"));
-    let servers = scoped(sheet, size.servers);
-    let proxies = sheet.open("proxies_a_planner");
-    let peers = scoped(sheet, size.planners);
+fn planner_at_rest(sheet: &mut Worksheet<'_>) {
+    let target = sheet.target;
+    let (core, memory) = (Some(target.planner_core), Some(target.planner_memory));
+    let bytes = Some(target.planner_bytes_per_s);
+    let descriptors = Some(sheet.parameter_value("descriptors"));
+    let servers = per_planner(sheet, target.servers);
+    let proxies = sheet.parameter("proxies_a_planner");
+    let peers = per_planner(sheet, target.planners);
     let (all, own) = ("list of all servers", "list of its services' servers");
-    sheet.put(Rest, all, State, sheet.at("list.kept", size.servers), None, LIST);
-    sheet.put(Rest, all, Core, sheet.at("list.core", size.servers), core, LIST);
-    sheet.put(Rest, all, Memory, sheet.at("list.memory", size.servers), memory, LIST);
-    sheet.put(Rest, own, Core, sheet.through("scope.core", servers.clone()), core, LIST_SCOPED);
-    sheet.put(Rest, own, Memory, sheet.through("scope.memory", servers.clone()), memory, LIST_SCOPED);
+    sheet.add(Rest, all, State, sheet.value_at("list.kept", target.servers), None, LIST_WHOLE);
+    sheet.add(Rest, all, Core, sheet.value_at("list.core", target.servers), core, LIST_WHOLE);
+    sheet.add(Rest, all, Memory, sheet.value_at("list.memory", target.servers), memory, LIST_WHOLE);
+    sheet.add(Rest, own, Core, sheet.project("scope.core", servers.clone()), core, LIST_SCOPED);
+    sheet.add(Rest, own, Memory, sheet.project("scope.memory", servers.clone()), memory, LIST_SCOPED);
 
-    let streams = sheet.each("stream.memory") * proxies.clone();
-    sheet.put(Rest, "streams", Messages, sheet.through("stream.messages", proxies.clone()), None, STREAMS);
-    sheet.put(Rest, "streams", Bytes, sheet.through("stream.bytes", proxies.clone()), bytes, STREAMS);
-    sheet.put(Rest, "streams", Core, sheet.each("stream.core") * proxies.clone(), core, STREAMS);
-    sheet.put(Rest, "streams", Memory, streams.clone(), memory, STREAMS);
-    let held = sheet.at("list.descriptors", size.servers) + proxies.clone();
-    sheet.put(Rest, "list and streams", Descriptors, held, open, STREAMS);
+    let streams = sheet.unit_cost("stream.memory") * proxies.clone();
+    sheet.add(Rest, "streams", Messages, sheet.project("stream.messages", proxies.clone()), None, STREAMS);
+    sheet.add(Rest, "streams", Bytes, sheet.project("stream.bytes", proxies.clone()), bytes, STREAMS);
+    sheet.add(Rest, "streams", Core, sheet.unit_cost("stream.core") * proxies.clone(), core, STREAMS);
+    sheet.add(Rest, "streams", Memory, streams.clone(), memory, STREAMS);
+    let held = sheet.value_at("list.descriptors", target.servers) + proxies.clone();
+    sheet.add(Rest, "list and streams", Descriptors, held, descriptors, STREAMS);
 
     for (quantity, slope, budget) in
         [(Messages, "probes.messages", None), (Bytes, "probes.bytes", bytes), (Core, "probes.core", core)]
     {
-        let all = sheet.each(slope) * probes(size.servers);
-        sheet.put(Rest, "probes of all servers, as many as it makes at most", quantity, all, budget, PROBES);
-        let own = servers.clone().map(probes) * sheet.each(slope);
-        sheet.put(Rest, "probes of its services' servers", quantity, own, budget, PROBES);
+        let all = sheet.unit_cost(slope) * probes_per_s(target.servers);
+        sheet.add(Rest, "probes of all servers, as many as it makes at most", quantity, all, budget, PROBES);
+        let own = servers.clone().map(probes_per_s) * sheet.unit_cost(slope);
+        sheet.add(Rest, "probes of its services' servers", quantity, own, budget, PROBES);
     }
-    let off = sheet.at("list.core_unprobed", size.servers);
-    sheet.put(Rest, "list of all servers, probes off", Core, off, core, LIST);
+    let off = sheet.value_at("list.core_unprobed", target.servers);
+    sheet.add(Rest, "list of all servers, probes off", Core, off, core, LIST_WHOLE);
 
-    let everybody = (size.planners - 1.0) * size.servers;
-    let among = (peers - 1.0) * servers.clone();
+    let all_figures = (target.planners - 1.0) * target.servers;
+    let scoped_figures = (peers - 1.0) * servers.clone();
     for (quantity, slope, budget) in [(Bytes, "sharing.bytes", bytes), (Core, "sharing.core", core)] {
-        sheet.put(Rest, "sharing with all planners", quantity, sheet.at(slope, everybody), budget, SHARING);
-        let own = sheet.through(slope, among.clone());
-        sheet.put(Rest, "sharing with its services' planners", quantity, own, budget, SHARING_SCOPED);
+        sheet.add(
+            Rest,
+            "sharing with all planners",
+            quantity,
+            sheet.value_at(slope, all_figures),
+            budget,
+            SHARING,
+        );
+        let own = sheet.project(slope, scoped_figures.clone());
+        sheet.add(Rest, "sharing with its services' planners", quantity, own, budget, SHARING_SCOPED);
     }
 
-    let told = (size.planners - 1.0) * size.servers.min(MOST_FIGURES);
+    let shared = (target.planners - 1.0) * target.servers.min(MAX_SHARED_FIGURES);
     let part = "sharing with all planners, as many figures as it tells at most";
-    sheet.put(Rest, part, Bytes, sheet.at("sharing.bytes", told), bytes, SHARING);
+    sheet.add(Rest, part, Bytes, sheet.value_at("sharing.bytes", shared), bytes, SHARING);
 
-    let routes = scoped(sheet, size.routes);
-    let settings = sheet.each("routes.memory") * routes.clone();
-    sheet.put(Rest, "its services' routes", Memory, settings.clone(), memory, "settings, one file a planner");
-    sheet.put(
+    let routes = per_planner(sheet, target.routes);
+    let settings = sheet.unit_cost("routes.memory") * routes.clone();
+    sheet.add(Rest, "its services' routes", Memory, settings.clone(), memory, "settings, one file a planner");
+    sheet.add(
         Rest,
         "its services' routes",
         Core,
-        sheet.each("routes.core") * routes,
+        sheet.unit_cost("routes.core") * routes,
         core,
         "settings, one file a planner",
     );
@@ -214,238 +232,288 @@
         (Memory, "tier.planner.memory", memory),
     ];
     for (quantity, slope, budget) in tier {
-        sheet.put(Rest, "its watch", quantity, sheet.at(slope, size.planners), budget, TIER);
+        sheet.add(Rest, "its watch", quantity, sheet.value_at(slope, target.planners), budget, TIER);
     }
 
     let whole = "all of today, but its watch and sharing";
-    let used = sheet.at("list.memory", size.servers) + streams.clone() + settings.clone();
-    sheet.put(Rest, whole, Memory, used, memory, LIST);
-    let used = sheet.at("list.core", size.servers)
-        + sheet.each("probes.core") * probes(size.servers)
-        + sheet.each("stream.core") * proxies.clone();
-    sheet.put(Rest, whole, Core, used, core, LIST);
+    let total = sheet.value_at("list.memory", target.servers) + streams.clone() + settings.clone();
+    sheet.add(Rest, whole, Memory, total, memory, LIST_WHOLE);
+    let total = sheet.value_at("list.core", target.servers)
+        + sheet.unit_cost("probes.core") * probes_per_s(target.servers)
+        + sheet.unit_cost("stream.core") * proxies.clone();
+    sheet.add(Rest, whole, Core, total, core, LIST_WHOLE);
     let part = "all by scope, but its watch";
-    let used = sheet.through("scope.memory", servers.clone()) + streams + settings;
-    sheet.put(Rest, part, Memory, used, memory, LIST_SCOPED);
-    let rate = servers.clone().map(probes);
-    let used = sheet.through("scope.core", servers.clone())
-        + sheet.each("probes.core") * rate.clone()
-        + sheet.each("stream.core") * proxies.clone()
-        + sheet.through("sharing.core", among.clone());
-    sheet.put(Rest, part, Core, used, core, LIST_SCOPED);
-    let used = sheet.each("probes.bytes") * rate
-        + sheet.through("stream.bytes", proxies)
-        + sheet.through("sharing.bytes", among);
-    sheet.put(Rest, part, Bytes, used, bytes, LIST_SCOPED);
+    let total = sheet.project("scope.memory", servers.clone()) + streams + settings;
+    sheet.add(Rest, part, Memory, total, memory, LIST_SCOPED);
+    let rate = servers.clone().map(probes_per_s);
+    let total = sheet.project("scope.core", servers.clone())
+        + sheet.unit_cost("probes.core") * rate.clone()
+        + sheet.unit_cost("stream.core") * proxies.clone()
+        + sheet.project("sharing.core", scoped_figures.clone());
+    sheet.add(Rest, part, Core, total, core, LIST_SCOPED);
+    let total = sheet.unit_cost("probes.bytes") * rate
+        + sheet.project("stream.bytes", proxies)
+        + sheet.project("sharing.bytes", scoped_figures);
+    sheet.add(Rest, part, Bytes, total, bytes, LIST_SCOPED);
 }
 
-fn on_the_day(sheet: &mut Sheet<'_>) {
-    let size = sheet.size;
-    let (core, bytes) = (Some(size.planner_core), Some(size.planner_bytes_per_s));
-    let words = list_words(sheet);
-    let scope = scoped(sheet, 1.0);
-    let proxies = sheet.open("proxies_a_planner");
+fn planner_by_day(sheet: &mut Worksheet<'_>) {
+    let target = sheet.target;
+    let (core, bytes) = (Some(target.planner_core), Some(target.planner_bytes_per_s));
+    let changes = list_changes_per_s(sheet);
+    let scope = per_planner(sheet, 1.0);
+    let proxies = sheet.parameter("proxies_a_planner");
     let (all, own) = ("list of all servers", "list of its services' servers");
-    let said = sheet.through("list.change_bytes", sheet.open("servers_a_slice")) * words.clone();
-    let work = sheet.at("list.change_core", size.servers) * words.clone();
-    sheet.put(Day, all, Messages, words.clone(), None, LIST);
-    sheet.put(Day, all, Bytes, said.clone(), bytes, LIST);
-    sheet.put(Day, all, Core, work, core, LIST);
-    sheet.put(Day, own, Bytes, said * scope.clone(), bytes, LIST_SCOPED);
-    let told = sheet.through("stream.removal_core", proxies.clone()) * words * scope.clone();
-    sheet.put(Day, "its services' removals to its proxies", Core, told, core, STREAMS);
-    for (situation, rate) in [(Day, size.changes_per_day / DAY_S), (Burst, size.changes_burst)] {
-        let whole = sheet.open("change_bytes") * rate;
-        sheet.put(situation, "all changes", Bytes, whole.clone(), bytes, "tier, were it not scoped");
-        sheet.put(situation, "changes of its services", Bytes, whole * scope.clone(), bytes, TIER);
+    let bytes_received =
+        sheet.project("list.change_bytes", sheet.parameter("servers_a_slice")) * changes.clone();
+    let work = sheet.value_at("list.change_core", target.servers) * changes.clone();
+    sheet.add(Day, all, Messages, changes.clone(), None, LIST_WHOLE);
+    sheet.add(Day, all, Bytes, bytes_received.clone(), bytes, LIST_WHOLE);
+    sheet.add(Day, all, Core, work, core, LIST_WHOLE);
+    sheet.add(Day, own, Bytes, bytes_received * scope.clone(), bytes, LIST_SCOPED);
+    let removal_work = sheet.project("stream.removal_core", proxies.clone()) * changes * scope.clone();
+    sheet.add(Day, "its services' removals to its proxies", Core, removal_work, core, STREAMS);
+    for (situation, rate) in [(Day, target.changes_per_day / DAY_S), (Burst, target.changes_burst)] {
+        let whole = sheet.parameter("change_bytes") * rate;
+        sheet.add(situation, "all changes", Bytes, whole.clone(), bytes, "tier, were it not scoped");
+        sheet.add(situation, "changes of its services", Bytes, whole * scope.clone(), bytes, TIER);
     }
-    let burst = sheet.at("tier.planner.burst_bytes", size.planners);
-    sheet.put(Burst, "its watch", Bytes, burst, bytes, TIER);
-    let last = sheet.through("stream.removal_last", proxies);
-    sheet.put(Burst, "a removal at its last proxy", Time, last, Some(size.in_force_s), STREAMS);
+    let burst = sheet.value_at("tier.planner.burst_bytes", target.planners);
+    sheet.add(Burst, "its watch", Bytes, burst, bytes, TIER);
+    let last = sheet.project("stream.removal_last", proxies);
+    sheet.add(Burst, "a removal at its last proxy", Time, last, Some(target.in_force_s), STREAMS);
 }
 
-fn released(sheet: &mut Sheet<'_>) {
-    let size = sheet.size;
-    let (core, bytes, start) = (Some(size.planner_core), Some(size.planner_bytes_per_s), Some(size.start_s));
-    let servers = scoped(sheet, size.servers);
+fn planner_at_release(sheet: &mut Worksheet<'_>) {
+    let target = sheet.target;
+    let (core, bytes, start) =
+        (Some(target.planner_core), Some(target.planner_bytes_per_s), Some(target.start_s));
+    let servers = per_planner(sheet, target.servers);
     let (all, own) = ("list of all servers, taken in", "list of its services' servers, taken in");
-    let whole = sheet.at("list.bytes", size.servers);
-    sheet.put(Release, all, Bytes, whole.clone() / size.start_s, bytes, LIST);
-    sheet.put(Release, all, Core, sheet.at("list.start_core", size.servers) / size.start_s, core, LIST);
-    let some = sheet.through("scope.bytes", servers.clone()) / size.start_s;
-    sheet.put(Release, own, Bytes, some, bytes, LIST_SCOPED);
-    let some = sheet.through("scope.start_core", servers) / size.start_s;
-    sheet.put(Release, own, Core, some, core, LIST_SCOPED);
-    let source = whole * size.planners / sheet.open("release_s");
-    sheet.put(Release, "what the list's source says to all", Bytes, source, None, LIST);
-    let joined = sheet.through("stream.joined", sheet.open("proxies_a_planner"));
-    sheet.put(Release, "all its proxies bound again", Time, joined, start, STREAMS);
-    let restarted = sheet.at("tier.restarted", size.planners);
-    sheet.put(Release, "nine in ten watch again, all restarted at once", Time, restarted, start, TIER);
+    let whole = sheet.value_at("list.bytes", target.servers);
+    sheet.add(Release, all, Bytes, whole.clone() / target.start_s, bytes, LIST_WHOLE);
+    sheet.add(
+        Release,
+        all,
+        Core,
+        sheet.value_at("list.start_core", target.servers) / target.start_s,
+        core,
+        LIST_WHOLE,
+    );
+    let scoped = sheet.project("scope.bytes", servers.clone()) / target.start_s;
+    sheet.add(Release, own, Bytes, scoped, bytes, LIST_SCOPED);
+    let scoped = sheet.project("scope.start_core", servers) / target.start_s;
+    sheet.add(Release, own, Core, scoped, core, LIST_SCOPED);
+    let source = whole * target.planners / sheet.parameter("release_s");
+    sheet.add(Release, "what the list's source says to all", Bytes, source, None, LIST_WHOLE);
+    let joined = sheet.project("stream.joined", sheet.parameter("proxies_a_planner"));
+    sheet.add(Release, "all its proxies bound again", Time, joined, start, STREAMS);
+    let restarted = sheet.value_at("tier.restarted", target.planners);
+    sheet.add(Release, "nine in ten watch again, all restarted at once", Time, restarted, start, TIER);
 }
 
-fn lost(sheet: &mut Sheet<'_>) {
-    let size = sheet.size;
-    let (core, bytes) = (Some(size.planner_core), Some(size.planner_bytes_per_s));
-    let rack = sheet.open("rack_part");
-    let told = sheet.open("loss_told_s");
-    let (zone, zone_planners) = (size.servers / size.zones, size.planners / size.zones);
-    let (region, region_planners) = (size.servers / size.regions, size.planners / size.regions);
-    // Planners lost for each that is left.
-    let gone = |lost: f64| lost / (size.planners - lost).max(1.0);
-    let zones = sheet.open("proxy_zones");
-    // Proxies that stood elsewhere than their planner go to the planners that are left.
+fn planner_after_loss(sheet: &mut Worksheet<'_>) {
+    let target = sheet.target;
+    let (core, bytes) = (Some(target.planner_core), Some(target.planner_bytes_per_s));
+    let rack = sheet.parameter("rack_part");
+    let report_time = sheet.parameter("loss_told_s");
+    let (zone, zone_planners) = (target.servers / target.zones, target.planners / target.zones);
+    let (region, region_planners) = (target.servers / target.regions, target.planners / target.regions);
+    // Lost planners per remaining planner.
+    let lost_per_remaining = |lost: f64| lost / (target.planners - lost).max(1.0);
+    let zones = sheet.parameter("proxy_zones");
+    // Proxies outside the zone of their lost planner move to the remaining planners.
     let elsewhere = (zones.clone() - 1.0) / zones;
-    let lost = [
-        (Rack, rack.clone() * zone / told.clone(), elsewhere.clone() * rack * gone(zone_planners)),
-        (Zone, zone / told.clone(), elsewhere.clone() * gone(zone_planners)),
-        (Region, region / told, elsewhere * gone(region_planners)),
+    let losses = [
+        (
+            Rack,
+            rack.clone() * zone / report_time.clone(),
+            elsewhere.clone() * rack * lost_per_remaining(zone_planners),
+        ),
+        (Zone, zone / report_time.clone(), elsewhere.clone() * lost_per_remaining(zone_planners)),
+        (Region, region / report_time, elsewhere * lost_per_remaining(region_planners)),
     ];
-    for (situation, words, more) in lost {
-        // One word each, and all of its slice with it.
-        let said = sheet.through("list.change_bytes", sheet.open("servers_a_slice")) * words.clone();
-        let work = sheet.at("list.change_core", size.servers) * words;
-        sheet.put(situation, "list of all servers, a word each", Bytes, said, bytes, LIST);
-        sheet.put(situation, "list of all servers, a word each", Core, work, core, LIST);
-        let streams = sheet.each("stream.memory") * sheet.open("proxies_a_planner") * (more + 1.0);
+    for (situation, changes, more) in losses {
+        // One change per server, and each change resends its whole slice.
+        let bytes_received =
+            sheet.project("list.change_bytes", sheet.parameter("servers_a_slice")) * changes.clone();
+        let work = sheet.value_at("list.change_core", target.servers) * changes;
+        sheet.add(situation, "list of all servers, a word each", Bytes, bytes_received, bytes, LIST_WHOLE);
+        sheet.add(situation, "list of all servers, a word each", Core, work, core, LIST_WHOLE);
+        let streams = sheet.unit_cost("stream.memory") * sheet.parameter("proxies_a_planner") * (more + 1.0);
         let part = "streams, with those of lost planners";
-        sheet.put(situation, part, Memory, streams, Some(size.planner_memory), STREAMS);
+        sheet.add(situation, part, Memory, streams, Some(target.planner_memory), STREAMS);
     }
-    let hour = size.cut_s / DAY_S;
-    let missed = sheet.open("change_bytes") * scoped(sheet, size.changes_per_day * hour) / size.in_force_s;
-    sheet.put(Healed, "changes of its services in that hour", Bytes, missed, bytes, TIER);
-    let anew = sheet.at("list.bytes", size.servers) / size.in_force_s;
-    sheet.put(Healed, "list of all servers, whole again", Bytes, anew, bytes, LIST);
-    let some = sheet.through("scope.bytes", scoped(sheet, size.servers)) / size.in_force_s;
-    sheet.put(Healed, "list of its services' servers, whole again", Bytes, some, bytes, LIST_SCOPED);
+    let hour = target.cut_s / DAY_S;
+    let missed = sheet.parameter("change_bytes") * per_planner(sheet, target.changes_per_day * hour)
+        / target.in_force_s;
+    sheet.add(Healed, "changes of its services in that hour", Bytes, missed, bytes, TIER);
+    let resent = sheet.value_at("list.bytes", target.servers) / target.in_force_s;
+    sheet.add(Healed, "list of all servers, whole again", Bytes, resent, bytes, LIST_WHOLE);
+    let scoped = sheet.project("scope.bytes", per_planner(sheet, target.servers)) / target.in_force_s;
+    sheet.add(Healed, "list of its services' servers, whole again", Bytes, scoped, bytes, LIST_SCOPED);
 }
 
-fn proxy(sheet: &mut Sheet<'_>) {
-    sheet.of(Role::Proxy);
-    let size = sheet.size;
-    let (added, open) = (Some(size.added_p99_s), Some(sheet.value("descriptors")));
-    let servers = scoped(sheet, size.servers);
-    let rate = size.requests_per_s / (sheet.open("proxies_a_planner") * size.planners);
+fn proxy(sheet: &mut Worksheet<'_>) {
+    sheet.set_role(Role::Proxy);
+    let target = sheet.target;
+    let (added, descriptors) = (Some(target.added_p99_s), Some(sheet.parameter_value("descriptors")));
+    let servers = per_planner(sheet, target.servers);
+    let rate = target.requests_per_s / (sheet.parameter("proxies_a_planner") * target.planners);
     let peak = "the peak's requests, even";
-    sheet.put(
+    sheet.add(
         Rest,
         "tables of its services",
         State,
-        sheet.through("scope.table_bytes", servers.clone()),
+        sheet.project("scope.table_bytes", servers.clone()),
         None,
         STREAMS,
     );
-    sheet.put(
+    sheet.add(
         Rest,
         "tables of its services",
         Memory,
-        sheet.through("scope.proxy_memory", servers.clone()),
+        sheet.project("scope.proxy_memory", servers.clone()),
+        None,
+        STREAMS,
+    );
+    sheet.add(
+        Rest,
+        "tables of all servers",
+        Memory,
+        sheet.value_at("proxy.memory", target.servers),
         None,
         STREAMS,
     );
-    sheet.put(Rest, "tables of all servers", Memory, sheet.at("proxy.memory", size.servers), None, STREAMS);
     let all = "tables of all servers";
-    sheet.put(Rest, all, State, sheet.at("proxy.table_bytes", size.servers), None, STREAMS);
-    sheet.put(
+    sheet.add(Rest, all, State, sheet.value_at("proxy.table_bytes", target.servers), None, STREAMS);
+    sheet.add(
         Rest,
         "tables of its services, no calls",
         Core,
-        sheet.through("proxy.idle_core", servers.clone()),
+        sheet.project("proxy.idle_core", servers.clone()),
         Some(1.0),
         STREAMS,
     );
-    sheet.put(Rest, "sums to its planner, no calls", Bytes, sheet.each("stream.bytes"), None, STREAMS);
-    sheet.put(Rest, "sums to its planner, no calls", Messages, sheet.each("stream.messages"), None, STREAMS);
-    sheet.put(Rest, peak, Core, sheet.through("proxy.core_low", rate.clone()), Some(1.0), PATH);
-    sheet.put(Rest, peak, Descriptors, sheet.through("proxy.descriptors", rate.clone()), open, PATH);
+    sheet.add(Rest, "sums to its planner, no calls", Bytes, sheet.unit_cost("stream.bytes"), None, STREAMS);
+    sheet.add(
+        Rest,
+        "sums to its planner, no calls",
+        Messages,
+        sheet.unit_cost("stream.messages"),
+        None,
+        STREAMS,
+    );
+    sheet.add(Rest, peak, Core, sheet.project("proxy.core_low", rate.clone()), Some(1.0), PATH);
+    sheet.add(Rest, peak, Descriptors, sheet.project("proxy.descriptors", rate.clone()), descriptors, PATH);
     let times = [
         ("added to a request, p50", "proxy.added_p50", None),
         ("added to a request, p99", "proxy.added_p99", added),
     ];
     for (part, slope, budget) in times {
-        sheet.put(Rest, part, Time, sheet.through(slope, rate.clone()), budget, PATH);
+        sheet.add(Rest, part, Time, sheet.project(slope, rate.clone()), budget, PATH);
     }
-    let largest = rate * sheet.open("largest_planner");
+    let largest = rate * sheet.parameter("largest_planner");
     let part = "the peak's requests, at a service's largest planner";
-    sheet.put(Rest, part, Core, sheet.through("proxy.core_low", largest.clone()), Some(1.0), PATH);
+    sheet.add(Rest, part, Core, sheet.project("proxy.core_low", largest.clone()), Some(1.0), PATH);
     let part = "added to a request, p99, at a service's largest planner";
-    sheet.put(Rest, part, Time, sheet.through("proxy.added_p99", largest.clone()), added, PATH);
-    let cores = sheet.each("proxy.core") * size.requests_per_s;
-    sheet.put(Rest, "cores for all requests, proxies as full as can be", Cores, cores, None, PATH);
-    let full = sheet.slopes.up_to("proxy.added_p99", size.added_p99_s);
-    sheet.put(
+    sheet.add(Rest, part, Time, sheet.project("proxy.added_p99", largest.clone()), added, PATH);
+    let cores = sheet.unit_cost("proxy.core") * target.requests_per_s;
+    sheet.add(Rest, "cores for all requests, proxies as full as can be", Cores, cores, None, PATH);
+    let full = sheet.slopes.largest_size_within("proxy.added_p99", target.added_p99_s);
+    sheet.add(
         Rest,
         "fewest proxies that keep what may be added",
         Cores,
-        size.requests_per_s / full,
+        target.requests_per_s / full,
         None,
         PATH,
     );
-    let anew = sheet.through("scope.table_bytes", servers.clone()) / size.start_s;
-    sheet.put(Release, "its planner's tables anew", Bytes, anew, None, STREAMS);
-    for (situation, of) in [(Zone, size.zones), (Region, size.regions)] {
+    let table_bytes = sheet.project("scope.table_bytes", servers.clone()) / target.start_s;
+    sheet.add(Release, "its planner's tables anew", Bytes, table_bytes, None, STREAMS);
+    for (situation, of) in [(Zone, target.zones), (Region, target.regions)] {
         let more = largest.clone() * (of / (of - 1.0).max(1.0));
         let part = "the peak's requests on those left, largest planner";
-        sheet.put(situation, part, Core, sheet.through("proxy.core_low", more), Some(1.0), PATH);
+        sheet.add(situation, part, Core, sheet.project("proxy.core_low", more), Some(1.0), PATH);
     }
-    sheet.put(
+    sheet.add(
         Healed,
         "its planner's tables anew",
         Bytes,
-        sheet.through("scope.table_bytes", servers) / size.in_force_s,
+        sheet.project("scope.table_bytes", servers) / target.in_force_s,
         None,
         STREAMS,
     );
 }
 
-fn holder(sheet: &mut Sheet<'_>) {
-    sheet.of(Role::Holder);
-    let size = sheet.size;
-    let (core, bytes) = (Some(size.planner_core), Some(size.planner_bytes_per_s));
-    let each = size.servers / size.planners;
+fn holder(sheet: &mut Worksheet<'_>) {
+    sheet.set_role(Role::Holder);
+    let target = sheet.target;
+    let (core, bytes) = (Some(target.planner_core), Some(target.planner_bytes_per_s));
+    let each = target.servers / target.planners;
     let part = "a lease for each service's probes, and three more";
-    sheet.put(Rest, part, Core, sheet.at("duties.core", size.services + 3.0), core, DUTIES);
-    let rate = probes(each);
+    sheet.add(Rest, part, Core, sheet.value_at("duties.core", target.services + 3.0), core, DUTIES);
+    let rate = probes_per_s(each);
     let sliced =
         [(Messages, "probes.messages", None), (Bytes, "probes.bytes", bytes), (Core, "probes.core", core)];
     for (quantity, slope, budget) in sliced {
-        sheet.put(Rest, "probes of its slices", quantity, sheet.each(slope) * rate, budget, PROBES_SLICED);
+        sheet.add(
+            Rest,
+            "probes of its slices",
+            quantity,
+            sheet.unit_cost(slope) * rate,
+            budget,
+            PROBES_SLICED,
+        );
     }
     for situation in [Day, Rack, Zone, Region] {
-        let handed = sheet.at("duties.handed_on", size.voters);
-        sheet.put(situation, "handed on after its holder's loss", Time, handed, None, DUTIES);
+        let handover = sheet.value_at("duties.handed_on", target.voters);
+        sheet.add(situation, "handed on after its holder's loss", Time, handover, None, DUTIES);
     }
 }
 
-fn operators(sheet: &mut Sheet<'_>) {
-    sheet.of(Role::Operators);
-    let size = sheet.size;
-    let in_force = Some(size.in_force_s);
-    let day = size.changes_per_day / DAY_S;
-    let rate = sheet.at("record.rate", size.voters);
-    sheet.put(Day, "orders, of those that are kept", Part, day / rate.clone(), Some(1.0), RECORD);
-    sheet.put(
+fn operators(sheet: &mut Worksheet<'_>) {
+    sheet.set_role(Role::Operators);
+    let target = sheet.target;
+    let in_force = Some(target.in_force_s);
+    let day = target.changes_per_day / DAY_S;
+    let rate = sheet.value_at("record.rate", target.voters);
+    sheet.add(Day, "orders, of those that are kept", Part, day / rate.clone(), Some(1.0), RECORD);
+    sheet.add(
         Day,
         "orders",
         Bytes,
-        sheet.open("change_bytes") * day,
+        sheet.parameter("change_bytes") * day,
         None,
         "admin door of a control machine",
     );
-    sheet.put(Day, "until kept, p99", Time, sheet.at("record.kept_p99", size.voters), in_force, RECORD);
-    sheet.put(Burst, "orders, of those that are kept", Part, size.changes_burst / rate, Some(1.0), RECORD);
-    let burst = sheet.open("change_bytes") * size.changes_burst;
-    sheet.put(Burst, "orders", Bytes, burst, None, "admin door of a control machine");
+    sheet.add(
+        Day,
+        "until kept, p99",
+        Time,
+        sheet.value_at("record.kept_p99", target.voters),
+        in_force,
+        RECORD,
+    );
+    sheet.add(Burst, "orders, of those that are kept", Part, target.changes_burst / rate, Some(1.0), RECORD);
+    let burst = sheet.parameter("change_bytes") * target.changes_burst;
+    sheet.add(Burst, "orders", Bytes, burst, None, "admin door of a control machine");
     let everywhere =
         [("until in force, p99", "tier.in_force_p99"), ("until in force, worst", "tier.in_force_worst")];
     for (part, slope) in everywhere {
-        sheet.put(Day, part, Time, sheet.at(slope, size.planners), in_force, TIER);
+        sheet.add(Day, part, Time, sheet.value_at(slope, target.planners), in_force, TIER);
     }
     for situation in [Rack, Zone, Region] {
-        let without = sheet.at("record.without_leader", size.voters);
-        sheet.put(situation, "orders not kept, were the leader there", Time, without, in_force, RECORD);
+        let without_leader = sheet.value_at("record.without_leader", target.voters);
+        sheet.add(
+            situation,
+            "orders not kept, were the leader there",
+            Time,
+            without_leader,
+            in_force,
+            RECORD,
+        );
     }
-    let healed = sheet.at("tier.healed", (size.planners / size.regions).round());
-    sheet.put(Healed, "orders of that hour in force there", Time, healed, in_force, TIER);
+    let healed = sheet.value_at("tier.healed", (target.planners / target.regions).round());
+    sheet.add(Healed, "orders of that hour in force there", Time, healed, in_force, TIER);
 }
--- a/crates/capacity/src/slopes.rs
+++ b/crates/capacity/src/slopes.rs
@@ -1,23 +1,23 @@
-//! What was measured: points by size, each set with its run, and the line through them.
+//! Measured slopes: points by size, the run that produced them, and the line fitted through them.
 
+use crate::estimate::Estimate;
 use crate::fit::{fit, Fit};
-use crate::read::{read, Part, Wrongs};
-use crate::worked::Worked;
+use crate::toml_reader::{parse, FileErrors, TableReader};
 use serde::Serialize;
 
-/// A slope that figures are worked out from: what its points mean.
-pub struct Spec {
+/// A slope that figures are derived from, and the meaning of its points.
+pub struct SlopeSpec {
     pub name: &'static str,
-    /// What a point's first number counts.
+    /// What the first number of a point counts.
     pub x: &'static str,
-    /// The unit of its second number.
+    /// The unit of the second number.
     pub unit: &'static str,
     pub what: &'static str,
 }
 
-impl Spec {
-    /// What the proxy adds is a difference of two measurements, and of two that are nearly the same either may be larger.
-    fn least(&self) -> f64 {
+impl SlopeSpec {
+    /// The time that the proxy adds is a difference of two measurements, which may be negative if they are nearly equal.
+    fn min_value(&self) -> f64 {
         if self.name.starts_with("proxy.added") {
             -1e18
         } else {
@@ -26,12 +26,13 @@
     }
 }
 
-const fn spec(name: &'static str, x: &'static str, unit: &'static str, what: &'static str) -> Spec {
-    Spec { name, x, unit, what }
+const fn spec(name: &'static str, x: &'static str, unit: &'static str, what: &'static str) -> SlopeSpec {
+    SlopeSpec { name, x, unit, what }
 }
 
-/// All slopes. A file has each of them; one without points keeps a place, and its figures say that they wait for it.
-pub const SPECS: &[Spec] = &[
+/// All slopes. A file lists each of them; a slope without points is a placeholder, and its figures are reported as waiting
+/// for it.
+pub const SLOPE_SPECS: &[SlopeSpec] = &[
     spec("record.rate", "voters", "orders/s", "orders kept, 16 operators at once"),
     spec("record.kept_p99", "voters", "s", "from order to kept, 16 operators at once"),
     spec("record.without_leader", "voters", "s", "from the leader's kill to the next kept order, worst"),
@@ -161,13 +162,13 @@
     ),
 ];
 
-/// The run that gave points.
+/// The run that produced the points.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Run {
     pub command: String,
     pub date: String,
     pub build: String,
-    /// The page of docs/ that had the points first, or what else has to be known of the run.
+    /// The page of docs/ where the points were first published, or other remarks on the run.
     pub note: String,
 }
 
@@ -179,42 +180,42 @@
 }
 
 impl Slope {
-    pub fn spec(&self) -> Option<&'static Spec> {
-        SPECS.iter().find(|spec| spec.name == self.name)
+    pub fn spec(&self) -> Option<&'static SlopeSpec> {
+        SLOPE_SPECS.iter().find(|spec| spec.name == self.name)
     }
 
     pub fn fit(&self) -> Option<Fit> {
         fit(&self.points)
     }
 
-    fn read(part: &mut Part<'_>) -> Slope {
-        let name = part.text("name");
-        part.called(&name);
-        let spec = SPECS.iter().find(|spec| spec.name == name);
+    fn read(reader: &mut TableReader<'_>) -> Slope {
+        let name = reader.text("name");
+        reader.set_name(&name);
+        let spec = SLOPE_SPECS.iter().find(|spec| spec.name == name);
         if !name.is_empty() && spec.is_none() {
-            part.wrong("name", "there is no such slope");
+            reader.error("name", "there is no such slope");
         }
-        let points = part.points("points", spec.map_or(0.0, Spec::least));
+        let points = reader.points("points", spec.map_or(0.0, SlopeSpec::min_value));
         let units = [("x", spec.map(|spec| spec.x)), ("unit", spec.map(|spec| spec.unit))];
-        for (field, wanted) in units {
-            let came = part.text(field);
-            if wanted.is_some_and(|wanted| !came.is_empty() && came != wanted) {
-                part.wrong(
+        for (field, expected) in units {
+            let found = reader.text(field);
+            if expected.is_some_and(|expected| !found.is_empty() && found != expected) {
+                reader.error(
                     field,
-                    format!("\"{}\" was expected, \"{came}\" came", wanted.unwrap_or_default()),
+                    format!("\"{}\" was expected, \"{found}\" came", expected.unwrap_or_default()),
                 );
             }
         }
         let run = if points.is_empty() {
-            // A place for points to come has had no run.
-            let note = part.note("note");
+            // A placeholder without points has no run.
+            let note = reader.optional_text("note");
             Run { command: String::new(), date: String::new(), build: String::new(), note }
         } else {
             Run {
-                command: part.text("run"),
-                date: part.date("date"),
-                build: part.text("build"),
-                note: part.note("note"),
+                command: reader.text("run"),
+                date: reader.date("date"),
+                build: reader.text("build"),
+                note: reader.optional_text("note"),
             }
         };
         Slope { name, points, run }
@@ -226,24 +227,25 @@
 pub struct Slopes(pub Vec<Slope>);
 
 impl Slopes {
-    /// `file` is the name by which faults are told.
-    pub fn read(file: &str, text: &str) -> Result<Slopes, Wrongs> {
-        read(file, text, |part| {
-            let mut all: Vec<Slope> = Vec::new();
-            let came = part.parts("slope", |part| {
-                let slope = Slope::read(part);
-                if !slope.name.is_empty() && all.iter().any(|other| other.name == slope.name) {
-                    part.wrong("name", "is there twice");
+    /// `file` is the name used in error messages.
+    pub fn parse(file: &str, text: &str) -> Result<Slopes, FileErrors> {
+        parse(file, text, |reader| {
+            let mut slopes: Vec<Slope> = Vec::new();
+            let sections = reader.sections("slope", |reader| {
+                let slope = Slope::read(reader);
+                if !slope.name.is_empty() && slopes.iter().any(|other| other.name == slope.name) {
+                    reader.error("name", "is there twice");
                 }
-                all.push(slope);
+                slopes.push(slope);
             });
-            for spec in SPECS.iter().filter(|_| !came.is_empty()) {
-                if !all.iter().any(|slope| slope.name == spec.name) {
-                    part.wrong("slope", format!("{} is missing; without points it keeps a place", spec.name));
+            for spec in SLOPE_SPECS.iter().filter(|_| !sections.is_empty()) {
+                if !slopes.iter().any(|slope| slope.name == spec.name) {
+                    reader
+                        .error("slope", format!("{} is missing; without points it keeps a place", spec.name));
                 }
             }
-            all.sort_by_key(|slope| SPECS.iter().position(|spec| spec.name == slope.name));
-            Slopes(all)
+            slopes.sort_by_key(|slope| SLOPE_SPECS.iter().position(|spec| spec.name == slope.name));
+            Slopes(slopes)
         })
     }
 
@@ -251,39 +253,42 @@
         self.0.iter().find(|slope| slope.name == name)
     }
 
-    /// Its value at a size that the target states.
-    pub(crate) fn at(&self, name: &str, x: f64) -> Worked {
-        let Some(slope) = self.get(name) else { return Worked::missing(name) };
-        let there: Vec<f64> =
+    /// The value at a fixed size: the mean of the points measured there, otherwise the fitted line.
+    pub(crate) fn value_at(&self, name: &str, x: f64) -> Estimate {
+        let Some(slope) = self.get(name) else { return Estimate::missing(name) };
+        let measured: Vec<f64> =
             slope.points.iter().filter(|point| point[0] == x).map(|point| point[1]).collect();
-        if !there.is_empty() {
-            let mean = there.iter().sum::<f64>() / there.len() as f64;
-            return Worked::measured(mean, name, &slope.run.command);
+        if !measured.is_empty() {
+            let mean = measured.iter().sum::<f64>() / measured.len() as f64;
+            return Estimate::measured(mean, name, &slope.run.command);
         }
         let largest = slope.points.iter().map(|point| point[0]).fold(0.0, f64::max);
-        slope.fit().map_or(Worked::missing(name), |fit| Worked::reckoned(fit.at(x), name, x / largest))
+        slope
+            .fit()
+            .map_or(Estimate::missing(name), |fit| Estimate::reckoned(fit.evaluate(x), name, x / largest))
     }
 
-    /// Its value at a size that was itself worked out.
-    pub(crate) fn through(&self, name: &str, x: Worked) -> Worked {
-        match x.amount() {
-            Some(amount) => x.through(self.at(name, amount)),
+    /// The value at a size that is itself an estimate.
+    pub(crate) fn project(&self, name: &str, x: Estimate) -> Estimate {
+        match x.value() {
+            Some(value) => x.with_value_of(self.value_at(name, value)),
             None => x,
         }
     }
 
-    /// What one more costs, without what is there at none.
-    pub(crate) fn each(&self, name: &str) -> Worked {
+    /// The cost of one more unit, without the fixed part.
+    pub(crate) fn unit_cost(&self, name: &str) -> Estimate {
         let fit = self.get(name).and_then(Slope::fit);
-        fit.map_or(Worked::missing(name), |fit| Worked::reckoned(fit.rise.max(0.0), name, 1.0))
+        fit.map_or(Estimate::missing(name), |fit| Estimate::reckoned(fit.gradient.max(0.0), name, 1.0))
     }
 
-    /// The largest measured size up to which no measured value passes `most`.
-    pub(crate) fn up_to(&self, name: &str, most: f64) -> Worked {
-        let Some(slope) = self.get(name) else { return Worked::missing(name) };
+    /// The largest measured size up to which no measured value exceeds `max`.
+    pub(crate) fn largest_size_within(&self, name: &str, max: f64) -> Estimate {
+        let Some(slope) = self.get(name) else { return Estimate::missing(name) };
         let mut points = slope.points.clone();
         points.sort_by(|a, b| a[0].total_cmp(&b[0]));
-        let kept = points.iter().take_while(|point| point[1] <= most).last();
-        kept.map_or(Worked::missing(name), |point| Worked::measured(point[0], name, &slope.run.command))
+        let largest = points.iter().take_while(|point| point[1] <= max).last();
+        largest
+            .map_or(Estimate::missing(name), |point| Estimate::measured(point[0], name, &slope.run.command))
     }
 }
--- a/crates/capacity/tests/bounds.rs
+++ b/crates/capacity/tests/bounds.rs
@@ -1,11 +1,11 @@
-//! The bounds that the page names are those of the program.
+//! Checks that the bounds named on the page are the constants of the program.
 
-use pewtergap_capacity::{bounds, Size, TARGET};
+use pewtergap_capacity::{bounds, Target, TARGET_FILE};
 
 #[test]
 fn bounds_of_the_page_are_the_programs_own() {
-    let size = Size::read(TARGET.0, TARGET.1).expect("the target");
-    let own = [
+    let target = Target::parse(TARGET_FILE.0, TARGET_FILE.1).expect("the target");
+    let defined = [
         ("member: MAX_MEMBERS", pewtergap_member::MAX_MEMBERS),
         ("record: MAX_ORDERS", pewtergap_record::MAX_ORDERS),
         ("record: MAX_IDS", pewtergap_record::MAX_IDS),
@@ -15,23 +15,23 @@
         ("protocol: MAX_ROUTES", pewtergap_protocol::MAX_ROUTES),
         ("protocol: MAX_LINES", pewtergap_protocol::MAX_LINES),
         ("duty: MAX_DUTIES", pewtergap_duty::MAX_DUTIES),
-        ("settings: routes", most_routes()),
+        ("settings: routes", max_routes()),
         ("settings: one list, one pool of servers", 1),
         ("settings: no such field", 0),
     ];
-    for bound in bounds(&size) {
-        let known = own.iter().find(|known| known.0 == bound.source).map(|known| known.1 as f64);
-        assert_eq!(Some(bound.most), known, "{}: {}", bound.name, bound.source);
+    for bound in bounds(&target) {
+        let limit = defined.iter().find(|limit| limit.0 == bound.source).map(|limit| limit.1 as f64);
+        assert_eq!(Some(bound.most), limit, "{}: {}", bound.name, bound.source);
     }
 }
 
-/// So many routes the settings take, and not one more.
-fn most_routes() -> usize {
-    let takes = |count: usize| {
+/// The largest number of routes that the settings accept.
+fn max_routes() -> usize {
+    let accepts = |count: usize| {
         let routes: Vec<String> = (0..count)
-            .map(|at| {
+            .map(|index| {
                 format!(
-                    "route(\"r{at}\", slo_time = \"500ms\", time_limit = \"2s\", repeats = \"repeatable\")"
+                    "route(\"r{index}\", slo_time = \"500ms\", time_limit = \"2s\", repeats = \"repeatable\")"
                 )
             })
             .collect();
@@ -44,5 +44,5 @@
         let script = pewtergap_settings::run("p.star", &text).expect("a script");
         pewtergap_settings::service_file(&script).is_ok()
     };
-    (1..200).take_while(|count| takes(*count)).last().unwrap_or(0)
+    (1..200).take_while(|count| accepts(*count)).last().unwrap_or(0)
 }
--- a/crates/capacity/tests/files.rs
+++ b/crates/capacity/tests/files.rs
@@ -1,17 +1,17 @@
-//! Files of sizes and slopes that are wrong: told with file, line and field, all faults of a file at once.
+//! Invalid target and slope files: all errors of a file are reported at once, each with file, line and field.
 
-use pewtergap_capacity::{Size, Slopes, MEASURED, TARGET};
+use pewtergap_capacity::{Slopes, Target, SLOPES_FILE, TARGET_FILE};
 
-/// The repository's file with one change, and on which line the change stands.
+/// The text with one replacement, and the line of the replacement.
 fn changed(text: &str, from: &str, to: &str) -> (String, usize) {
     assert_eq!(text.matches(from).count(), 1, "'{from}' stands once in the file");
     let line = 1 + text.split(from).next().unwrap_or("").matches('\n').count();
     (text.replace(from, to), line)
 }
 
-fn size_fault(from: &str, to: &str) -> (String, usize) {
-    let (text, line) = changed(TARGET.1, from, to);
-    (Size::read("size.toml", &text).expect_err(to).to_string(), line)
+fn target_error(from: &str, to: &str) -> (String, usize) {
+    let (text, line) = changed(TARGET_FILE.1, from, to);
+    (Target::parse("size.toml", &text).expect_err(to).to_string(), line)
 }
 
 #[test]
@@ -31,47 +31,49 @@
         ("machines_out = [0, 1]", "machines_out = [0, 11]", "parameters.machines_out: 11 came, 10 at most by the fleet"),
         ("services_a_planner = [1, 19]", "services_a_planner = [1, 1_900]", "parameters.services_a_planner: 1900 came, 1800 at most by the fleet"),
     ];
-    for (from, to, what) in cases {
-        let (told, line) = size_fault(from, to);
-        let wanted = format!("size.toml:{line}: {what}");
-        assert!(told.lines().any(|told| told == wanted), "{wanted}\ncame:\n{told}");
+    for (from, to, error) in cases {
+        let (message, line) = target_error(from, to);
+        let expected = format!("size.toml:{line}: {error}");
+        assert!(message.lines().any(|message| message == expected), "{expected}\ncame:\n{message}");
     }
 }
 
 #[test]
 fn what_is_missing_is_told_where_it_was_missed() {
-    let (told, _) = size_fault("zones = 51\n", "");
-    let section = 1 + TARGET.1.split("[fleet]").next().unwrap_or("").matches('\n').count();
-    assert_eq!(told, format!("size.toml:{section}: fleet.zones: is missing"));
-    let (told, _) = size_fault("[budgets]", "[budget]");
-    assert!(told.lines().any(|told| told.ends_with(" budgets: is missing")), "{told}");
-    assert!(told.lines().any(|told| told.ends_with(" budget: there is no such field")), "{told}");
+    let (message, _) = target_error("zones = 51\n", "");
+    let section = 1 + TARGET_FILE.1.split("[fleet]").next().unwrap_or("").matches('\n').count();
+    assert_eq!(message, format!("size.toml:{section}: fleet.zones: is missing"));
+    let (message, _) = target_error("[budgets]", "[budget]");
+    assert!(message.lines().any(|message| message.ends_with(" budgets: is missing")), "{message}");
+    assert!(message.lines().any(|message| message.ends_with(" budget: there is no such field")), "{message}");
 }
 
 #[test]
 fn what_is_no_toml_is_told_with_its_line() {
-    let (told, line) = size_fault("routes = 32_000", "routes = 32_000 and more");
-    assert!(told.starts_with(&format!("size.toml:{line}: ")), "{told}");
+    let (message, line) = target_error("routes = 32_000", "routes = 32_000 and more");
+    assert!(message.starts_with(&format!("size.toml:{line}: ")), "{message}");
 }
 
 #[test]
 fn all_faults_of_a_file_are_told_at_once_in_the_files_order() {
-    let text =
-        TARGET.1.replace("planners = 3_800", "planners = -1").replace("tenants = 82_000", "tenants = true");
-    let wrongs = Size::read("size.toml", &text).expect_err("two faults");
-    let fields: Vec<&str> = wrongs.0.iter().map(|wrong| wrong.field.as_str()).collect();
+    let text = TARGET_FILE
+        .1
+        .replace("planners = 3_800", "planners = -1")
+        .replace("tenants = 82_000", "tenants = true");
+    let errors = Target::parse("size.toml", &text).expect_err("two faults");
+    let fields: Vec<&str> = errors.0.iter().map(|error| error.field.as_str()).collect();
     assert_eq!(fields, ["fleet.planners", "fleet.tenants"]);
-    assert!(wrongs.0[0].line < wrongs.0[1].line);
+    assert!(errors.0[0].line < errors.0[1].line);
 }
 
 const SLOPE: &str = "[[slope]]\nname = \"list.bytes\"\nx = \"servers\"\nunit = \"bytes\"\n\
                      points = [[1, 100], [2, 200]]\nrun = \"a command\"\ndate = 2026-12-01\nbuild = \"1234567\"\n";
 
-fn slope_fault(from: &str, to: &str) -> String {
+fn slope_error(from: &str, to: &str) -> String {
     let (text, line) = changed(SLOPE, from, to);
-    let told = Slopes::read("slopes.toml", &text).expect_err(to).to_string();
-    let here = format!("slopes.toml:{line}: ");
-    told.lines().find_map(|told| told.strip_prefix(&here)).unwrap_or(&told).to_string()
+    let message = Slopes::parse("slopes.toml", &text).expect_err(to).to_string();
+    let prefix = format!("slopes.toml:{line}: ");
+    message.lines().find_map(|message| message.strip_prefix(&prefix)).unwrap_or(&message).to_string()
 }
 
 #[test]
@@ -104,40 +106,40 @@
         ("build = \"1234567\"", "build = \"\"", "slope(list.bytes).build: is empty"),
         ("run =", "runs =", "slope(list.bytes).runs: there is no such field"),
     ];
-    for (from, to, what) in cases {
-        assert_eq!(slope_fault(from, to), what);
+    for (from, to, error) in cases {
+        assert_eq!(slope_error(from, to), error);
     }
 }
 
 #[test]
 fn only_a_difference_may_be_below_zero() {
     let text = SLOPE.replace("[2, 200]", "[-2, 200]");
-    let told = Slopes::read("slopes.toml", &text).expect_err("a size below zero").to_string();
-    assert!(told.contains("slope(list.bytes).points: between 0 and "), "{told}");
+    let message = Slopes::parse("slopes.toml", &text).expect_err("a size below zero").to_string();
+    assert!(message.contains("slope(list.bytes).points: between 0 and "), "{message}");
     let added = "name = \"proxy.added_p99\"\nx = \"requests/s\"\nunit = \"s\"\npoints = [";
-    assert_eq!(MEASURED.1.matches(added).count(), 1);
-    let text = MEASURED.1.replace(added, &format!("{added}[7, -0.5], "));
-    assert!(Slopes::read("slopes.toml", &text).is_ok());
+    assert_eq!(SLOPES_FILE.1.matches(added).count(), 1);
+    let text = SLOPES_FILE.1.replace(added, &format!("{added}[7, -0.5], "));
+    assert!(Slopes::parse("slopes.toml", &text).is_ok());
 }
 
 #[test]
 fn points_without_a_run_are_refused_and_a_place_without_points_needs_none() {
     let text = SLOPE.replace("run = \"a command\"\n", "");
-    let told = Slopes::read("slopes.toml", &text).expect_err("no run").to_string();
-    assert!(told.contains("slopes.toml:1: slope(list.bytes).run: is missing"), "{told}");
-    // Of the repository's own file one set of points is taken out: it stays readable.
+    let message = Slopes::parse("slopes.toml", &text).expect_err("no run").to_string();
+    assert!(message.contains("slopes.toml:1: slope(list.bytes).run: is missing"), "{message}");
+    // A file stays valid if the points of one of its slopes are removed.
     let place = "name = \"tier.snapshot\"\nx = \"changes in force\"\nunit = \"bytes\"\n";
-    assert!(MEASURED.1.contains(place));
-    let start = MEASURED.1.find(place).unwrap_or(0);
-    let rest = &MEASURED.1[start..];
+    assert!(SLOPES_FILE.1.contains(place));
+    let start = SLOPES_FILE.1.find(place).unwrap_or(0);
+    let rest = &SLOPES_FILE.1[start..];
     let section = &rest[..rest.find("[[slope]]").unwrap_or(rest.len())];
-    let emptied = MEASURED.1.replace(section, &format!("{place}points = []\n"));
-    assert!(Slopes::read("slopes.toml", &emptied).is_ok());
+    let emptied = SLOPES_FILE.1.replace(section, &format!("{place}points = []\n"));
+    assert!(Slopes::parse("slopes.toml", &emptied).is_ok());
 }
 
 #[test]
 fn a_slope_twice_or_one_left_out_is_told() {
-    let told = Slopes::read("slopes.toml", &SLOPE.repeat(2)).expect_err("twice").to_string();
-    assert!(told.contains("slopes.toml:10: slope(list.bytes).name: is there twice"), "{told}");
-    assert!(told.contains("slope: list.memory is missing; without points it keeps a place"), "{told}");
+    let message = Slopes::parse("slopes.toml", &SLOPE.repeat(2)).expect_err("twice").to_string();
+    assert!(message.contains("slopes.toml:10: slope(list.bytes).name: is there twice"), "{message}");
+    assert!(message.contains("slope: list.memory is missing; without points it keeps a place"), "{message}");
 }
--- a/crates/pewtergap/src/capacity/slopes.rs
+++ b/crates/pewtergap/src/capacity/slopes.rs
@@ -1,7 +1,7 @@
 //! `pewtergap measure list|routes|probes|streams|voter|leases|path`: what docs/capacity/slopes.toml has its points from, a line of JSON for
 //! each size.
 
-use crate::Ended;
+use crate::ExitResult;
 use clap::Subcommand;
 use pewtergap_lab::cluster::duties::STRUCK;
 use pewtergap_lab::cluster::measure::with_cluster;
@@ -84,7 +84,7 @@
     },
 }
 
-pub fn measure(what: &Sized) -> Ended {
+pub fn measure(what: &Sized) -> ExitResult {
     let program = std::env::current_exe().map_err(|e| (3, e.to_string()))?;
     let dir = std::env::temp_dir().join(format!("pewtergap-slopes-{}", std::process::id()));
     std::fs::create_dir_all(&dir).map_err(|e| (3, e.to_string()))?;
--- a/crates/pewtergap/src/cluster.rs
+++ b/crates/pewtergap/src/cluster.rs
@@ -1,6 +1,6 @@
 //! `pewtergap rehearse cluster`: days of planners that agree, with faults by seed.
 
-use crate::Ended;
+use crate::ExitResult;
 use clap::Args;
 use pewtergap_lab::cluster::drill::{day_of, DRILLS};
 use pewtergap_lab::cluster::duties::{LEASE_MS, STRUCK};
@@ -86,7 +86,7 @@
     }
 }
 
-pub fn days(line: &ClusterLine, seed: u64, out: Option<&Path>, as_json: bool) -> Ended {
+pub fn days(line: &ClusterLine, seed: u64, out: Option<&Path>, as_json: bool) -> ExitResult {
     let program = std::env::current_exe().map_err(|e| (3, e.to_string()))?;
     let base: PathBuf = match out {
         Some(out) => out.to_path_buf(),
@@ -147,7 +147,7 @@
 }
 
 /// One line of JSON for each figure.
-pub fn measure(members: &[usize], each: usize, kills: usize, entries: &[usize]) -> Ended {
+pub fn measure(members: &[usize], each: usize, kills: usize, entries: &[usize]) -> ExitResult {
     let program = std::env::current_exe().map_err(|e| (3, e.to_string()))?;
     let dir = std::env::temp_dir().join(format!("pewtergap-record-{}", std::process::id()));
     std::fs::create_dir_all(&dir).map_err(|e| (3, e.to_string()))?;
@@ -176,7 +176,7 @@
 }
 
 /// What duties cost and how they are handed on, one line of JSON for each figure.
-pub fn measure_duties(rounds: usize, planners: &[usize], many: usize) -> Ended {
+pub fn measure_duties(rounds: usize, planners: &[usize], many: usize) -> ExitResult {
     let program = std::env::current_exe().map_err(|e| (3, e.to_string()))?;
     let dir = std::env::temp_dir().join(format!("pewtergap-duties-{}", std::process::id()));
     std::fs::create_dir_all(&dir).map_err(|e| (3, e.to_string()))?;
@@ -209,7 +209,7 @@
 }
 
 /// What sharing costs and brings, one line of JSON for each figure.
-pub fn measure_sharing(planners: &[u64], rounds: u64, days: &[String], seeds: u64) -> Ended {
+pub fn measure_sharing(planners: &[u64], rounds: u64, days: &[String], seeds: u64) -> ExitResult {
     let program = std::env::current_exe().map_err(|e| (3, e.to_string()))?;
     let dir = std::env::temp_dir().join(format!("pewtergap-sharing-{}", std::process::id()));
     let failed = |why: String| (3, format!("the measurement failed: {why}"));
--- a/crates/pewtergap/src/explore.rs
+++ b/crates/pewtergap/src/explore.rs
@@ -1,7 +1,7 @@
 //! `pewtergap explore` and `pewtergap replay`: members under virtual time, by seed; with `--watch` the tier between the record
 //! and the planners.
 
-use crate::Ended;
+use crate::ExitResult;
 use clap::Args;
 use pewtergap_lab::explore::{explore, replay as again, Explored, Planted, PLANTED};
 use pewtergap_lab::explore_watch as watch;
@@ -91,7 +91,7 @@
     Ok((all, begin.elapsed().as_secs_f64()))
 }
 
-pub fn run(line: &ExploreLine) -> Ended {
+pub fn run(line: &ExploreLine) -> ExitResult {
     if line.watch {
         return run_watch(line);
     }
@@ -122,7 +122,7 @@
     Ok(u8::from(broken > 0))
 }
 
-fn run_watch(line: &ExploreLine) -> Ended {
+fn run_watch(line: &ExploreLine) -> ExitResult {
     let plant = line.plant.as_deref().map(|name| one_of(name, watch::PLANTED)).transpose();
     let plant = plant.map_err(|why| (2, why))?;
     let (all, seconds) = seeds(line, |seed| {
@@ -157,7 +157,7 @@
     Ok(u8::from(broken > 0))
 }
 
-pub fn replay(line: &ReplayLine) -> Ended {
+pub fn replay(line: &ReplayLine) -> ExitResult {
     let (came, lines) = again(line.seed, line.plant);
     if line.trace {
         lines.iter().for_each(|line| println!("{line}"));
--- a/crates/pewtergap/src/fronts.rs
+++ b/crates/pewtergap/src/fronts.rs
@@ -1,6 +1,6 @@
 //! The fronts by scripts and the rehearsal kit.
 
-use crate::{capacity, cluster, drive, explore, operator, rehearse, scale, Ended};
+use crate::{capacity, cluster, drive, explore, operator, rehearse, scale, ExitResult};
 use clap::Subcommand;
 use pewtergap_lab::measure::Others;
 use pewtergap_reactor::Clock;
@@ -66,7 +66,7 @@
         what: Measured,
     },
     /// What each role needs at the target, and what is over its budget.
-    Capacity(capacity::CapacityLine),
+    Capacity(capacity::CapacityArgs),
     /// Judge the five rules from a recording.
     Audit {
         recording: PathBuf,
@@ -133,7 +133,7 @@
 /// Unwritten bytes on one stream beyond which it is closed.
 const MOST_UNWRITTEN: usize = 4 * 1024 * 1024;
 
-pub fn run_front(front: Front) -> Ended {
+pub fn run_front(front: Front) -> ExitResult {
     match front {
         Front::Check { file } => check(&file),
         Front::Run { file, announce } => planner(&file, announce),
@@ -172,7 +172,7 @@
     service_file(&load(file)?).map_err(wrong)
 }
 
-fn planner(file: &Path, announce: bool) -> Ended {
+fn planner(file: &Path, announce: bool) -> ExitResult {
     let file = planner_file(file)?;
     let dir = file.dir.clone();
     let clock = Clock::default();
@@ -184,13 +184,13 @@
     clock.now().0 ^ u64::from(std::process::id()) << 40
 }
 
-fn control(file: &Path, announce: bool) -> Ended {
+fn control(file: &Path, announce: bool) -> ExitResult {
     let file = control_file(&load(file)?).map_err(wrong)?;
     let (dir, clock) = (file.dir.clone(), Clock::default());
     drive(clock, Box::new(file.machine(seed(clock))), dir, announce, MOST_UNWRITTEN)
 }
 
-fn proxy(file: &Path, announce: bool) -> Ended {
+fn proxy(file: &Path, announce: bool) -> ExitResult {
     let file = proxy_file(&load(file)?).map_err(wrong)?;
     let dir = file.dir.clone();
     let clock = Clock::default();
@@ -206,7 +206,7 @@
     run(&file.display().to_string(), &text).map_err(wrong)
 }
 
-fn check(file: &Path) -> Ended {
+fn check(file: &Path) -> ExitResult {
     let script = load(file)?;
     let what = match script.kind() {
         "service" => service_file(&script).map(|file| format!("a planner, {}", file.service.name)),
@@ -230,7 +230,7 @@
     found.ok_or("one of none, whole, cut".into())
 }
 
-fn order(counts: &[usize], rounds: usize, others: Others, json: bool) -> Ended {
+fn order(counts: &[usize], rounds: usize, others: Others, json: bool) -> ExitResult {
     let program = std::env::current_exe().map_err(|e| (3, e.to_string()))?;
     let dir = std::env::temp_dir().join(format!("pewtergap-measure-{}", std::process::id()));
     if !json {
--- a/crates/pewtergap/src/main.rs
+++ b/crates/pewtergap/src/main.rs
@@ -80,10 +80,16 @@
     }
 }
 
-type Ended = Result<u8, (u8, String)>;
+type ExitResult = Result<u8, (u8, String)>;
 
 /// One node in one reactor, until a signal or the node ends it.
-fn drive(clock: Clock, node: Box<dyn Node>, dir: PathBuf, announce: bool, most_unwritten: usize) -> Ended {
+fn drive(
+    clock: Clock,
+    node: Box<dyn Node>,
+    dir: PathBuf,
+    announce: bool,
+    most_unwritten: usize,
+) -> ExitResult {
     let told = |e: std::io::Error| (3, format!("the reactor: {e}"));
     let mut reactor = Reactor::new(clock, most_unwritten, dir).map_err(told)?;
     reactor.catch_signals().map_err(told)?;
--- a/crates/pewtergap/src/operator.rs
+++ b/crates/pewtergap/src/operator.rs
@@ -1,6 +1,6 @@
 //! What an operator types: orders, members, the record. Each is one call to a planner's admin door.
 
-use crate::Ended;
+use crate::ExitResult;
 use clap::{Args, Subcommand};
 use pewtergap_lab::ask::call;
 use serde_json::{json, Value};
@@ -177,7 +177,7 @@
     stale: bool,
 }
 
-fn ask(at: &At, method: &str, target: &str, body: Option<&str>) -> Ended {
+fn ask(at: &At, method: &str, target: &str, body: Option<&str>) -> ExitResult {
     println!("{}", answered(at, method, target, body)?.trim_end());
     Ok(0)
 }
@@ -211,7 +211,7 @@
     number.checked_mul(unit.ok_or_else(wrong)?.1).ok_or_else(wrong)
 }
 
-pub fn order(line: OrderLine) -> Ended {
+pub fn order(line: OrderLine) -> ExitResult {
     let now = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
     let given = now.as_millis() as u64;
     let id = match &line.id {
@@ -250,7 +250,7 @@
 
 /// Until all planners that are heard have what the record says at a place in force. Control machines are asked in turn: one
 /// of them may be lost meanwhile, and one that has just begun knows nobody.
-fn wait(at: &At, place: u64, patience: Duration) -> Ended {
+fn wait(at: &At, place: u64, patience: Duration) -> ExitResult {
     let end = Instant::now() + patience;
     let mut told = String::from("nobody answered");
     loop {
@@ -308,7 +308,7 @@
 }
 
 /// Who has a place in force, over all control machines.
-pub fn watchers(line: WatchersLine) -> Ended {
+pub fn watchers(line: WatchersLine) -> ExitResult {
     let target = line.place.map_or("/watchers".into(), |place| format!("/watchers?place={place}"));
     let text = answered(&line.at, "GET", &target, None)?;
     println!("{}", text.trim_end());
@@ -316,7 +316,7 @@
     Ok(0)
 }
 
-pub fn members(line: MembersLine) -> Ended {
+pub fn members(line: MembersLine) -> ExitResult {
     let change = |name: String, address: Option<SocketAddr>, replace: bool| {
         let at = address.map_or(String::new(), |address| address.to_string());
         json!({ "name": name, "at": at, "replace": replace }).to_string()
@@ -331,7 +331,7 @@
     ask(&at, "POST", "/members", Some(&body))
 }
 
-pub fn duties(line: DutiesLine) -> Ended {
+pub fn duties(line: DutiesLine) -> ExitResult {
     let fields = |said: Said| {
         let now = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
         let id = format!("{:016x}", fastrand::u64(1..));
@@ -354,15 +354,15 @@
     ask(&at, "POST", target, Some(&body.to_string()))
 }
 
-pub fn shared(at: At) -> Ended {
+pub fn shared(at: At) -> ExitResult {
     ask(&at, "GET", "/shared", None)
 }
 
-pub fn record(line: RecordLine) -> Ended {
+pub fn record(line: RecordLine) -> ExitResult {
     ask(&line.at, "GET", if line.stale { "/record?stale" } else { "/record" }, None)
 }
 
-fn alone(settings: &std::path::Path) -> Ended {
+fn alone(settings: &std::path::Path) -> ExitResult {
     let file = crate::fronts::planner_file(settings)?;
     let path = file.dir.join(format!("{}.record", file.member.name));
     let told = |e: std::io::Error| (3, format!("{}: {e}", path.display()));
--- a/crates/pewtergap/src/rehearse.rs
+++ b/crates/pewtergap/src/rehearse.rs
@@ -1,7 +1,7 @@
 //! `pewtergap rehearse` and `pewtergap audit`.
 
 use crate::cluster::{self, ClusterLine};
-use crate::Ended;
+use crate::ExitResult;
 use clap::Args;
 use pewtergap_lab::audit::{Audit, Breach};
 use pewtergap_lab::day::Day;
@@ -65,7 +65,7 @@
     read.map_err(|faults| (2, faults.to_string()))
 }
 
-pub fn rehearse(wanted: Wanted) -> Ended {
+pub fn rehearse(wanted: Wanted) -> ExitResult {
     if wanted.day.as_deref() == Some("cluster") {
         return cluster::days(&wanted.cluster, wanted.seed, wanted.out.as_deref(), wanted.json);
     }
@@ -177,7 +177,7 @@
     )
 }
 
-pub fn audit(recording: &Path, as_json: bool) -> Ended {
+pub fn audit(recording: &Path, as_json: bool) -> ExitResult {
     let rows = record::read(recording).map_err(|e| (2, e))?;
     let audit =
         pewtergap_lab::audit::audit(&rows).map_err(|e| (2, format!("{}: {e}", recording.display())))?;
--- a/crates/pewtergap/src/scale.rs
+++ b/crates/pewtergap/src/scale.rs
@@ -1,6 +1,6 @@
 //! `pewtergap scale` and the hollow planners' process.
 
-use crate::Ended;
+use crate::ExitResult;
 use clap::Args;
 use pewtergap_scale::director::{play, Came, Run};
 use pewtergap_scale::faults::{Fault, FAULTS};
@@ -70,11 +70,11 @@
     one_of(PLANTED, name)
 }
 
-pub fn hollow(file: &Path) -> Ended {
+pub fn hollow(file: &Path) -> ExitResult {
     pewtergap_scale::hollow::run(file).map(|()| 0).map_err(|why| (3, why))
 }
 
-pub fn scale(line: ScaleLine) -> Ended {
+pub fn scale(line: ScaleLine) -> ExitResult {
     let limits = Limits::here().map_err(|why| (3, why))?;
     let size = |planners: &usize| Size {
         planners: *planners,
