--- a/crates/pewtergap/src/cluster.rs
+++ b/crates/pewtergap/src/cluster.rs
@@ -1,4 +1,4 @@
-//! `pewtergap rehearse cluster`: days of planners that agree, with faults by seed.
+//! The `rehearse cluster` command: simulated days of a cluster of planners, with faults drawn by seed.
 
 use crate::ExitResult;
 use clap::Args;
@@ -14,36 +14,36 @@
 use std::sync::Mutex;
 
 #[derive(Args)]
-pub struct ClusterLine {
-    /// Planners of a cluster day.
+pub struct ClusterArgs {
+    /// Number of planners in a cluster day.
     #[arg(long, default_value_t = 3)]
     members: usize,
-    /// Troubles of a cluster day.
+    /// Number of faults in a cluster day.
     #[arg(long, default_value_t = 6)]
     strikes: usize,
-    /// Cluster days of so many seeds, from --seed on.
+    /// Number of cluster days, with consecutive seeds from --seed on.
     #[arg(long, default_value_t = 1)]
     seeds: u64,
-    /// Cluster days at the same time.
+    /// Number of cluster days that run at the same time.
     #[arg(long, default_value_t = 1)]
     jobs: usize,
-    /// Plant a break in a cluster day that the audit must find: lost-order, stale-read, number-twice, vote-after-wipe,
-    /// where duties are held no-fence, sent-twice, goes-on, and where a budget is parted freed-at-once, both-ends.
-    #[arg(long, value_parser = planted)]
+    /// Plant a violation in a cluster day that the audit must find: lost-order, stale-read, number-twice, vote-after-wipe,
+    /// with duties no-fence, sent-twice, goes-on, and with a shared budget freed-at-once, both-ends.
+    #[arg(long, value_parser = parse_planted)]
     cluster_plant: Option<Planted>,
-    /// Duties are held meanwhile, and the books go to a receiver.
+    /// Planners also hold duties, and send their accounting to a receiver.
     #[arg(long)]
     duties: bool,
-    /// And share what they see, and a budget's parts.
+    /// Planners also share their observations and the parts of a budget.
     #[arg(long)]
     sharing: bool,
-    /// In place of drawn troubles one hard case: roll-out, pieces, full-disk, lost-in-a-change, places,
+    /// Run one scripted scenario instead of random faults: roll-out, pieces, full-disk, lost-in-a-change, places,
     /// duties, duty-lease, duty-steps, duty-at-the-effect, shares, shares-later.
-    #[arg(long, value_parser = drill)]
+    #[arg(long, value_parser = parse_drill)]
     drill: Option<String>,
 }
 
-fn drill(name: &str) -> Result<String, String> {
+fn parse_drill(name: &str) -> Result<String, String> {
     let names: Vec<&str> = DRILLS.iter().map(|drill| drill.0).collect();
     if names.contains(&name) {
         Ok(name.into())
@@ -52,143 +52,144 @@
     }
 }
 
-fn planted(name: &str) -> Result<Planted, String> {
+fn parse_planted(name: &str) -> Result<Planted, String> {
     let names: Vec<&str> = PLANTED.iter().map(|planted| planted.0).collect();
     let planted = PLANTED.iter().find(|planted| planted.0 == name).map(|planted| planted.1);
     planted.ok_or(format!("one of {}", names.join(", ")))
 }
 
-fn tell(seed: u64, line: &ClusterLine, came: &Came, as_json: bool) {
+fn print_result(seed: u64, args: &ClusterArgs, result: &Came, as_json: bool) {
     if as_json {
         let breaches: Vec<_> =
-            came.breaches.iter().map(|b| json!({ "rule": b.rule, "what": b.what })).collect();
-        let view = json!({ "seed": seed, "members": line.members, "troubles": came.troubles, "kept": came.kept,
-            "not_kept": came.refused, "unknown": came.unknown, "fresh": came.fresh, "not_fresh": came.not_fresh,
-            "sightings": came.sightings, "handed_ms": came.handed_ms, "breaches": breaches });
+            result.breaches.iter().map(|b| json!({ "rule": b.rule, "what": b.what })).collect();
+        let view = json!({ "seed": seed, "members": args.members, "troubles": result.troubles, "kept": result.kept,
+            "not_kept": result.refused, "unknown": result.unknown, "fresh": result.fresh, "not_fresh": result.not_fresh,
+            "sightings": result.sightings, "handed_ms": result.handed_ms, "breaches": breaches });
         println!("{view}");
         return;
     }
     println!(
         "seed {seed}: {} orders kept, {} not, {} unknown; {} fresh reads, {} not fresh; {}",
-        came.kept,
-        came.refused,
-        came.unknown,
-        came.fresh,
-        came.not_fresh,
-        came.troubles.join(", ")
+        result.kept,
+        result.refused,
+        result.unknown,
+        result.fresh,
+        result.not_fresh,
+        result.troubles.join(", ")
     );
-    for breach in &came.breaches {
+    for breach in &result.breaches {
         println!("  {}: {}", breach.rule, breach.what);
         println!(
             "  again: pewtergap rehearse cluster --seed {seed} --members {} --strikes {}",
-            line.members, line.strikes
+            args.members, args.strikes
         );
     }
 }
 
-pub fn days(line: &ClusterLine, seed: u64, out: Option<&Path>, as_json: bool) -> ExitResult {
+pub fn rehearse_cluster(args: &ClusterArgs, seed: u64, out: Option<&Path>, as_json: bool) -> ExitResult {
     let program = std::env::current_exe().map_err(|e| (3, e.to_string()))?;
     let base: PathBuf = match out {
         Some(out) => out.to_path_buf(),
         None => std::env::temp_dir().join(format!("pewtergap-cluster-{}", std::process::id())),
     };
-    if line.members == 0 || line.members > 7 || line.members.is_multiple_of(2) {
+    if args.members == 0 || args.members > 7 || args.members.is_multiple_of(2) {
         return Err((2, "--members: 1, 3, 5 or 7 were expected".into()));
     }
     let next = AtomicU64::new(seed);
     let worst: Mutex<(u8, String)> = Mutex::new((0, String::new()));
     std::thread::scope(|scope| {
-        for _ in 0..line.jobs.max(1) {
+        for _ in 0..args.jobs.max(1) {
             scope.spawn(|| loop {
-                let mine = next.fetch_add(1, Ordering::SeqCst);
-                if mine >= seed + line.seeds {
+                let seed_of_day = next.fetch_add(1, Ordering::SeqCst);
+                if seed_of_day >= seed + args.seeds {
                     return;
                 }
                 let day = ClusterDay {
                     program: &program,
-                    dir: base.join(format!("seed-{mine}")),
-                    members: line.members,
-                    founders: line.members,
-                    seed: mine,
-                    strikes: line.strikes,
+                    dir: base.join(format!("seed-{seed_of_day}")),
+                    members: args.members,
+                    founders: args.members,
+                    seed: seed_of_day,
+                    strikes: args.strikes,
                     only: Vec::new(),
-                    planted: line.cluster_plant,
+                    planted: args.cluster_plant,
                     format: None,
-                    duties: (line.duties || line.sharing).then_some(2),
-                    sharing: line.sharing,
+                    duties: (args.duties || args.sharing).then_some(2),
+                    sharing: args.sharing,
                     shares_nothing: None,
                 };
-                let came = match line.drill.as_deref().and_then(|drill| day_of(drill, day.clone())) {
-                    Some((day, act)) => play_with(&day, act),
+                let result = match args.drill.as_deref().and_then(|drill| day_of(drill, day.clone())) {
+                    Some((day, steps)) => play_with(&day, steps),
                     None => play(&day),
                 };
-                let ended = match came {
-                    Ok(came) => {
-                        tell(mine, line, &came, as_json);
-                        (u8::from(!came.breaches.is_empty()), String::new())
+                let status = match result {
+                    Ok(result) => {
+                        print_result(seed_of_day, args, &result, as_json);
+                        (u8::from(!result.breaches.is_empty()), String::new())
                     }
-                    Err(why) => (3, format!("seed {mine}: {why}")),
+                    Err(reason) => (3, format!("seed {seed_of_day}: {reason}")),
                 };
-                if ended.0 == 0 && out.is_none() {
+                if status.0 == 0 && out.is_none() {
                     let _ = std::fs::remove_dir_all(&day.dir);
                 }
                 if let Ok(mut worst) = worst.lock() {
-                    if ended.0 > worst.0 {
-                        *worst = ended;
+                    if status.0 > worst.0 {
+                        *worst = status;
                     }
                 }
             });
         }
     });
     match worst.into_inner().unwrap_or((3, "a day failed".into())) {
-        (3, why) => Err((3, format!("{why} (in {})", base.display()))),
+        (3, reason) => Err((3, format!("{reason} (in {})", base.display()))),
         (code, _) => Ok(code),
     }
 }
 
-/// One line of JSON for each figure.
-pub fn measure(members: &[usize], each: usize, kills: usize, entries: &[usize]) -> ExitResult {
+/// Measures the cost of the record, one line of JSON per figure.
+pub fn measure_record(members: &[usize], count_each: usize, kills: usize, entries: &[usize]) -> ExitResult {
     let program = std::env::current_exe().map_err(|e| (3, e.to_string()))?;
     let dir = std::env::temp_dir().join(format!("pewtergap-record-{}", std::process::id()));
     std::fs::create_dir_all(&dir).map_err(|e| (3, e.to_string()))?;
-    let failed = |why: String| (3, format!("the measurement failed: {why}"));
-    let bare = |e: std::io::Error| failed(e.to_string());
-    println!("{}", json!({ "append_and_sync_ms": bare_sync(&dir, each).map_err(bare)? }));
-    println!("{}", json!({ "round_trip_ms": bare_round_trip(each).map_err(bare)? }));
+    let failed = |reason: String| (3, format!("the measurement failed: {reason}"));
+    let io_failed = |e: std::io::Error| failed(e.to_string());
+    println!("{}", json!({ "append_and_sync_ms": bare_sync(&dir, count_each).map_err(io_failed)? }));
+    println!("{}", json!({ "round_trip_ms": bare_round_trip(count_each).map_err(io_failed)? }));
     for count in members {
-        let orders = with_cluster(&program, &dir, *count, None, |director| director.measure_orders(each))
-            .map_err(failed)?;
+        let orders =
+            with_cluster(&program, &dir, *count, None, |director| director.measure_orders(count_each))
+                .map_err(failed)?;
         orders.iter().for_each(|orders| println!("{}", json!({ "orders": orders })));
     }
-    println!("{}", json!({ "append_and_sync_ms": bare_sync(&dir, each).map_err(bare)? }));
+    println!("{}", json!({ "append_and_sync_ms": bare_sync(&dir, count_each).map_err(io_failed)? }));
     if kills > 0 {
         let kills = with_cluster(&program, &dir, 3, None, |director| director.measure_kills(kills))
             .map_err(failed)?;
         println!("{}", json!({ "kill_of_the_leader_to_kept_ms": kills }));
     }
     for count in entries {
-        let up = with_cluster(&program, &dir, 3, None, |director| director.measure_bringing_up(*count))
+        let catch_up = with_cluster(&program, &dir, 3, None, |director| director.measure_bringing_up(*count))
             .map_err(failed)?;
-        println!("{}", json!({ "brought_up": up }));
+        println!("{}", json!({ "brought_up": catch_up }));
     }
     let _ = std::fs::remove_dir_all(&dir);
     Ok(0)
 }
 
-/// What duties cost and how they are handed on, one line of JSON for each figure.
+/// Measures the cost and the handover of duties, one line of JSON per figure.
 pub fn measure_duties(rounds: usize, planners: &[usize], many: usize) -> ExitResult {
     let program = std::env::current_exe().map_err(|e| (3, e.to_string()))?;
     let dir = std::env::temp_dir().join(format!("pewtergap-duties-{}", std::process::id()));
     std::fs::create_dir_all(&dir).map_err(|e| (3, e.to_string()))?;
-    let failed = |why: String| (3, format!("the measurement failed: {why}"));
+    let failed = |reason: String| (3, format!("the measurement failed: {reason}"));
     for struck in STRUCK {
-        let took =
+        let durations =
             with_cluster(&program, &dir, 3, Some(2), |director| director.measure_strikes(struck, rounds));
-        let (took, without) = took.map_err(failed)?;
+        let (durations, missing_fraction) = durations.map_err(failed)?;
         println!(
             "{}",
-            json!({ "struck": format!("{struck:?}"), "lease_ms": LEASE_MS, "gone_on_ms": took,
-            "part_without": without })
+            json!({ "struck": format!("{struck:?}"), "lease_ms": LEASE_MS, "gone_on_ms": durations,
+            "part_without": missing_fraction })
         );
     }
     let moved = with_cluster(&program, &dir, 5, Some(10), |director| director.measure_restarts(2));
@@ -197,7 +198,7 @@
         let rest = with_cluster(&program, &dir, 7, Some(many), |director| director.measure_at_rest(10));
         println!("{}", json!({ "at_rest": rest.map_err(failed)? }));
     }
-    // Off, on, on, off: what else the machine does falls on both.
+    // Off, on, on, off: other load on the machine affects both equally.
     for count in planners {
         for on in [false, true, true, false] {
             let seen = probing(&program, &dir.join("probes"), *count, on).map_err(failed)?;
@@ -208,11 +209,11 @@
     Ok(0)
 }
 
-/// What sharing costs and brings, one line of JSON for each figure.
+/// Measures the cost and the benefit of sharing, one line of JSON per figure.
 pub fn measure_sharing(planners: &[u64], rounds: u64, days: &[String], seeds: u64) -> ExitResult {
     let program = std::env::current_exe().map_err(|e| (3, e.to_string()))?;
     let dir = std::env::temp_dir().join(format!("pewtergap-sharing-{}", std::process::id()));
-    let failed = |why: String| (3, format!("the measurement failed: {why}"));
+    let failed = |reason: String| (3, format!("the measurement failed: {reason}"));
     for count in planners.iter().copied().filter(|count| *count > 1) {
         println!("{}", json!({ "cost": cost(count, 200, 20, 1) }));
     }
@@ -223,7 +224,7 @@
     }
     for day in days {
         for seed in 1..=seeds {
-            // In turn and back: what else the machine does falls on all.
+            // Forwards and backwards: other load on the machine affects all equally.
             use Sharing::*;
             for sharing in [Off, On, Cut, Cut, On, Off] {
                 let seen = shared(&program, &dir, day, 5, sharing, seed).map_err(failed)?;
--- a/crates/pewtergap/src/main.rs
+++ b/crates/pewtergap/src/main.rs
@@ -1,6 +1,6 @@
-//! pewtergap: a control service for a fleet of plain proxies, and the kit to rehearse it.
+//! pewtergap: a control service for a fleet of proxies, and the tools to rehearse it.
 //!
-//! Exit status: 0 done, and for a rehearsal or an audit all rules kept; 1 a rule broken; 2 bad usage, settings
+//! Exit status: 0 success, for a rehearsal or an audit with all rules kept; 1 a rule was violated; 2 invalid usage, settings
 //! or recording; 3 the rehearsal or the program itself failed.
 #![forbid(unsafe_code)]
 
@@ -9,9 +9,9 @@
 #[cfg(feature = "fronts")]
 mod cluster;
 #[cfg(feature = "fronts")]
-mod explore;
+mod commands;
 #[cfg(feature = "fronts")]
-mod fronts;
+mod explore;
 #[cfg(feature = "fronts")]
 mod operator;
 mod platform;
@@ -28,75 +28,76 @@
 
 #[derive(Parser)]
 #[command(version, about, long_about = None)]
-struct Line {
-    /// What is logged, to standard error: error, warn, info, debug.
+struct Cli {
+    /// Log level, for standard error: error, warn, info, debug.
     #[arg(long, global = true, default_value = "info")]
     log: String,
-    #[arg(long, global = true, value_enum, default_value_t = Form::Compact)]
-    log_form: Form,
+    #[arg(long, global = true, value_enum, default_value_t = LogFormat::Compact)]
+    log_form: LogFormat,
     #[command(subcommand)]
-    command: Verb,
+    command: CliCommand,
 }
 
 #[derive(Clone, Copy, ValueEnum)]
-enum Form {
+enum LogFormat {
     Compact,
     Json,
 }
 
 #[derive(Subcommand)]
-enum Verb {
-    /// Run a planner on the platform's protocol, told what it is by the NODE_ variables.
+enum CliCommand {
+    /// Run a planner on the platform's protocol, configured by the NODE_ environment variables.
     Node,
     #[cfg(feature = "fronts")]
     #[command(flatten)]
-    Front(fronts::Front),
+    Script(commands::ScriptCommand),
 }
 
 fn main() -> ExitCode {
-    let line = Line::parse();
-    logs(&line);
-    let ended = match line.command {
-        Verb::Node => platform::node(),
+    let cli = Cli::parse();
+    init_logging(&cli);
+    let result = match cli.command {
+        CliCommand::Node => platform::node(),
         #[cfg(feature = "fronts")]
-        Verb::Front(front) => fronts::run_front(front),
+        CliCommand::Script(command) => commands::run(command),
     };
-    match ended {
+    match result {
         Ok(code) => ExitCode::from(code),
-        Err((code, what)) => {
-            eprintln!("{what}");
+        Err((code, message)) => {
+            eprintln!("{message}");
             ExitCode::from(code)
         }
     }
 }
 
-fn logs(line: &Line) {
-    let filter = tracing_subscriber::EnvFilter::new(&line.log);
-    let logs =
+fn init_logging(cli: &Cli) {
+    let filter = tracing_subscriber::EnvFilter::new(&cli.log);
+    let builder =
         tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr).with_target(false);
-    match line.log_form {
-        Form::Compact => logs.with_ansi(false).compact().init(),
-        Form::Json => logs.json().init(),
+    match cli.log_form {
+        LogFormat::Compact => builder.with_ansi(false).compact().init(),
+        LogFormat::Json => builder.json().init(),
     }
 }
 
+/// The exit status of a command, or its exit status and message if it failed.
 type ExitResult = Result<u8, (u8, String)>;
 
-/// One node in one reactor, until a signal or the node ends it.
-fn drive(
+/// Runs one node in a reactor until a signal or the node itself ends it.
+fn run_node(
     clock: Clock,
     node: Box<dyn Node>,
     dir: PathBuf,
     announce: bool,
-    most_unwritten: usize,
+    max_unwritten: usize,
 ) -> ExitResult {
-    let told = |e: std::io::Error| (3, format!("the reactor: {e}"));
-    let mut reactor = Reactor::new(clock, most_unwritten, dir).map_err(told)?;
-    reactor.catch_signals().map_err(told)?;
+    let reactor_error = |e: std::io::Error| (3, format!("the reactor: {e}"));
+    let mut reactor = Reactor::new(clock, max_unwritten, dir).map_err(reactor_error)?;
+    reactor.catch_signals().map_err(reactor_error)?;
     if announce {
         reactor.announce();
     }
     reactor.add(node);
-    let (code, _) = reactor.run().map_err(told)?;
+    let (code, _) = reactor.run().map_err(reactor_error)?;
     Ok(code as u8)
 }
--- a/crates/pewtergap/src/operator.rs
+++ b/crates/pewtergap/src/operator.rs
@@ -1,4 +1,5 @@
-//! What an operator types: orders, members, the record. Each is one call to a planner's admin door.
+//! Operator commands: orders, members, duties and the record. Each is a request to the admin address of a planner or a
+//! control machine.
 
 use crate::ExitResult;
 use clap::{Args, Subcommand};
@@ -8,58 +9,58 @@
 use std::time::{Duration, Instant, SystemTime};
 
 #[derive(Args)]
-pub struct At {
-    /// Admin addresses of planners, tried in turn.
+pub struct AdminAddresses {
+    /// Admin addresses of planners, tried in order.
     #[arg(long, value_delimiter = ',', required = true)]
     at: Vec<SocketAddr>,
 }
 
 #[derive(Args)]
-pub struct OrderLine {
+pub struct OrderArgs {
     #[command(flatten)]
-    at: At,
-    /// Who gives the order.
+    at: AdminAddresses,
+    /// Name of the operator.
     #[arg(long)]
     by: String,
     #[arg(long)]
     why: String,
-    /// For so long, like 90s, 10m or 2h; without it until taken back.
+    /// Duration of the order, like 90s, 10m or 2h; by default until it is taken back.
     #[arg(long = "for")]
     lasts: Option<String>,
-    /// In so many steps: each planner carries out what is reached, one of them looks at what follows and lets it go on
-    /// or takes it back.
+    /// Number of steps of a rollout: each planner applies the current step, and one of them observes the effect and continues
+    /// or takes the order back.
     #[arg(long, default_value_t = 0)]
     steps: u32,
-    /// Between two steps.
+    /// Pause between two steps.
     #[arg(long, default_value = "5s")]
     pause: String,
-    /// Steps are a share of the planners, each with all its proxies, that carry it out whole.
+    /// Each step adds planners that apply the order in full with all their proxies.
     #[arg(long)]
     by_proxies: bool,
-    /// Of an order that was given before and whose answer is not known: 16 hexadecimal digits.
+    /// Id of an earlier order whose result is unknown, to repeat it: 16 hexadecimal digits.
     #[arg(long)]
     id: Option<String>,
-    /// Given at a control machine: until all planners that are heard have it in force.
+    /// Wait until the order is in force at all planners that are heard; needs the address of a control machine.
     #[arg(long)]
     wait: bool,
-    /// So many seconds at most.
+    /// Wait at most so many seconds.
     #[arg(long, default_value_t = 30)]
     patience: u64,
     #[command(subcommand)]
-    order: Wish,
+    order: OrderCommand,
 }
 
 #[derive(Subcommand)]
-enum Wish {
-    /// A server takes no more calls, whatever the list says.
+enum OrderCommand {
+    /// Send no more calls to a server, whatever the list says.
     Drain {
         server: String,
     },
-    /// It goes by the list again.
+    /// End a drain: the list applies to the server again.
     TakeBack {
         server: String,
     },
-    /// A server's weight, whatever the list says.
+    /// Set the weight of a server, whatever the list says.
     Weight {
         server: String,
         weight: f64,
@@ -67,7 +68,7 @@
     FreeWeight {
         server: String,
     },
-    /// Let in no more than this part of a route's calls.
+    /// Admit no more than this fraction of the calls of a route.
     Cap {
         route: String,
         level: f64,
@@ -75,10 +76,10 @@
     Uncap {
         route: String,
     },
-    /// No table changes but removals.
+    /// Allow no changes of tables except removals.
     HoldReleases,
     LetReleases,
-    /// All servers of a zone take no more calls, whatever the list says.
+    /// Send no more calls to any server of a zone, whatever the list says.
     DrainZone {
         zone: String,
     },
@@ -88,102 +89,108 @@
 }
 
 #[derive(Subcommand)]
-pub enum MembersLine {
-    /// Who belongs, and what is known of each.
+pub enum MembersCommand {
+    /// List the members and their state.
     List {
         #[command(flatten)]
-        at: At,
+        at: AdminAddresses,
     },
-    /// Another planner may join; it learns first and votes once it has caught up.
+    /// Add a planner, which receives a vote once it has caught up.
     Add {
         name: String,
         address: SocketAddr,
         #[command(flatten)]
-        at: At,
+        at: AdminAddresses,
     },
     Remove {
         name: String,
         #[command(flatten)]
-        at: At,
+        at: AdminAddresses,
     },
-    /// A majority is lost for good: this planner's disk, while it does not run, goes on alone as a new cluster. What
-    /// only the lost ones held is lost.
+    /// Recover from the permanent loss of a majority: turns the disk of this planner, which must not be running, into a new
+    /// cluster of one. Entries that only the lost members had are lost.
     Alone {
         settings: std::path::PathBuf,
-        /// Said in full, since nothing brings back what is lost by it.
+        /// Required confirmation, since the loss cannot be undone.
         #[arg(long, required = true)]
         what_is_lost_is_lost: bool,
     },
-    /// A planner's disk is given up: another one may come under its name.
+    /// Replace a planner whose disk is lost by a new one of the same name.
     Replace {
         name: String,
         address: SocketAddr,
         #[command(flatten)]
-        at: At,
+        at: AdminAddresses,
     },
 }
 
-/// Who says it, why, and to whom.
+/// Who gives an order, why, and where it is sent.
 #[derive(Args)]
-pub struct Said {
+pub struct Attribution {
     #[arg(long)]
     by: String,
     #[arg(long)]
     why: String,
     #[command(flatten)]
-    at: At,
+    at: AdminAddresses,
 }
 
 #[derive(Subcommand)]
-pub enum DutiesLine {
-    /// Who holds which duty, under which number, and since when.
+pub enum DutiesCommand {
+    /// List the duties with their holders, fencing tokens and times.
     List {
         #[command(flatten)]
-        at: At,
+        at: AdminAddresses,
     },
-    /// A duty goes to this planner and stays there; with no planner wherever it falls.
+    /// Pin a duty to this planner; without a planner, unpin it.
     Hand {
         duty: String,
         to: Option<String>,
         #[command(flatten)]
-        said: Said,
+        said: Attribution,
     },
-    /// No duty moves but what is lost.
+    /// Move no duties except those of lost holders.
     Hold {
         #[command(flatten)]
-        said: Said,
+        said: Attribution,
     },
     Let {
         #[command(flatten)]
-        said: Said,
+        said: Attribution,
     },
 }
 
 #[derive(Args)]
-pub struct WatchersLine {
+pub struct WatchersArgs {
     #[command(flatten)]
-    at: At,
-    /// A place of the record; without it the newest that the machine has applied.
+    at: AdminAddresses,
+    /// Index in the record; by default the newest that the machine has applied.
     #[arg(long)]
     place: Option<u64>,
 }
 
 #[derive(Args)]
-pub struct RecordLine {
+pub struct RecordArgs {
     #[command(flatten)]
-    at: At,
-    /// What this planner knows, without asking the others; its age is told.
+    at: AdminAddresses,
+    /// Read the local state of this planner without asking the others; its age is printed.
     #[arg(long)]
     stale: bool,
 }
 
-fn ask(at: &At, method: &str, target: &str, body: Option<&str>) -> ExitResult {
-    println!("{}", answered(at, method, target, body)?.trim_end());
+fn print_response(at: &AdminAddresses, method: &str, target: &str, body: Option<&str>) -> ExitResult {
+    println!("{}", request_any(at, method, target, body)?.trim_end());
     Ok(0)
 }
 
-/// Tries the planners in turn. What one may have taken in is given to the next under the same id.
-fn answered(at: &At, method: &str, target: &str, body: Option<&str>) -> Result<String, (u8, String)> {
+/// Sends the request to each planner in turn until one answers. A request that one of them may have accepted is repeated at
+/// the next under the same id.
+fn request_any(
+    at: &AdminAddresses,
+    method: &str,
+    target: &str,
+    body: Option<&str>,
+) -> Result<String, (u8, String)> {
     let (mut last, mut sent) = (String::new(), false);
     for address in &at.at {
         match call(*address, method, target, body) {
@@ -193,9 +200,9 @@
                 last = format!("{address}: {text}");
             }
             Ok((_, text)) => return Err((1, text)),
-            Err((was_sent, why)) => {
+            Err((was_sent, reason)) => {
                 sent |= was_sent;
-                last = why;
+                last = reason;
             }
         }
     }
@@ -203,59 +210,63 @@
     Err((if sent { 4 } else { 3 }, format!("{last}\n{meaning}")))
 }
 
-fn lasting(text: &str) -> Result<u64, (u8, String)> {
-    let wrong = || (2, format!("--for {text}: a time like 90s, 10m or 2h was expected"));
-    let at = text.find(|c: char| !c.is_ascii_digit()).ok_or_else(wrong)?;
-    let number: u64 = text[..at].parse().map_err(|_| wrong())?;
-    let unit = [("s", 1_000), ("m", 60_000), ("h", 3_600_000)].into_iter().find(|unit| unit.0 == &text[at..]);
-    number.checked_mul(unit.ok_or_else(wrong)?.1).ok_or_else(wrong)
+fn parse_duration_ms(text: &str) -> Result<u64, (u8, String)> {
+    let invalid = || (2, format!("--for {text}: a time like 90s, 10m or 2h was expected"));
+    let unit_start = text.find(|c: char| !c.is_ascii_digit()).ok_or_else(invalid)?;
+    let number: u64 = text[..unit_start].parse().map_err(|_| invalid())?;
+    let unit = [("s", 1_000), ("m", 60_000), ("h", 3_600_000)]
+        .into_iter()
+        .find(|unit| unit.0 == &text[unit_start..]);
+    number.checked_mul(unit.ok_or_else(invalid)?.1).ok_or_else(invalid)
 }
 
-pub fn order(line: OrderLine) -> ExitResult {
+pub fn order(args: OrderArgs) -> ExitResult {
     let now = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
     let given = now.as_millis() as u64;
-    let id = match &line.id {
+    let id = match &args.id {
         Some(id) => id.clone(),
         None => format!("{:016x}", fastrand::u64(1..)),
     };
-    let until = line.lasts.as_deref().map(lasting).transpose()?.map_or(0, |span| given + span);
-    let mut body = json!({ "id": id, "given": given, "who": line.by, "why": line.why, "until": until,
-        "steps": line.steps, "pause_ms": lasting(&line.pause)?, "by_proxies": line.by_proxies });
-    let more = match line.order {
-        Wish::Drain { server } => json!({ "order": "drain", "server": server }),
-        Wish::TakeBack { server } => json!({ "order": "take-back", "server": server }),
-        Wish::Weight { server, weight } => json!({ "order": "weight", "server": server, "weight": weight }),
-        Wish::FreeWeight { server } => json!({ "order": "free-weight", "server": server }),
-        Wish::Cap { route, level } => json!({ "order": "cap", "route": route, "level": level }),
-        Wish::Uncap { route } => json!({ "order": "uncap", "route": route }),
-        Wish::HoldReleases => json!({ "order": "hold-releases" }),
-        Wish::LetReleases => json!({ "order": "let-releases" }),
-        Wish::DrainZone { zone } => json!({ "order": "drain-zone", "zone": zone }),
-        Wish::TakeBackZone { zone } => json!({ "order": "take-back-zone", "zone": zone }),
+    let until = args.lasts.as_deref().map(parse_duration_ms).transpose()?.map_or(0, |span| given + span);
+    let mut body = json!({ "id": id, "given": given, "who": args.by, "why": args.why, "until": until,
+        "steps": args.steps, "pause_ms": parse_duration_ms(&args.pause)?, "by_proxies": args.by_proxies });
+    let fields = match args.order {
+        OrderCommand::Drain { server } => json!({ "order": "drain", "server": server }),
+        OrderCommand::TakeBack { server } => json!({ "order": "take-back", "server": server }),
+        OrderCommand::Weight { server, weight } => {
+            json!({ "order": "weight", "server": server, "weight": weight })
+        }
+        OrderCommand::FreeWeight { server } => json!({ "order": "free-weight", "server": server }),
+        OrderCommand::Cap { route, level } => json!({ "order": "cap", "route": route, "level": level }),
+        OrderCommand::Uncap { route } => json!({ "order": "uncap", "route": route }),
+        OrderCommand::HoldReleases => json!({ "order": "hold-releases" }),
+        OrderCommand::LetReleases => json!({ "order": "let-releases" }),
+        OrderCommand::DrainZone { zone } => json!({ "order": "drain-zone", "zone": zone }),
+        OrderCommand::TakeBackZone { zone } => json!({ "order": "take-back-zone", "zone": zone }),
     };
-    if let (Value::Object(body), Value::Object(more)) = (&mut body, more) {
-        body.extend(more);
+    if let (Value::Object(body), Value::Object(fields)) = (&mut body, fields) {
+        body.extend(fields);
     }
     eprintln!("order {id}");
-    let kept = answered(&line.at, "POST", "/orders", Some(&body.to_string()))?;
-    println!("{}", kept.trim_end());
-    match serde_json::from_str::<Value>(&kept).ok().and_then(|kept| kept["number"].as_u64()) {
-        Some(place) if line.wait => wait(&line.at, place, Duration::from_secs(line.patience)),
+    let response = request_any(&args.at, "POST", "/orders", Some(&body.to_string()))?;
+    println!("{}", response.trim_end());
+    match serde_json::from_str::<Value>(&response).ok().and_then(|response| response["number"].as_u64()) {
+        Some(index) if args.wait => wait_until_in_force(&args.at, index, Duration::from_secs(args.patience)),
         _ => Ok(0),
     }
 }
 
-/// Between two looks at who has an order in force.
-const LOOK: Duration = Duration::from_millis(100);
+/// Interval between two polls of the planners that have an order in force.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Until all planners that are heard have what the record says at a place in force. Control machines are asked in turn: one
-/// of them may be lost meanwhile, and one that has just begun knows nobody.
-fn wait(at: &At, place: u64, patience: Duration) -> ExitResult {
-    let end = Instant::now() + patience;
-    let mut told = String::from("nobody answered");
+/// Waits until the record up to `index` is in force at all planners that are heard. Asks the control machines in turn, since
+/// one of them may be lost in the meantime and a newly started one knows no planners yet.
+fn wait_until_in_force(at: &AdminAddresses, index: u64, patience: Duration) -> ExitResult {
+    let deadline = Instant::now() + patience;
+    let mut status = String::from("nobody answered");
     loop {
         for address in &at.at {
-            let view = call(*address, "GET", &format!("/watchers?place={place}"), None);
+            let view = call(*address, "GET", &format!("/watchers?place={index}"), None);
             let view = match view {
                 Ok((200, text)) => serde_json::from_str::<Value>(&text).unwrap_or_default(),
                 Ok((404, _)) => {
@@ -266,31 +277,32 @@
             let count = |name: &str| view[name].as_u64().unwrap_or(0);
             let (expected, heard) = (count("expected"), count("heard"));
             if expected == 0 && count("uncounted") == 0 {
-                told = format!("{address} knows no planner");
+                status = format!("{address} knows no planner");
                 continue;
             }
             let done = count("at_or_past") == heard && heard > 0;
-            told = in_force(&view);
+            status = in_force_summary(&view);
             if done {
-                println!("{told}");
+                println!("{status}");
                 return Ok(0);
             }
             break;
         }
-        if Instant::now() >= end {
-            let why = format!("kept as {place}; after {} s: {told}", patience.as_secs());
-            return Err((5, why));
+        if Instant::now() >= deadline {
+            let reason = format!("kept as {index}; after {} s: {status}", patience.as_secs());
+            return Err((5, reason));
         }
-        std::thread::sleep(LOOK);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// What of a view of watchers an operator wants to know.
-fn in_force(view: &Value) -> String {
+/// Summary of a watchers view for an operator.
+fn in_force_summary(view: &Value) -> String {
     let names = |list: &str, figure: &str, unit: &str| {
         let rows = view[list].as_array().into_iter().flatten();
-        let row = |row: &Value| format!("{} ({}{unit})", row["planner"].as_str().unwrap_or("?"), row[figure]);
-        rows.map(row).collect::<Vec<_>>().join(", ")
+        let format_row =
+            |row: &Value| format!("{} ({}{unit})", row["planner"].as_str().unwrap_or("?"), row[figure]);
+        rows.map(format_row).collect::<Vec<_>>().join(", ")
     };
     let (unheard, behind) = (names("unheard", "for_ms", " ms"), names("slowest", "place", ""));
     let mut text = format!("in force at {} of {}, unheard: ", view["at_or_past"], view["expected"]);
@@ -307,80 +319,80 @@
     text
 }
 
-/// Who has a place in force, over all control machines.
-pub fn watchers(line: WatchersLine) -> ExitResult {
-    let target = line.place.map_or("/watchers".into(), |place| format!("/watchers?place={place}"));
-    let text = answered(&line.at, "GET", &target, None)?;
+/// Prints which planners have an index in force, over all control machines.
+pub fn watchers(args: WatchersArgs) -> ExitResult {
+    let target = args.place.map_or("/watchers".into(), |index| format!("/watchers?place={index}"));
+    let text = request_any(&args.at, "GET", &target, None)?;
     println!("{}", text.trim_end());
-    eprintln!("{}", in_force(&serde_json::from_str(&text).unwrap_or_default()));
+    eprintln!("{}", in_force_summary(&serde_json::from_str(&text).unwrap_or_default()));
     Ok(0)
 }
 
-pub fn members(line: MembersLine) -> ExitResult {
+pub fn members(command: MembersCommand) -> ExitResult {
     let change = |name: String, address: Option<SocketAddr>, replace: bool| {
         let at = address.map_or(String::new(), |address| address.to_string());
         json!({ "name": name, "at": at, "replace": replace }).to_string()
     };
-    let (at, body) = match line {
-        MembersLine::List { at } => return ask(&at, "GET", "/members", None),
-        MembersLine::Alone { settings, .. } => return alone(&settings),
-        MembersLine::Add { name, address, at } => (at, change(name, Some(address), false)),
-        MembersLine::Remove { name, at } => (at, change(name, None, false)),
-        MembersLine::Replace { name, address, at } => (at, change(name, Some(address), true)),
+    let (at, body) = match command {
+        MembersCommand::List { at } => return print_response(&at, "GET", "/members", None),
+        MembersCommand::Alone { settings, .. } => return recover_alone(&settings),
+        MembersCommand::Add { name, address, at } => (at, change(name, Some(address), false)),
+        MembersCommand::Remove { name, at } => (at, change(name, None, false)),
+        MembersCommand::Replace { name, address, at } => (at, change(name, Some(address), true)),
     };
-    ask(&at, "POST", "/members", Some(&body))
+    print_response(&at, "POST", "/members", Some(&body))
 }
 
-pub fn duties(line: DutiesLine) -> ExitResult {
-    let fields = |said: Said| {
+pub fn duties(command: DutiesCommand) -> ExitResult {
+    let attribution_fields = |said: Attribution| {
         let now = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
         let id = format!("{:016x}", fastrand::u64(1..));
         eprintln!("order {id}");
         json!({ "id": id, "given": now.as_millis() as u64, "who": said.by, "why": said.why })
     };
-    let (said, target, more) = match line {
-        DutiesLine::List { at } => return ask(&at, "GET", "/duties", None),
-        DutiesLine::Hand { duty, to, said } => {
+    let (said, target, fields) = match command {
+        DutiesCommand::List { at } => return print_response(&at, "GET", "/duties", None),
+        DutiesCommand::Hand { duty, to, said } => {
             (said, "/duties", json!({ "duty": duty, "to": to.unwrap_or_default() }))
         }
-        DutiesLine::Hold { said } => (said, "/orders", json!({ "order": "hold-duties" })),
-        DutiesLine::Let { said } => (said, "/orders", json!({ "order": "let-duties" })),
+        DutiesCommand::Hold { said } => (said, "/orders", json!({ "order": "hold-duties" })),
+        DutiesCommand::Let { said } => (said, "/orders", json!({ "order": "let-duties" })),
     };
-    let at = At { at: said.at.at.clone() };
-    let mut body = fields(said);
-    if let (Value::Object(body), Value::Object(more)) = (&mut body, more) {
-        body.extend(more);
+    let at = AdminAddresses { at: said.at.at.clone() };
+    let mut body = attribution_fields(said);
+    if let (Value::Object(body), Value::Object(fields)) = (&mut body, fields) {
+        body.extend(fields);
     }
-    ask(&at, "POST", target, Some(&body.to_string()))
+    print_response(&at, "POST", target, Some(&body.to_string()))
 }
 
-pub fn shared(at: At) -> ExitResult {
-    ask(&at, "GET", "/shared", None)
+pub fn shared(at: AdminAddresses) -> ExitResult {
+    print_response(&at, "GET", "/shared", None)
 }
 
-pub fn record(line: RecordLine) -> ExitResult {
-    ask(&line.at, "GET", if line.stale { "/record?stale" } else { "/record" }, None)
+pub fn record(args: RecordArgs) -> ExitResult {
+    print_response(&args.at, "GET", if args.stale { "/record?stale" } else { "/record" }, None)
 }
 
-fn alone(settings: &std::path::Path) -> ExitResult {
-    let file = crate::fronts::planner_file(settings)?;
+fn recover_alone(settings: &std::path::Path) -> ExitResult {
+    let file = crate::commands::load_planner_file(settings)?;
     let path = file.dir.join(format!("{}.record", file.member.name));
-    let told = |e: std::io::Error| (3, format!("{}: {e}", path.display()));
-    let before = std::fs::read(&path).map_err(told)?;
-    let refused = |why: String| (3, format!("{}: {why}", path.display()));
-    let (after, goes_on) = pewtergap_member::recover_single_member(&before).map_err(refused)?;
-    let aside = path.with_extension("record.before-alone");
-    std::fs::write(&aside, &before).map_err(told)?;
-    pewtergap_reactor::write_atomically(&path, &after).map_err(told)?;
+    let io_error = |e: std::io::Error| (3, format!("{}: {e}", path.display()));
+    let before = std::fs::read(&path).map_err(io_error)?;
+    let recovery_error = |reason: String| (3, format!("{}: {reason}", path.display()));
+    let (after, recovered) = pewtergap_member::recover_single_member(&before).map_err(recovery_error)?;
+    let backup = path.with_extension("record.before-alone");
+    std::fs::write(&backup, &before).map_err(io_error)?;
+    pewtergap_reactor::write_atomically(&path, &after).map_err(io_error)?;
     println!(
         "{} goes on alone from entry {} of term {}, with {} orders in force. It belonged with {}: what only they held \
          is lost, and they are refused until their disks are empty and they are added. The file as it was: {}",
         file.member.name,
-        goes_on.index,
-        goes_on.term,
-        goes_on.orders,
-        goes_on.members.join(", "),
-        aside.display()
+        recovered.index,
+        recovered.term,
+        recovered.orders,
+        recovered.members.join(", "),
+        backup.display()
     );
     Ok(0)
 }
--- a/crates/pewtergap/src/scale.rs
+++ b/crates/pewtergap/src/scale.rs
@@ -1,4 +1,4 @@
-//! `pewtergap scale` and the hollow planners' process.
+//! The `scale` command, and the process that simulates its hollow planners.
 
 use crate::ExitResult;
 use clap::Args;
@@ -12,105 +12,107 @@
 use std::time::Duration;
 
 #[derive(Args)]
-pub struct ScaleLine {
-    /// Planners in all; several sizes are run one after the other.
+pub struct ScaleArgs {
+    /// Total number of planners; several sizes run one after the other.
     #[arg(long, value_delimiter = ',', required_unless_present = "beside")]
     planners: Vec<usize>,
-    /// Control machines; five of them vote at most, the others observe.
+    /// Number of control machines; at most five of them vote, the others are observers.
     #[arg(long, default_value_t = 11)]
     control: usize,
     #[arg(long, default_value_t = 17)]
     regions: usize,
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Of the planners, real ones: processes of the program.
+    /// Number of planners that are real processes of the program.
     #[arg(long, default_value_t = 20)]
     real: usize,
-    /// Of each real planner.
+    /// Proxies of each real planner.
     #[arg(long, default_value_t = 1)]
     proxies: usize,
-    /// What strikes, in this order: machine, leader, region, region-of-machine, restart, deaf, stopped.
-    #[arg(long, value_delimiter = ',', value_parser = fault)]
+    /// Faults, in this order: machine, leader, region, region-of-machine, restart, deaf, stopped.
+    #[arg(long, value_delimiter = ',', value_parser = parse_fault)]
     faults: Vec<Fault>,
-    /// Seconds at rest, and seconds for which a fault stands.
+    /// Seconds at rest.
     #[arg(long, default_value_t = 10)]
     rest: u64,
+    /// Seconds for which a fault lasts.
     #[arg(long, default_value_t = 10)]
     hold: u64,
-    /// The program whose processes are run, where it is another build than this one.
+    /// Program to run, if not this one.
     #[arg(long)]
     program: Option<PathBuf>,
-    /// What came of other sizes, from `--json`: they go into the report as well; with no planners the report is all.
+    /// Results of other sizes, as printed with `--json`, to include in the report; without --planners only the report is written.
     #[arg(long)]
     beside: Vec<PathBuf>,
-    /// Shows the judge a break that it must find: taken-back, unheard-counted.
-    #[arg(long, value_parser = planted)]
+    /// Plant a violation that the judge must find: taken-back, unheard-counted.
+    #[arg(long, value_parser = parse_planted)]
     plant: Option<Planted>,
-    /// What came of it as JSON, on standard output.
+    /// Print the results as JSON on standard output.
     #[arg(long)]
     json: bool,
-    /// Settings, logs and the report go here, and stay.
+    /// Directory for settings, logs and the report, which are kept.
     #[arg(long)]
     out: Option<PathBuf>,
 }
 
-fn one_of<T: Copy>(known: &[(&str, T)], name: &str) -> Result<T, String> {
-    let found = known.iter().find(|known| known.0 == name).map(|known| known.1);
+fn one_of<T: Copy>(choices: &[(&str, T)], name: &str) -> Result<T, String> {
+    let found = choices.iter().find(|choice| choice.0 == name).map(|choice| choice.1);
     found.ok_or_else(|| {
-        let names: Vec<&str> = known.iter().map(|known| known.0).collect();
+        let names: Vec<&str> = choices.iter().map(|choice| choice.0).collect();
         format!("one of {}", names.join(", "))
     })
 }
 
-fn fault(name: &str) -> Result<Fault, String> {
+fn parse_fault(name: &str) -> Result<Fault, String> {
     one_of(FAULTS, name)
 }
 
-fn planted(name: &str) -> Result<Planted, String> {
+fn parse_planted(name: &str) -> Result<Planted, String> {
     one_of(PLANTED, name)
 }
 
-pub fn hollow(file: &Path) -> ExitResult {
-    pewtergap_scale::hollow::run(file).map(|()| 0).map_err(|why| (3, why))
+pub fn run_hollow_planners(file: &Path) -> ExitResult {
+    pewtergap_scale::hollow::run(file).map(|()| 0).map_err(|reason| (3, reason))
 }
 
-pub fn scale(line: ScaleLine) -> ExitResult {
-    let limits = Limits::here().map_err(|why| (3, why))?;
+pub fn scale(args: ScaleArgs) -> ExitResult {
+    let limits = Limits::here().map_err(|reason| (3, reason))?;
     let size = |planners: &usize| Size {
         planners: *planners,
-        real: line.real,
-        proxies: line.proxies,
-        control: line.control,
-        regions: line.regions,
+        real: args.real,
+        proxies: args.proxies,
+        control: args.control,
+        regions: args.regions,
     };
-    let sizes: Vec<Size> = line.planners.iter().map(size).collect();
+    let sizes: Vec<Size> = args.planners.iter().map(size).collect();
     let needs = sizes.iter().map(|size| {
-        fits(size, &limits).map_err(|why| (2, format!("{} planners are not run:\n{why}", size.planners)))
+        fits(size, &limits)
+            .map_err(|reason| (2, format!("{} planners are not run:\n{reason}", size.planners)))
     });
-    // Before any of them is run.
+    // Checks all sizes before any of them runs.
     let needs = needs.collect::<Result<Vec<Need>, _>>()?;
-    let own = if cfg!(debug_assertions) { "debug" } else { "release" };
-    let (program, build) = match &line.program {
-        Some(other) => (other.clone(), format!("{}, director {own}", other.display())),
-        None => (std::env::current_exe().map_err(|e| (3, e.to_string()))?, own.to_string()),
+    let profile = if cfg!(debug_assertions) { "debug" } else { "release" };
+    let (program, build) = match &args.program {
+        Some(other) => (other.clone(), format!("{}, director {profile}", other.display())),
+        None => (std::env::current_exe().map_err(|e| (3, e.to_string()))?, profile.to_string()),
     };
-    let base = line.out.clone();
+    let base = args.out.clone();
     let base =
         base.unwrap_or_else(|| std::env::temp_dir().join(format!("pewtergap-scale-{}", std::process::id())));
     let mut beside: Vec<Came> = Vec::new();
-    for file in &line.beside {
-        beside.extend(read(file).map_err(|why| (2, why))?);
+    for file in &args.beside {
+        beside.extend(read(file).map_err(|reason| (2, reason))?);
     }
     let report = |all: &[Came]| {
-        let mut whole = [&beside, all].concat();
-        whole.sort_by_key(|came| came.size.planners);
-        line.out.as_ref().map_or(Ok(()), |out| write(out, &whole)).map_err(|why| (3, why))
+        let mut merged = [&beside, all].concat();
+        merged.sort_by_key(|result| result.size.planners);
+        args.out.as_ref().map_or(Ok(()), |out| write(out, &merged)).map_err(|reason| (3, reason))
     };
     report(&[])?;
-    let mut all: Vec<Came> = Vec::new();
+    let mut results: Vec<Came> = Vec::new();
     for (size, need) in sizes.iter().zip(needs) {
-        let say = |what: &str| eprintln!("{:>5} planners  {what}", size.planners);
-        say(&format!(
+        let progress = |what: &str| eprintln!("{:>5} planners  {what}", size.planners);
+        progress(&format!(
             "needs {} MiB, {} processes, {} descriptors",
             need.memory >> 20,
             need.processes,
@@ -123,36 +125,39 @@
             size: *size,
             need,
             memory: limits.memory,
-            seed: line.seed,
-            faults: line.faults.clone(),
-            rest: Duration::from_secs(line.rest),
-            hold: Duration::from_secs(line.hold),
-            planted: line.plant,
-            progress: &say,
+            seed: args.seed,
+            faults: args.faults.clone(),
+            rest: Duration::from_secs(args.rest),
+            hold: Duration::from_secs(args.hold),
+            planted: args.plant,
+            progress: &progress,
         };
-        all.push(play(&run).map_err(|why| (3, format!("the scale run failed: {why}")))?);
-        // Should a later size fail, what came of this one stays.
-        report(&all)?;
+        results.push(play(&run).map_err(|reason| (3, format!("the scale run failed: {reason}")))?);
+        // Writes the report after each size, so that a later failure does not lose it.
+        report(&results)?;
     }
-    if line.out.is_none() {
+    if args.out.is_none() {
         let _ = std::fs::remove_dir_all(&base);
     }
-    let broken: usize = all.iter().map(|came| came.breaches.len()).sum();
-    if line.json {
-        println!("{}", json!({ "runs": all }));
+    let violations: usize = results.iter().map(|result| result.breaches.len()).sum();
+    if args.json {
+        println!("{}", json!({ "runs": results }));
     } else {
-        all.iter().for_each(tell);
+        results.iter().for_each(print_result);
     }
-    Ok(u8::from(broken > 0))
+    Ok(u8::from(violations > 0))
 }
 
-fn tell(came: &Came) {
-    println!("{} planners, {} control machines, seed {}:", came.size.planners, came.size.control, came.seed);
-    for aim in &came.aims {
+fn print_result(result: &Came) {
+    println!(
+        "{} planners, {} control machines, seed {}:",
+        result.size.planners, result.size.control, result.seed
+    );
+    for aim in &result.aims {
         let measured = aim.measured.map_or("not measured".into(), |measured| format!("{measured:.2}"));
         let missed = if aim.met() == Some(false) { "  MISSED" } else { "" };
         println!("  {}: {measured} of {} {}{missed}", aim.name, aim.most, aim.unit);
     }
-    came.breaches.iter().for_each(|breach| println!("  {breach}"));
-    println!("  {} rules broken", came.breaches.len());
+    result.breaches.iter().for_each(|breach| println!("  {breach}"));
+    println!("  {} rules broken", result.breaches.len());
 }
