--- a/crates/pewtergap/tests/capacity.rs
+++ b/crates/pewtergap/tests/capacity.rs
@@ -1,4 +1,4 @@
-//! `pewtergap capacity` as a process: its tables, and files that are wrong.
+//! Runs the `capacity` command as a process: its tables, and the errors for invalid files.
 
 use std::process::{Command, Output};
 
@@ -9,14 +9,14 @@
 #[test]
 fn the_command_prints_the_pages_tables() {
     let page = include_str!("../../../docs/CAPACITY.md");
-    let came = run(&[]);
-    assert_eq!(came.status.code(), Some(0), "{}", String::from_utf8_lossy(&came.stderr));
-    let printed = String::from_utf8(came.stdout).expect("text");
+    let output = run(&[]);
+    assert_eq!(output.status.code(), Some(0), "{}", String::from_utf8_lossy(&output.stderr));
+    let printed = String::from_utf8(output.stdout).expect("text");
     let missing: Vec<&str> = printed.lines().filter(|line| !page.contains(line)).collect();
     assert!(missing.is_empty() && printed.lines().count() > 100, "{missing:?}");
-    let came = run(&["--json"]);
-    let book: serde_json::Value = serde_json::from_slice(&came.stdout).expect("JSON");
-    assert_eq!(book["size"]["servers"], 34_000.0);
+    let output = run(&["--json"]);
+    let report: serde_json::Value = serde_json::from_slice(&output.stdout).expect("JSON");
+    assert_eq!(report["size"]["servers"], 34_000.0);
 }
 
 #[test]
@@ -36,11 +36,11 @@
         (vec!["--slopes", &name], format!("{name}:4: fleet: there is no such field\n")),
         (vec!["--size", "/nowhere/at-all"], "/nowhere/at-all: ".to_string()),
     ];
-    for (args, wanted) in cases {
-        let came = run(&args);
-        let told = String::from_utf8_lossy(&came.stderr).into_owned();
-        assert_eq!(came.status.code(), Some(2), "{told}");
-        assert!(told.contains(&wanted) && came.stdout.is_empty(), "{wanted}\ncame: {told}");
+    for (args, expected) in cases {
+        let output = run(&args);
+        let errors = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert_eq!(output.status.code(), Some(2), "{errors}");
+        assert!(errors.contains(&expected) && output.stdout.is_empty(), "{expected}\ncame: {errors}");
     }
     std::fs::remove_dir_all(&dir).expect("the folder goes");
 }
--- a/crates/pewtergap/tests/fleet/mod.rs
+++ b/crates/pewtergap/tests/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! Control machines, planners that watch them and a proxy, as processes of the program. Every process listens on port 0 and
-//! is reached by the others through a gate of the test's, which can be shut: bytes are held, as by a network that is cut.
+//! Control machines, watching planners and a proxy as processes. Every process listens on port 0 and is reached by the others
+//! through a forwarding gate of the test. A shut gate holds back all bytes, like a network partition.
 
 use pewtergap_lab::ask::call;
 use serde_json::Value;
@@ -12,70 +12,72 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::{Duration, Instant};
 
-/// Every wait is for an event; this only ends a test whose event never comes.
-pub const CEILING: Duration = Duration::from_secs(40);
+/// Upper bound of every wait, for events that never happen. It is no part of what a test checks.
+pub const MAX_WAIT: Duration = Duration::from_secs(40);
 const PROGRAM: &str = env!("CARGO_BIN_EXE_pewtergap");
 
-/// Looks until there is something.
-pub fn until<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> T {
-    let begin = Instant::now();
+/// Polls until there is a result, and panics after `MAX_WAIT`.
+pub fn wait_until<T>(event: &str, mut poll: impl FnMut() -> Option<T>) -> T {
+    let start = Instant::now();
     loop {
-        if let Some(found) = look() {
+        if let Some(found) = poll() {
             return found;
         }
-        assert!(begin.elapsed() < CEILING, "no {what}");
+        assert!(start.elapsed() < MAX_WAIT, "no {event}");
         std::thread::sleep(Duration::from_millis(10));
     }
 }
 
 #[derive(Default)]
-struct Way {
+struct GateState {
     target: Mutex<Option<SocketAddr>>,
     shut: Mutex<bool>,
-    turned: Condvar,
+    changed: Condvar,
 }
 
-/// A door of the test's before a process.
+/// A forwarding listener in front of a process.
 pub struct Gate {
     pub at: SocketAddr,
-    way: Arc<Way>,
+    state: Arc<GateState>,
 }
 
 impl Gate {
     pub fn new() -> Gate {
-        let door = TcpListener::bind("127.0.0.1:0").expect("a listener");
-        let (at, way) = (door.local_addr().expect("its address"), Arc::new(Way::default()));
-        let ours = way.clone();
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a listener");
+        let (at, state) = (listener.local_addr().expect("its address"), Arc::new(GateState::default()));
+        let shared = state.clone();
         std::thread::spawn(move || {
-            for near in door.incoming().map_while(Result::ok) {
-                let target = *ours.target.lock().expect("a target");
-                let Some(far) = target.and_then(|target| TcpStream::connect(target).ok()) else { continue };
-                let pairs = [(near.try_clone(), far.try_clone()), (Ok(far), Ok(near))];
+            for client in listener.incoming().map_while(Result::ok) {
+                let target = *shared.target.lock().expect("a target");
+                let Some(server) = target.and_then(|target| TcpStream::connect(target).ok()) else {
+                    continue;
+                };
+                let pairs = [(client.try_clone(), server.try_clone()), (Ok(server), Ok(client))];
                 for (from, to) in pairs {
-                    let (Ok(from), Ok(to), way) = (from, to, ours.clone()) else { continue };
-                    std::thread::spawn(move || pump(from, to, &way));
+                    let (Ok(from), Ok(to), state) = (from, to, shared.clone()) else { continue };
+                    std::thread::spawn(move || pump(from, to, &state));
                 }
             }
         });
-        Gate { at, way }
+        Gate { at, state }
     }
 
-    pub fn leads_to(&self, target: SocketAddr) {
-        *self.way.target.lock().expect("a target") = Some(target);
+    pub fn set_target(&self, target: SocketAddr) {
+        *self.state.target.lock().expect("a target") = Some(target);
     }
 
-    pub fn shut(&self, shut: bool) {
-        *self.way.shut.lock().expect("its state") = shut;
-        self.way.turned.notify_all();
+    pub fn set_shut(&self, shut: bool) {
+        *self.state.shut.lock().expect("its state") = shut;
+        self.state.changed.notify_all();
     }
 }
 
-fn pump(mut from: TcpStream, mut to: TcpStream, way: &Way) {
+fn pump(mut from: TcpStream, mut to: TcpStream, state: &GateState) {
     let mut buffer = [0; 16 * 1024];
     loop {
         let count = from.read(&mut buffer).unwrap_or(0);
-        let shut = way.shut.lock().expect("its state");
-        drop(way.turned.wait_while(shut, |shut| *shut).expect("its state"));
+        let shut = state.shut.lock().expect("its state");
+        drop(state.changed.wait_while(shut, |shut| *shut).expect("its state"));
         if count == 0 || to.write_all(&buffer[..count]).is_err() {
             let _ = to.shutdown(Shutdown::Write);
             let _ = from.shutdown(Shutdown::Read);
@@ -84,18 +86,18 @@
     }
 }
 
-/// A process of the program; it ends with the test, however that ends.
+/// A process of the program, killed on drop.
 pub struct Process {
     child: Child,
     log: Receiver<String>,
     seen: Vec<String>,
-    doors: BTreeMap<String, SocketAddr>,
+    listeners: BTreeMap<String, SocketAddr>,
 }
 
 impl Process {
-    pub fn start(verb: &str, settings: &Path, doors: &[&str]) -> Process {
+    pub fn start(command: &str, settings: &Path, listeners: &[&str]) -> Process {
         let mut child = Command::new(PROGRAM)
-            .args([verb, "--announce"])
+            .args([command, "--announce"])
             .arg(settings)
             .stdout(Stdio::piped())
             .stderr(Stdio::piped())
@@ -111,32 +113,32 @@
         std::thread::spawn(move || {
             output.lines().map_while(Result::ok).for_each(|line| drop(sender.send(line)));
         });
-        let mut process = Process { child, log, seen: Vec::new(), doors: BTreeMap::new() };
-        while doors.iter().any(|door| !process.doors.contains_key(*door)) {
-            let line = lines.recv_timeout(CEILING);
+        let mut process = Process { child, log, seen: Vec::new(), listeners: BTreeMap::new() };
+        while listeners.iter().any(|name| !process.listeners.contains_key(*name)) {
+            let line = lines.recv_timeout(MAX_WAIT);
             let line = line.unwrap_or_else(|_| {
                 let log: Vec<String> = process.log.try_iter().collect();
-                panic!("{verb} tells of no {doors:?}:\n{}", log.join("\n"))
+                panic!("{command} tells of no {listeners:?}:\n{}", log.join("\n"))
             });
-            if let ["listening", door, at] = line.split(' ').collect::<Vec<_>>()[..] {
-                process.doors.insert(door.into(), at.parse().expect("an address"));
+            if let ["listening", name, at] = line.split(' ').collect::<Vec<_>>()[..] {
+                process.listeners.insert(name.into(), at.parse().expect("an address"));
             }
         }
         process
     }
 
-    pub fn door(&self, name: &str) -> SocketAddr {
-        self.doors[name]
+    pub fn address(&self, name: &str) -> SocketAddr {
+        self.listeners[name]
     }
 
-    /// The next line of the log that has this in it.
-    pub fn line(&mut self, what: &str) -> String {
-        let begin = Instant::now();
+    /// Waits for the next line of the log that contains `text`.
+    pub fn wait_for_line(&mut self, text: &str) -> String {
+        let start = Instant::now();
         loop {
-            let line = self.log.recv_timeout(CEILING.saturating_sub(begin.elapsed()));
-            let line = line.unwrap_or_else(|_| panic!("no '{what}' after:\n{}", self.seen.join("\n")));
+            let line = self.log.recv_timeout(MAX_WAIT.saturating_sub(start.elapsed()));
+            let line = line.unwrap_or_else(|_| panic!("no '{text}' after:\n{}", self.seen.join("\n")));
             self.seen.push(line.clone());
-            if line.contains(what) {
+            if line.contains(text) {
                 return line;
             }
         }
@@ -148,7 +150,7 @@
     }
 
     pub fn view(&self, target: &str) -> Value {
-        let answer = call(self.door("admin"), "GET", target, None);
+        let answer = call(self.address("admin"), "GET", target, None);
         answer.ok().and_then(|(_, text)| serde_json::from_str(&text).ok()).unwrap_or_default()
     }
 }
@@ -169,10 +171,10 @@
 
 impl Machine {
     pub fn admin(&self) -> SocketAddr {
-        self.up().door("admin")
+        self.process().address("admin")
     }
 
-    pub fn up(&self) -> &Process {
+    pub fn process(&self) -> &Process {
         self.process.as_ref().expect("it runs")
     }
 }
@@ -184,7 +186,7 @@
 }
 
 impl Fleet {
-    /// So many control machines that vote, and more that observe, all up and seated.
+    /// Starts control machines, voters first and then observers, and waits until all are connected members.
     pub fn new(test: &str, voters: usize, observers: usize) -> Fleet {
         let dir = std::env::temp_dir().join(format!("pewtergap-tier-{}-{test}", std::process::id()));
         let _ = std::fs::remove_dir_all(&dir);
@@ -197,20 +199,20 @@
         let machines = (0..voters + observers).map(machine).collect();
         let mut fleet = Fleet { dir, machines, voters };
         (0..voters + observers).for_each(|at| fleet.start(at));
-        fleet.whole();
+        fleet.wait_until_connected();
         fleet
     }
 
-    /// A list of parts of settings, each found at the gate of its machine.
-    fn found<'a>(kind: &str, gates: impl Iterator<Item = (&'a String, &'a Gate)>) -> String {
+    /// A list of settings of this kind, each with the address of a machine's gate.
+    fn gate_list<'a>(kind: &str, gates: impl Iterator<Item = (&'a String, &'a Gate)>) -> String {
         let parts = gates.map(|(name, gate)| format!("{kind}(\"{name}\", address = \"{}\")", gate.at));
         format!("[{}]", parts.collect::<Vec<_>>().join(", "))
     }
 
     pub fn start(&mut self, at: usize) {
         let gates = || self.machines.iter().map(|machine| (&machine.name, &machine.members));
-        let members = Fleet::found("member", gates().take(self.voters));
-        let observers = Fleet::found("member", gates().skip(self.voters));
+        let members = Fleet::gate_list("member", gates().take(self.voters));
+        let observers = Fleet::gate_list("member", gates().skip(self.voters));
         let (name, dir) = (&self.machines[at].name, self.dir.join(&self.machines[at].name));
         std::fs::create_dir_all(&dir).expect("a folder");
         let text = format!(
@@ -222,20 +224,20 @@
         let file = dir.join("machine.star");
         std::fs::write(&file, text).expect("settings");
         let process = Process::start("control", &file, &["admin", "watches", "members"]);
-        self.machines[at].members.leads_to(process.door("members"));
-        self.machines[at].watches.leads_to(process.door("watches"));
+        self.machines[at].members.set_target(process.address("members"));
+        self.machines[at].watches.set_target(process.address("watches"));
         self.machines[at].process = Some(process);
     }
 
-    /// All that run know each other, have the same applied and serve.
-    pub fn whole(&self) {
+    /// Waits until all running machines know and reach each other and serve watches.
+    pub fn wait_until_connected(&self) {
         let up: Vec<&Machine> = self.machines.iter().filter(|machine| machine.process.is_some()).collect();
         for machine in &up {
-            until(&format!("whole cluster at {}", machine.name), || {
-                let view = machine.up().view("/members");
+            wait_until(&format!("whole cluster at {}", machine.name), || {
+                let view = machine.process().view("/members");
                 let seats = view["members"].as_array().cloned().unwrap_or_default();
                 let linked = seats.iter().filter(|seat| seat["linked"] == true).count();
-                let age = machine.up().view("/watchers")["here"]["age_ms"].as_u64();
+                let age = machine.process().view("/watchers")["here"]["age_ms"].as_u64();
                 (seats.len() == self.machines.len() && linked >= up.len() && age.is_some()).then_some(())
             });
         }
@@ -247,23 +249,26 @@
 
     pub fn leader(&self) -> usize {
         let leads = |machine: &Machine| {
-            machine.process.as_ref().is_some_and(|process| pewtergap_lab::ask::leads(process.door("admin")))
+            machine
+                .process
+                .as_ref()
+                .is_some_and(|process| pewtergap_lab::ask::leads(process.address("admin")))
         };
-        until("leader", || self.machines.iter().position(leads))
+        wait_until("leader", || self.machines.iter().position(leads))
     }
 
-    /// Which machine serves this planner now.
-    pub fn serves(&self, planner: &Planner) -> usize {
-        until("watch", || {
+    /// The machine that serves this planner now.
+    pub fn serving_machine(&self, planner: &Planner) -> usize {
+        wait_until("watch", || {
             let view = planner.view("/record");
             self.machines.iter().position(|machine| view["watching"] == machine.name.as_str())
         })
     }
 
-    /// All these planners, and no more, are heard at this machine; nobody is unheard.
-    pub fn heard(&self, at: usize, count: usize) {
-        until(&format!("{count} heard planners at {}", self.machines[at].name), || {
-            let view = self.machines[at].up().view("/watchers");
+    /// Waits until exactly `count` planners are expected and heard at this machine.
+    pub fn wait_until_heard(&self, at: usize, count: usize) {
+        wait_until(&format!("{count} heard planners at {}", self.machines[at].name), || {
+            let view = self.machines[at].process().view("/watchers");
             (view["heard"] == count && view["expected"] == count).then_some(())
         });
     }
@@ -271,7 +276,7 @@
     pub fn planner(&self, name: &str, watches: &[usize], servers: &[&Server]) -> Planner {
         let planner = Planner { name: name.into(), dir: self.dir.join(name), process: None };
         std::fs::create_dir_all(&planner.dir).expect("a folder");
-        planner.list(servers);
+        planner.write_list(servers);
         let gates = watches.iter().map(|at| (&self.machines[*at].name, &self.machines[*at].watches));
         let text = format!(
             "service(name = \"{name}\", zones = [\"z\"], listen = \"127.0.0.1:0\", admin = \"127.0.0.1:0\",\n\
@@ -280,7 +285,7 @@
              fleet = fleet(proxies = 4), channel = channel(lines_per_s = 2000, most_waiting = 4000),\n\
              rules = rules(drain_grace = \"5s\", cold_for = \"1s\"), watch = watch(machines = {}))\n",
             planner.dir.display(),
-            Fleet::found("machine", gates)
+            Fleet::gate_list("machine", gates)
         );
         std::fs::write(planner.dir.join("planner.star"), text).expect("settings");
         let mut planner = planner;
@@ -310,7 +315,7 @@
         self.process = Some(Process::start("run", &file, &["proxies", "admin"]));
     }
 
-    pub fn up(&mut self) -> &mut Process {
+    pub fn process(&mut self) -> &mut Process {
         self.process.as_mut().expect("it runs")
     }
 
@@ -318,8 +323,8 @@
         self.process.as_ref().expect("it runs").view(target)
     }
 
-    /// Its list names these from the next reading on.
-    pub fn list(&self, servers: &[&Server]) {
+    /// Writes the list of servers, which applies from its next read.
+    pub fn write_list(&self, servers: &[&Server]) {
         let slice = |server: &&Server| {
             format!(
                 "{{\"metadata\":{{\"name\":\"{0}\",\"resourceVersion\":\"1\"}},\"endpoints\":[{{\"addresses\":[\"127.0.0.1\"],\
@@ -331,36 +336,36 @@
         std::fs::write(self.dir.join("servers.json"), text).expect("a list");
     }
 
-    /// From its next start on it knows one machine more.
-    pub fn knows(&self, name: &str, at: SocketAddr) {
+    /// Adds a control machine to the settings, which apply from the next start.
+    pub fn add_machine(&self, name: &str, at: SocketAddr) {
         let file = self.dir.join("planner.star");
         let text = std::fs::read_to_string(&file).expect("settings");
-        let more = format!("machines = [machine(\"{name}\", address = \"{at}\"), ");
-        std::fs::write(&file, text.replace("machines = [", &more)).expect("settings");
+        let machines = format!("machines = [machine(\"{name}\", address = \"{at}\"), ");
+        std::fs::write(&file, text.replace("machines = [", &machines)).expect("settings");
     }
 
-    /// Whether it goes by this order.
+    /// Whether the planner applies this order.
     pub fn holds(&self, order: &str) -> bool {
         let orders = self.view("/record")["orders"].as_array().cloned().unwrap_or_default();
         orders.iter().any(|kept| kept["order"] == order && kept["here"] == 1.0)
     }
 
-    pub fn until_holds(&self, order: &str) {
-        until(&format!("{order} at {}", self.name), || self.holds(order).then_some(()));
+    pub fn wait_until_holds(&self, order: &str) {
+        wait_until(&format!("{order} at {}", self.name), || self.holds(order).then_some(()));
     }
 }
 
-/// A server that answers everything with its own address.
+/// A server that answers every request with its own address.
 pub struct Server {
     pub at: SocketAddr,
 }
 
 impl Server {
     pub fn start() -> Server {
-        let door = TcpListener::bind("127.0.0.1:0").expect("a listener");
-        let at = door.local_addr().expect("its address");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a listener");
+        let at = listener.local_addr().expect("its address");
         std::thread::spawn(move || {
-            for stream in door.incoming().map_while(Result::ok) {
+            for stream in listener.incoming().map_while(Result::ok) {
                 std::thread::spawn(move || Server::answer(stream, at));
             }
         });
@@ -387,9 +392,9 @@
     }
 }
 
-/// A proxy of this planner.
-pub fn proxy(fleet: &Fleet, planner: &Planner) -> Process {
-    let streams = planner.process.as_ref().expect("it runs").door("proxies");
+/// Starts a proxy of this planner.
+pub fn start_proxy(fleet: &Fleet, planner: &Planner) -> Process {
+    let streams = planner.process.as_ref().expect("it runs").address("proxies");
     let text = format!(
         "proxy(name = \"x1\", zone = \"z\", listen = \"127.0.0.1:0\", planners = [\"{streams}\"], state_dir = \"{}\",\n\
          routes = [route(\"r\", slo_time = \"400ms\", time_limit = \"2s\", repeats = \"repeatable\")])\n",
@@ -400,9 +405,9 @@
     Process::start("proxy", &file, &["clients"])
 }
 
-/// Which servers answer so many calls.
-pub fn answered(proxy: &Process, calls: usize) -> Vec<String> {
-    let ask = |_| match call(proxy.door("clients"), "GET", "/r/x", None) {
+/// The servers that answer this number of calls.
+pub fn answering_servers(proxy: &Process, calls: usize) -> Vec<String> {
+    let ask = |_| match call(proxy.address("clients"), "GET", "/r/x", None) {
         Ok((200, text)) => text,
         other => format!("{other:?}"),
     };
@@ -412,14 +417,14 @@
     servers
 }
 
-/// An order as an operator types it, waited for; exit status and what was printed.
-pub fn order(at: &[SocketAddr], said: &[&str]) -> (Option<i32>, String) {
+/// Runs the `order` command with --wait. Returns its exit status and output.
+pub fn give_order(at: &[SocketAddr], args: &[&str]) -> (Option<i32>, String) {
     let at: Vec<String> = at.iter().map(SocketAddr::to_string).collect();
-    let told = Command::new(PROGRAM)
+    let output = Command::new(PROGRAM)
         .args(["order", "--at", &at.join(","), "--by", "a test", "--why", "it", "--wait"])
-        .args(said)
+        .args(args)
         .output()
         .expect("it runs");
-    let text = [String::from_utf8_lossy(&told.stdout), String::from_utf8_lossy(&told.stderr)].concat();
-    (told.status.code(), text)
+    let text = [String::from_utf8_lossy(&output.stdout), String::from_utf8_lossy(&output.stderr)].concat();
+    (output.status.code(), text)
 }
--- a/crates/pewtergap/tests/node.rs
+++ b/crates/pewtergap/tests/node.rs
@@ -1,4 +1,4 @@
-//! `pewtergap node` as the platform starts and ends it.
+//! Runs the `node` command as a process, as the platform starts and stops it.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::TcpStream;
@@ -18,12 +18,12 @@
     command.spawn().unwrap()
 }
 
-/// The line of the log that has this in it.
-fn line(log: &mut impl BufRead, what: &str) -> String {
+/// Waits for a line of the log that contains `text`.
+fn wait_for_line(log: &mut impl BufRead, text: &str) -> String {
     let mut line = String::new();
-    while !line.contains(what) {
+    while !line.contains(text) {
         line.clear();
-        assert!(log.read_line(&mut line).unwrap() > 0, "the log ended without '{what}'");
+        assert!(log.read_line(&mut line).unwrap() > 0, "the log ended without '{text}'");
     }
     line
 }
@@ -36,9 +36,9 @@
 fn it_answers_reads_its_file_again_and_ends_in_order() {
     let mut child = start("good.json", GOOD);
     let mut log = BufReader::new(child.stderr.take().unwrap());
-    let listening = line(&mut log, "listening");
+    let listening = wait_for_line(&mut log, "listening");
     let at = listening.split_whitespace().find_map(|word| word.strip_prefix("at=")).unwrap();
-    let alive = || {
+    let check_alive = || {
         let mut peer = TcpStream::connect(at).unwrap();
         peer.set_read_timeout(Some(Duration::from_secs(30))).unwrap();
         peer.write_all(b"*1\r\n$4\r\nPING\r\n").unwrap();
@@ -46,18 +46,18 @@
         peer.read_exact(&mut answer).unwrap();
         assert_eq!(&answer, b"*1\r\n$4\r\nPONG\r\n");
     };
-    alive();
+    check_alive();
     signal(&child, "-HUP");
-    line(&mut log, "\"configuration\"");
-    alive();
+    wait_for_line(&mut log, "\"configuration\"");
+    check_alive();
     signal(&child, "-TERM");
     assert_eq!(child.wait().unwrap().code(), Some(0));
 }
 
 #[test]
 fn a_bad_start_ends_with_a_reason() {
-    let taken = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let busy = GOOD.replace("127.0.0.1:0", &taken.local_addr().unwrap().to_string());
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+    let busy = GOOD.replace("127.0.0.1:0", &listener.local_addr().unwrap().to_string());
     let cases = [
         ("torn.json", GOOD[..40].to_string(), 2, "not JSON"),
         ("limits.json", GOOD.replace("256", "\"many\""), 2, "limits.sockets"),
@@ -65,9 +65,9 @@
     ];
     for (name, text, code, why) in cases {
         let mut child = start(name, &text);
-        let mut said = String::new();
-        child.stderr.take().unwrap().read_to_string(&mut said).unwrap();
-        assert!(said.contains(why), "{name}: {said}");
+        let mut errors = String::new();
+        child.stderr.take().unwrap().read_to_string(&mut errors).unwrap();
+        assert!(errors.contains(why), "{name}: {errors}");
         assert_eq!(child.wait().unwrap().code(), Some(code), "{name}");
     }
 }
--- a/crates/pewtergap/tests/peer/mod.rs
+++ b/crates/pewtergap/tests/peer/mod.rs
@@ -1,4 +1,4 @@
-//! A planner as a process, and scripted peers that hold both sides of a crossing and let them go in the order wanted.
+//! A planner process, and scripted peers that control the order in which concurrent events reach it.
 
 use pewtergap_resp::{write_array, Bounds, Reader};
 use socket2::SockRef;
@@ -11,11 +11,11 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// Every wait is for an event; this only ends a test whose event never comes.
-pub const CEILING: Duration = Duration::from_secs(40);
+/// Upper bound of every wait, for events that never happen. It is no part of what a test checks.
+pub const MAX_WAIT: Duration = Duration::from_secs(40);
 
-/// What a planner is told at its start.
-pub struct Told {
+/// Start configuration of a planner.
+pub struct Config {
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
     pub sockets: usize,
@@ -24,14 +24,14 @@
     pub rows: Vec<String>,
 }
 
-impl Told {
-    pub fn new(discovery: SocketAddr) -> Told {
-        let rows = vec![row("s-1", nobody(), "Ready"), row("s-2", nobody(), "Ready")];
-        Told { listen: free(), discovery, sockets: 1024, proxies: 400, probes: false, rows }
+impl Config {
+    pub fn new(discovery: SocketAddr) -> Config {
+        let rows = vec![row("s-1", closed_address(), "Ready"), row("s-2", closed_address(), "Ready")];
+        Config { listen: free_address(), discovery, sockets: 1024, proxies: 400, probes: false, rows }
     }
 
-    pub fn text(&self) -> String {
-        let Told { listen, discovery, sockets, proxies, probes, rows } = self;
+    pub fn to_json(&self) -> String {
+        let Config { listen, discovery, sockets, proxies, probes, rows } = self;
         format!(
             r#"{{"name":"n0","listen":"{listen}","discovery":"{discovery}","seed":"8c1f30d27a5be964",
             "limits":{{"cores":1.0,"memory_mb":64,"sockets":{sockets}}},
@@ -57,36 +57,36 @@
     format!(r#"{{"rev":{version},"all":{whole},"targets":[{}]}}"#, rows.join(","))
 }
 
-/// Where nobody listens.
-pub fn nobody() -> SocketAddr {
+/// An address where nobody listens.
+pub fn closed_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 1))
 }
 
-/// An address of its own: a planner's port must be known before it starts.
-pub fn free() -> SocketAddr {
-    TcpListener::bind("127.0.0.1:0").and_then(|door| door.local_addr()).expect("a port")
+/// A free address, since the port of a planner must be known before it starts.
+pub fn free_address() -> SocketAddr {
+    TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr()).expect("a port")
 }
 
 pub struct Process {
     child: Child,
     log: Receiver<String>,
-    /// All lines of the log so far.
+    /// All lines of the log read so far.
     pub seen: Vec<String>,
     pub file: PathBuf,
     pub at: SocketAddr,
 }
 
 impl Process {
-    /// Starts it with this text as its file; `test` names the file.
-    pub fn start(test: &str, told: &Told, text: &str) -> Process {
-        Process::limited(test, told, text, None)
+    /// Starts a planner with `text` as its configuration file, which is named after `test`.
+    pub fn start(test: &str, config: &Config, text: &str) -> Process {
+        Process::start_with_limit(test, config, text, None)
     }
 
-    /// With a limit of the system's own on its descriptors.
-    pub fn limited(test: &str, told: &Told, text: &str, descriptors: Option<usize>) -> Process {
+    /// Starts a planner with a system limit on its descriptors.
+    pub fn start_with_limit(test: &str, config: &Config, text: &str, descriptors: Option<usize>) -> Process {
         let file = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("crossing-{test}.json"));
         std::fs::write(&file, text).expect("the file");
-        let limit = descriptors.map_or(String::new(), |most| format!("ulimit -n {most}; "));
+        let limit = descriptors.map_or(String::new(), |max| format!("ulimit -n {max}; "));
         let mut command = Command::new("/bin/sh");
         command.arg("-c").arg(format!("{limit}exec \"$0\" node")).arg(env!("CARGO_BIN_EXE_pewtergap"));
         command.env("NODE_CONFIG", &file).stderr(Stdio::piped()).stdout(Stdio::null());
@@ -96,24 +96,24 @@
         std::thread::spawn(move || {
             errors.lines().map_while(Result::ok).for_each(|line| drop(sender.send(line)));
         });
-        Process { child, log, seen: Vec::new(), file, at: told.listen }
+        Process { child, log, seen: Vec::new(), file, at: config.listen }
     }
 
-    pub fn ready(test: &str, told: &Told) -> Process {
-        let mut process = Process::start(test, told, &told.text());
-        process.line("listening");
+    pub fn start_listening(test: &str, config: &Config) -> Process {
+        let mut process = Process::start(test, config, &config.to_json());
+        process.wait_for_line("listening");
         process
     }
 
-    /// The next line of the log that has this in it.
-    pub fn line(&mut self, what: &str) -> String {
-        // One ceiling for all lines together: a log that goes on without this one would never end the wait.
-        let begin = Instant::now();
+    /// Waits for the next line of the log that contains `text`.
+    pub fn wait_for_line(&mut self, text: &str) -> String {
+        // The time limit covers all lines, so that a log without the wanted line cannot extend the wait forever.
+        let start = Instant::now();
         loop {
-            let line = self.log.recv_timeout(CEILING.saturating_sub(begin.elapsed()));
-            let line = line.unwrap_or_else(|_| panic!("no '{what}' after:\n{}", self.seen.join("\n")));
+            let line = self.log.recv_timeout(MAX_WAIT.saturating_sub(start.elapsed()));
+            let line = line.unwrap_or_else(|_| panic!("no '{text}' after:\n{}", self.seen.join("\n")));
             self.seen.push(line.clone());
-            if line.contains(what) {
+            if line.contains(text) {
                 return line;
             }
         }
@@ -124,31 +124,33 @@
         assert!(Command::new("kill").args([name, &id]).status().expect("kill").success());
     }
 
-    /// Stands still until told to go on: what comes meanwhile is all there at its next look.
-    pub fn hold(&self) {
+    /// Stops the process until `resume`, so that it finds everything that arrives in between at its next poll.
+    pub fn pause(&self) {
         self.signal("-STOP");
         let state = || std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap_or_default();
-        until("stopped", || state().rsplit(") ").next().filter(|rest| rest.starts_with('T')).map(drop));
+        wait_until("stopped", || state().rsplit(") ").next().filter(|rest| rest.starts_with('T')).map(drop));
     }
 
-    pub fn go_on(&self) {
+    pub fn resume(&self) {
         self.signal("-CONT");
     }
 
-    /// The file is replaced as a whole.
-    pub fn rewrite(&self, text: &str) {
-        let beside = self.file.with_extension("new");
-        std::fs::write(&beside, text).and_then(|()| std::fs::rename(&beside, &self.file)).expect("the file");
+    /// Replaces the configuration file atomically.
+    pub fn replace_file(&self, text: &str) {
+        let temporary = self.file.with_extension("new");
+        std::fs::write(&temporary, text)
+            .and_then(|()| std::fs::rename(&temporary, &self.file))
+            .expect("the file");
     }
 
-    pub fn ended(&mut self) -> ExitStatus {
-        until("the end", || self.child.try_wait().expect("its state"))
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
+        wait_until("the end", || self.child.try_wait().expect("its state"))
     }
 
-    pub fn alive(&self) {
+    pub fn check_alive(&self) {
         let mut peer = Peer::connect(self.at);
-        peer.say("PING");
-        assert_eq!(peer.hear(), "PONG");
+        peer.send("PING");
+        assert_eq!(peer.receive(), "PONG");
     }
 }
 
@@ -159,73 +161,72 @@
     }
 }
 
-/// Looks until there is something; the ceiling is no part of any verdict but 'it never came'.
-pub fn until<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> T {
-    let begin = Instant::now();
+/// Polls until there is a result, and panics after `MAX_WAIT`.
+pub fn wait_until<T>(event: &str, mut poll: impl FnMut() -> Option<T>) -> T {
+    let start = Instant::now();
     loop {
-        if let Some(found) = look() {
+        if let Some(found) = poll() {
             return found;
         }
-        assert!(begin.elapsed() < CEILING, "no {what}");
+        assert!(start.elapsed() < MAX_WAIT, "no {event}");
         sleep(Duration::from_millis(2));
     }
 }
 
-/// A listener of the test's: discovery or a server.
-pub struct Door {
-    pub listener: TcpListener,
+/// A listener of the test, for discovery or a server.
+pub struct Listener {
+    pub socket: TcpListener,
     pub at: SocketAddr,
 }
 
-impl Door {
-    pub fn open() -> Door {
+impl Listener {
+    pub fn bind() -> Listener {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a listener");
         listener.set_nonblocking(true).expect("set");
-        Door { at: listener.local_addr().expect("its address"), listener }
+        Listener { at: listener.local_addr().expect("its address"), socket: listener }
     }
 
     pub fn accept(&self) -> Peer {
-        let (stream, _) = until("connection", || self.listener.accept().ok());
+        let (stream, _) = wait_until("connection", || self.socket.accept().ok());
         stream.set_nonblocking(false).expect("set");
         Peer::new(stream)
     }
 }
 
-/// A discovery that answers as it should, for tests whose crossing lies elsewhere: whole lists, a watch held for a
-/// second.
-pub struct Agent {
+/// A well-behaved discovery server, for tests of other races: complete lists, and long polls of one second.
+pub struct DiscoveryServer {
     pub at: SocketAddr,
-    told: Arc<Mutex<(u64, Vec<String>)>>,
+    state: Arc<Mutex<(u64, Vec<String>)>>,
 }
 
-impl Agent {
-    pub fn start(rows: &[String]) -> Agent {
-        let door = Door::open();
-        let agent = Agent { at: door.at, told: Arc::new(Mutex::new((5, rows.to_vec()))) };
-        let told = Arc::downgrade(&agent.told);
+impl DiscoveryServer {
+    pub fn start(rows: &[String]) -> DiscoveryServer {
+        let listener = Listener::bind();
+        let server = DiscoveryServer { at: listener.at, state: Arc::new(Mutex::new((5, rows.to_vec()))) };
+        let state = Arc::downgrade(&server.state);
         std::thread::spawn(move || {
-            while let Some(present) = told.upgrade() {
-                drop(present);
-                if let Ok((stream, _)) = door.listener.accept() {
+            while let Some(current) = state.upgrade() {
+                drop(current);
+                if let Ok((stream, _)) = listener.socket.accept() {
                     stream.set_nonblocking(false).expect("set");
-                    Agent::serve(Peer::new(stream), &told);
+                    DiscoveryServer::serve(Peer::new(stream), &state);
                 }
                 sleep(Duration::from_millis(2));
             }
         });
-        agent
+        server
     }
 
-    /// One connection after the other is served, each until it ends.
-    fn serve(mut peer: Peer, told: &Weak<Mutex<(u64, Vec<String>)>>) {
-        while let Some(target) = peer.target() {
+    /// Serves one connection until it ends. Connections are served one after the other.
+    fn serve(mut peer: Peer, state: &Weak<Mutex<(u64, Vec<String>)>>) {
+        while let Some(target) = peer.next_target() {
             let since =
                 target.split_once("since=").and_then(|(_, rest)| rest.split('&').next()?.parse().ok());
-            let begin = Instant::now();
+            let start = Instant::now();
             let (version, rows) = loop {
-                let Some(present) = told.upgrade() else { return };
-                let (version, rows) = present.lock().expect("a list").clone();
-                if since.is_none_or(|since| version > since) || begin.elapsed() > Duration::from_secs(1) {
+                let Some(current) = state.upgrade() else { return };
+                let (version, rows) = current.lock().expect("a list").clone();
+                if since.is_none_or(|since| version > since) || start.elapsed() > Duration::from_secs(1) {
                     break (version, rows);
                 }
                 sleep(Duration::from_millis(2));
@@ -238,13 +239,13 @@
         }
     }
 
-    pub fn tell(&self, rows: &[String]) {
-        let mut told = self.told.lock().expect("a list");
-        *told = (told.0 + 1, rows.to_vec());
+    pub fn set_rows(&self, rows: &[String]) {
+        let mut state = self.state.lock().expect("a list");
+        *state = (state.0 + 1, rows.to_vec());
     }
 }
 
-/// A connection, from either side.
+/// A connection, accepted or opened by the test.
 pub struct Peer {
     pub stream: TcpStream,
     reader: Reader,
@@ -252,7 +253,7 @@
 
 impl Peer {
     fn new(stream: TcpStream) -> Peer {
-        stream.set_read_timeout(Some(CEILING)).expect("set");
+        stream.set_read_timeout(Some(MAX_WAIT)).expect("set");
         stream.set_nodelay(true).expect("set");
         Peer { stream, reader: Reader::new(Bounds { bytes: 1 << 20, items: 8_192 }) }
     }
@@ -261,24 +262,24 @@
         Peer::new(TcpStream::connect(at).expect("a connection"))
     }
 
-    pub fn joined(at: SocketAddr, number: usize) -> Peer {
+    pub fn subscribed(at: SocketAddr, number: usize) -> Peer {
         let mut peer = Peer::connect(at);
-        peer.say(&format!("SUBSCRIBE sidecar {number} az a share 5 standing 1"));
+        peer.send(&format!("SUBSCRIBE sidecar {number} az a share 5 standing 1"));
         peer
     }
 
-    pub fn raw(&mut self, bytes: &[u8]) {
+    pub fn send_raw(&mut self, bytes: &[u8]) {
         self.stream.write_all(bytes).expect("written");
     }
 
-    pub fn say(&mut self, text: &str) {
+    pub fn send(&mut self, text: &str) {
         let mut bytes = Vec::new();
         write_array(text.split(' '), &mut bytes);
-        self.raw(&bytes);
+        self.send_raw(&bytes);
     }
 
-    /// The next message, its items with spaces between.
-    pub fn hear(&mut self) -> String {
+    /// Receives the next message, with its items joined by spaces.
+    pub fn receive(&mut self) -> String {
         let mut buffer = [0; 4_096];
         loop {
             if let Some(items) = self.reader.next_message().expect("a message") {
@@ -290,12 +291,12 @@
         }
     }
 
-    /// The target of the next HTTP request.
-    pub fn asked(&mut self) -> String {
-        self.target().expect("a request")
+    /// Receives an HTTP request and returns its target.
+    pub fn request_target(&mut self) -> String {
+        self.next_target().expect("a request")
     }
 
-    fn target(&mut self) -> Option<String> {
+    fn next_target(&mut self) -> Option<String> {
         let mut head = Vec::new();
         while !head.ends_with(b"\r\n\r\n") {
             let mut byte = [0];
@@ -305,27 +306,29 @@
         String::from_utf8_lossy(&head).split(' ').nth(1).map(str::to_string)
     }
 
-    /// A good answer with a length; `headers` stand before it, each with its line's end.
-    pub fn answer(&mut self, headers: &str, body: &str) {
+    /// Sends a response with a content length. `headers` are further header lines, each with its line ending.
+    pub fn respond(&mut self, headers: &str, body: &str) {
         let length = body.len();
-        self.raw(format!("HTTP/1.1 200 OK\r\n{headers}content-length: {length}\r\n\r\n{body}").as_bytes());
+        self.send_raw(
+            format!("HTTP/1.1 200 OK\r\n{headers}content-length: {length}\r\n\r\n{body}").as_bytes(),
+        );
     }
 
-    /// So many bytes as they come, of whatever message.
-    pub fn some(&mut self, count: usize) -> Vec<u8> {
+    /// Reads exactly `count` bytes, regardless of message boundaries.
+    pub fn read_exactly(&mut self, count: usize) -> Vec<u8> {
         let mut bytes = vec![0; count];
         self.stream.read_exact(&mut bytes).expect("bytes");
         bytes
     }
 
-    /// Everything up to the end, whether that is in order or a reset.
-    pub fn rest(&mut self) -> Vec<u8> {
+    /// Reads everything up to the end of the connection, whether it is closed or reset.
+    pub fn read_to_end(&mut self) -> Vec<u8> {
         let mut all = Vec::new();
         let _ = self.stream.read_to_end(&mut all);
         all
     }
 
-    /// Breaks the connection at once: what was written before goes ahead of the reset.
+    /// Resets the connection; data written before is sent ahead of the reset.
     pub fn reset(self) {
         SockRef::from(&self.stream).set_linger(Some(Duration::ZERO)).expect("set");
     }
--- a/crates/pewtergap/tests/scale.rs
+++ b/crates/pewtergap/tests/scale.rs
@@ -1,5 +1,5 @@
-//! The scale run, small: hollow planners before control machines of this program, with faults; what the judge has to find,
-//! and what is refused beforehand.
+//! Small scale runs: hollow planners connected to real control machines, with faults. Checks that the judge finds planted
+//! violations and that runs beyond the limits of the machine are refused.
 
 use serde_json::Value;
 use std::process::{Command, Output};
@@ -25,20 +25,20 @@
     "--json",
 ];
 
-fn small(more: &[&str]) -> (Option<i32>, Value) {
-    let output = scale(&[SMALL, more].concat());
+fn run_small(args: &[&str]) -> (Option<i32>, Value) {
+    let output = scale(&[SMALL, args].concat());
     let errors = String::from_utf8_lossy(&output.stderr);
-    let came = serde_json::from_slice(&output.stdout).unwrap_or_else(|e| panic!("{e}: {errors}"));
-    (output.status.code(), came)
+    let report = serde_json::from_slice(&output.stdout).unwrap_or_else(|e| panic!("{e}: {errors}"));
+    (output.status.code(), report)
 }
 
 #[test]
 fn sixty_hollow_planners_and_three_machines_bear_a_kill_and_a_cut() {
-    let (code, came) = small(&["--faults", "machine,region"]);
-    let run = &came["runs"][0];
+    let (code, report) = run_small(&["--faults", "machine,region"]);
+    let run = &report["runs"][0];
     assert_eq!(run["breaches"], serde_json::json!([]), "{run}");
     assert_eq!(code, Some(0));
-    // All of it happened: orders were kept, planners lost their watch and have one again, answers were judged.
+    // Orders were stored, planners lost their watch and have one again, and answers were checked.
     assert_eq!(run["burst"]["kept"], 100, "{run}");
     assert_eq!(run["burst"]["in_force"]["missing"], 0, "{run}");
     let faults = run["faults"].as_array().expect("faults");
@@ -54,8 +54,8 @@
 
 #[test]
 fn an_unheard_one_counted_in_force_is_found() {
-    let (code, came) = small(&["--faults", "region", "--plant", "unheard-counted"]);
-    let breaches = came["runs"][0]["breaches"].as_array().cloned().unwrap_or_default();
+    let (code, report) = run_small(&["--faults", "region", "--plant", "unheard-counted"]);
+    let breaches = report["runs"][0]["breaches"].as_array().cloned().unwrap_or_default();
     assert_eq!(breaches.len(), 1, "{breaches:?}");
     assert_eq!(breaches[0]["rule"], "in force counts nobody who has it not");
     assert_eq!(code, Some(1));
@@ -63,8 +63,8 @@
 
 #[test]
 fn a_watcher_taken_back_is_found() {
-    let (code, came) = small(&["--plant", "taken-back"]);
-    let breaches = came["runs"][0]["breaches"].as_array().cloned().unwrap_or_default();
+    let (code, report) = run_small(&["--plant", "taken-back"]);
+    let breaches = report["runs"][0]["breaches"].as_array().cloned().unwrap_or_default();
     assert_eq!(breaches.len(), 1, "{breaches:?}");
     assert_eq!(breaches[0]["rule"], "a place never falls");
     assert_eq!(code, Some(1));
@@ -73,7 +73,7 @@
 #[test]
 fn sizes_of_several_runs_go_into_one_report() {
     let dir = std::env::temp_dir().join(format!("pewtergap-scale-report-{}", std::process::id()));
-    let told = |planners: &str| {
+    let run_size = |planners: &str| {
         let file = dir.join(format!("{planners}.json"));
         let size = ["--planners", planners, "--real", "0", "--control", "1", "--regions", "1", "--rest", "1"];
         let output = scale(&[&size[..], &["--json"]].concat());
@@ -82,7 +82,7 @@
         std::fs::write(&file, output.stdout).expect("it is kept");
         file.display().to_string()
     };
-    let (small, large) = (told("4"), told("8"));
+    let (small, large) = (run_size("4"), run_size("8"));
     let out = dir.join("report");
     let output = scale(&["--beside", &large, "--beside", &small, "--out", &out.display().to_string()]);
     assert_eq!(output.status.code(), Some(0), "{}", String::from_utf8_lossy(&output.stderr));
@@ -102,11 +102,11 @@
 #[test]
 fn what_does_not_fit_is_refused_with_need_and_limit() {
     let output = scale(&["--planners", "1000000", "--control", "11", "--regions", "17"]);
-    let told = String::from_utf8_lossy(&output.stderr).into_owned();
-    assert_eq!(output.status.code(), Some(2), "{told}");
+    let errors = String::from_utf8_lossy(&output.stderr).into_owned();
+    assert_eq!(output.status.code(), Some(2), "{errors}");
     assert!(
-        told.contains("memory: ") && told.contains("processes: ") && told.contains("the limit is"),
-        "{told}"
+        errors.contains("memory: ") && errors.contains("processes: ") && errors.contains("the limit is"),
+        "{errors}"
     );
     assert!(output.stdout.is_empty());
 }
--- a/crates/pewtergap/tests/slopes.rs
+++ b/crates/pewtergap/tests/slopes.rs
@@ -1,18 +1,18 @@
-//! Measurements by size as commands: each figure is there, and what can be known beforehand is right. How large times and
-//! processor time are is not judged.
+//! Runs the measurements by size as commands. Checks that each figure is present and that the predictable ones are right;
+//! times and processor time are not checked.
 
 use serde_json::Value;
 use std::process::Command;
 
 fn measured(args: &[&str]) -> Vec<Value> {
-    let came = Command::new(env!("CARGO_BIN_EXE_pewtergap"))
+    let output = Command::new(env!("CARGO_BIN_EXE_pewtergap"))
         .args(["--log", "warn", "measure"])
         .args(args)
         .output()
         .expect("the program");
-    let told = String::from_utf8_lossy(&came.stderr).into_owned();
-    assert_eq!(came.status.code(), Some(0), "{args:?}: {told}");
-    let text = String::from_utf8(came.stdout).expect("text");
+    let errors = String::from_utf8_lossy(&output.stderr).into_owned();
+    assert_eq!(output.status.code(), Some(0), "{args:?}: {errors}");
+    let text = String::from_utf8(output.stdout).expect("text");
     text.lines().map(|line| serde_json::from_str(line).expect("a line of JSON")).collect()
 }
 
@@ -25,7 +25,7 @@
     let rows = measured(&["list", "--servers", "20,60", "--a-slice", "10", "--rest", "1"]);
     assert_eq!(rows.len(), 2);
     for row in &rows {
-        // All servers' addresses are in the list, and a change says one slice of ten.
+        // The list contains the addresses of all servers, and a change resends one slice of ten servers.
         assert!(number(row, "list_bytes") > number(row, "servers") * 50.0, "{row}");
         assert!(number(row, "change_bytes") > 500.0, "{row}");
         assert!(number(row, "kept_bytes") > number(row, "servers") * 20.0, "{row}");
@@ -36,7 +36,7 @@
     for name in ["list_bytes", "kept_bytes", "table_bytes"] {
         assert!(number(&rows[1], name) > number(&rows[0], name), "{name}");
     }
-    // A slice has ten servers at both sizes: but for longer addresses it says the same.
+    // A slice has ten servers at both sizes, so a change differs only by the length of the addresses.
     let changes = (number(&rows[0], "change_bytes"), number(&rows[1], "change_bytes"));
     assert!((changes.0 - changes.1).abs() < 0.05 * changes.0, "{changes:?}");
 }
@@ -77,7 +77,7 @@
 
 #[test]
 fn probes_streams_and_routes_are_looked_at() {
-    // A round of probes takes 2 s: three of rest have one in them.
+    // A round of probes takes 2 s, so 3 s at rest contain one.
     let probes = measured(&["probes", "--servers", "10", "--rest", "3"]);
     assert!(number(&probes[0], "probes_per_s") > 0.0, "{}", probes[0]);
     assert_eq!(number(&probes[0], "messages_per_s"), 2.0 * number(&probes[0], "probes_per_s"));
