--- a/crates/member/src/member/startup.rs
+++ b/crates/member/src/member/startup.rs
@@ -131,7 +131,7 @@
     /// The settings or the build are older than the record's format and would misread it.
     pub(super) fn fail_unsupported_format(&mut self, out: &mut Outbox) {
         let (record_format, supported) = (self.record.format(), self.config.max_format);
-        let why = format!("the record has format {record_format}, this member supports up to {supported}");
+        let why = format!("the record stands at format {record_format}, this one speaks up to {supported}");
         self.fail(out, "record_refused", &why);
     }
 
--- a/crates/record/src/lib.rs
+++ b/crates/record/src/lib.rs
@@ -634,7 +634,7 @@
         } = image;
         if format > SUPPORTED_FORMATS.1 {
             return Err(format!(
-                "the record is at format {format}, this build supports up to {}",
+                "the record stands at format {format}, this build knows {}",
                 SUPPORTED_FORMATS.1
             ));
         }
