--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -3,7 +3,7 @@
 //! The model does no I/O. [`Target`] describes the fleet, its rates and budgets, [`Slopes`] holds the measurements,
 //! [`build_report`] combines them and [`page`] renders the tables of docs/CAPACITY.md. Every figure is measured, derived
 //! from slopes, or assumed ([`Kind`]). The kind cannot be misstated, because every value starts as a slope's or a
-//! parameter's ([`estimate::Estimate`]).
+//! parameter's (`estimate::Estimate`).
 #![forbid(unsafe_code)]
 
 mod bounds;
--- a/crates/capacity/src/slopes.rs
+++ b/crates/capacity/src/slopes.rs
@@ -222,7 +222,7 @@
     }
 }
 
-/// All slopes, in the order of [`SPECS`].
+/// All slopes, in the order of [`SLOPE_SPECS`].
 #[derive(Clone, Debug, Serialize)]
 pub struct Slopes(pub Vec<Slope>);
 
--- a/crates/lab/src/explore_watch.rs
+++ b/crates/lab/src/explore_watch.rs
@@ -3,7 +3,7 @@
 //! and one that starts again knows only some place of it. Agreement itself is explored in [`crate::explore`].
 //!
 //! Links are cut one way and both, machines killed, stopped, paused and made to lag, planners killed, paused, robbed of
-//! their disks, told to leave, all restarted at once; scopes change, records burst, tombstones are few. Rules: [`rules`].
+//! their disks, told to leave, all restarted at once; scopes change, records burst, tombstones are few. Rules: `rules`.
 
 mod nodes;
 mod rules;
